--- a/src/agent/state.rs
+++ b/src/agent/state.rs
@@ -27,10 +27,10 @@
     platform::{HttpClient, ObjectsClient, TableClient},
     policy::{
         attempt::AttemptKey,
+        concurrency_limit::AdaptiveLimit,
         fair_queue::FairQueue,
         gate::Gate,
         lifecycle::{self, Lifecycle, LifecycleEvent, LifecycleState},
-        limit::AdaptiveLimit,
     },
     protocol::{LoadNow, Peer, Start, ToEntry, encode},
     settings::AgentSettings,
--- a/src/platform/documents.rs
+++ b/src/platform/documents.rs
@@ -10,7 +10,7 @@
         Error, Result,
         store::{Row, Table},
     },
-    policy::cold::ColdTerms,
+    policy::cold_start::ColdTerms,
     routing::{
         BackendServer, BornAt, CallerLimits, Organisation, Progress, RollOutOrder, RollOutStatus,
         Route, RouteKind, RoutingTable, Target,
--- a/src/policy/availability.rs
+++ b/src/policy/availability.rs
@@ -5,7 +5,7 @@
 
 use std::{fmt, time::Duration};
 
-use crate::policy::{announced::Announced, send_window::SendWindow};
+use crate::policy::{announcements::Announced, send_window::SendWindow};
 
 /// Part of the time for which a draining server goes on serving in which it still gets requests that no
 /// other server can take. The rest covers requests on their way and late updates of its row.
--- a/src/router/availability.rs
+++ b/src/router/availability.rs
@@ -7,8 +7,8 @@
 use crate::{
     policy::{
         availability::{Availability, Cause, RateSignal, Signals, decide},
-        cold::ColdTerms,
-        limit_news::LimitBelief,
+        cold_start::ColdTerms,
+        known_limit::LimitBelief,
         place::Place,
         rate_limit::{Allowance, Rate, allowance, stand_in},
     },
--- a/src/router/feed.rs
+++ b/src/router/feed.rs
@@ -10,7 +10,7 @@
         documents::is_configuration,
         store::{Feed, Rows, StoreClient, Table},
     },
-    policy::catch_up::{Offer, Position, Taking},
+    policy::replication::{Offer, Position, Taking},
     router::{
         Router,
         restore::{self, Extent},
--- a/src/router/limit_board.rs
+++ b/src/router/limit_board.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     policy::{
-        limit_news::{Change, LimitBelief, LimitNews},
+        known_limit::{Change, LimitBelief, LimitNews},
         quarantine::LifeHash,
         rate_limit::{AdvertisedLimit, Rate},
     },
--- a/src/router/member.rs
+++ b/src/router/member.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     policy::{
-        announced::Announced,
+        announcements::Announced,
         availability::Signals,
         failure_rate::FailureRate,
         kept::{KeptParts, PromptMark},
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -19,12 +19,12 @@
     clock::Clock,
     platform::host_settings::HostSettings,
     policy::{
-        comeback::{Overload, retry_after},
         exposure::draw,
         extra_share::ExtraShare,
         lifecycle::{self, Lifecycle, LifecycleEvent, LifecycleState},
-        send_budget::{SendBudget, SendTerms},
+        overload::{Overload, retry_after},
         stopping::still_fits,
+        windowed_retry_budget::{SendBudget, SendTerms},
     },
     router::{
         Fleet, evacuations::Evacuations, kept_board::KeptBoard, limit_board::LimitBoard,
--- a/src/routing/table.rs
+++ b/src/routing/table.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
-use crate::{ids::Revision, policy::cold::ColdTerms};
+use crate::{ids::Revision, policy::cold_start::ColdTerms};
 
 /// Name of a region, which has one or more AvailabilityZones.
 pub type Region = Box<str>;
--- a/tests/availability.rs
+++ b/tests/availability.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, SystemTime};
 
 use mintmoor::policy::{
-    announced::Announced,
+    announcements::Announced,
     availability::{Availability, Cause, RateSignal, Signals, decide, retain_first_tier},
     retry_after::{LONGEST_PAUSE, RetryAfter},
 };
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -4,7 +4,7 @@
 
 use mintmoor::policy::{
     extra_share::ExtraShare,
-    send_budget::{SendBudget, SendTerms},
+    windowed_retry_budget::{SendBudget, SendTerms},
 };
 
 /// What a deployment of this size allows.
--- a/tests/model/availability.rs
+++ b/tests/model/availability.rs
@@ -6,7 +6,7 @@
 };
 
 use mintmoor::policy::{
-    announced::Announced,
+    announcements::Announced,
     availability::{Availability, Signals, decide},
 };
 
--- a/tests/model/rate_limit.rs
+++ b/tests/model/rate_limit.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeSet, time::Duration};
 
 use mintmoor::policy::{
-    limit_news::{LimitBelief, LimitNews},
+    known_limit::{LimitBelief, LimitNews},
     place::Place,
     rate_limit::{AdvertisedLimit, allowance},
 };
--- a/tests/model/restore.rs
+++ b/tests/model/restore.rs
@@ -6,7 +6,7 @@
 
 use mintmoor::{
     ids::{Era, Revision, StoreVersion},
-    policy::catch_up::{Offer, Position, Taking},
+    policy::replication::{Offer, Position, Taking},
 };
 
 use crate::explore::{Found, Step, assert_found, assert_holds, explore};
--- a/tests/play/comeback.rs
+++ b/tests/play/comeback.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BinaryHeap, time::Duration};
 
-use mintmoor::policy::comeback::{Overload, retry_after};
+use mintmoor::policy::overload::{Overload, retry_after};
 use ordered::Due;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
--- a/tests/play/pauses.rs
+++ b/tests/play/pauses.rs
@@ -7,7 +7,7 @@
 };
 
 use mintmoor::policy::{
-    announced::Announced,
+    announcements::Announced,
     availability::{Availability, Signals, decide, retain_first_tier},
     outlier::{Outlier, OutlierRules},
     send_window::SendWindow,
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -12,9 +12,9 @@
     policy::{
         cascade::{Estimates, StageOutlook, expected_cost, is_good_enough, start_stage},
         choice::{Pool, ServerLoad, choose, time_to_first_token},
+        concurrency_limit::AdaptiveLimit,
         fair_queue::{FairQueue, Waiting},
         lifecycle::{self, LifecycleEvent, LifecycleState},
-        limit::AdaptiveLimit,
         outlier::{Outlier, OutlierRules, respects_out},
         retry::RetryBudget,
         roll_out::{
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use mintmoor::policy::{
-    limit_news::{Change, LimitBelief, LimitNews},
+    known_limit::{Change, LimitBelief, LimitNews},
     place::Place,
     rate_limit::{AdvertisedLimit, Allowance, LEAST_NAMED, LimitedSends, allowance, stand_in},
 };
