--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -10,7 +10,7 @@
         choice::Pool,
         place::Place,
         placement::{PlacementTerms, Work, place},
-        rate_limit::{LimitedSends, allowance},
+        rate_limit::{SlidingWindowLog, allowance},
         roll_out::takes_new_version,
     },
     resources::{Guard, RollOut, RollOutState},
@@ -99,7 +99,7 @@
     let place = Place { rank: 17, entries: 360 };
     let hashes: Vec<u64> =
         (0..servers as u64).map(|i| i.wrapping_mul(0x9e37_79b9_7f4a_7c15)).collect();
-    let logs = vec![LimitedSends::default(); servers];
+    let logs = vec![SlidingWindowLog::default(); servers];
     let now = Duration::from_secs(60);
     bencher.bench(|| {
         let allowed = hashes.iter().zip(&logs).filter(|(server, log)| {
--- a/src/entry/link.rs
+++ b/src/entry/link.rs
@@ -20,7 +20,7 @@
         attempt::AttemptKey,
         choice::ServerLoad,
         gate::RefuseReason,
-        outlier::{Outlier, OutlierRules},
+        outlier::{OutlierConfig, OutlierDetector},
     },
     protocol::{
         AgentBeat, LoadNow, Peer, RowWrite, Start, ToAgent, Usage, VersionEvidence, encode,
@@ -55,7 +55,7 @@
     ended_since_beat: u32,
     beliefs: HashMap<u64, u64>,
     belief_clock: u64,
-    outlier: Outlier,
+    outlier: OutlierDetector,
 }
 
 /// One link that is up, or was.
@@ -193,7 +193,7 @@
     }
 
     /// Notes how an attempt on this server ended.
-    pub(crate) fn note_outcome(&self, answered: bool, rules: &OutlierRules, now: Duration) {
+    pub(crate) fn note_outcome(&self, answered: bool, rules: &OutlierConfig, now: Duration) {
         let mut state = self.lock();
         if answered {
             state.outlier.note_answer(rules);
--- a/src/entry/pick.rs
+++ b/src/entry/pick.rs
@@ -13,7 +13,7 @@
     ids::partner_of,
     policy::{
         choice::{choose, time_to_first_token},
-        outlier::respects_out,
+        outlier::honors_ejection,
     },
 };
 
@@ -66,7 +66,7 @@
         return false;
     };
     let out = route.links.iter().filter(|link| link.is_out(now)).count();
-    respects_out(out, route.links.len(), rules)
+    honors_ejection(out, route.links.len(), rules)
 }
 
 fn all(route: &Route) -> Vec<u32> {
--- a/src/entry/state.rs
+++ b/src/entry/state.rs
@@ -37,7 +37,7 @@
     policy::{
         cascade::Estimates,
         lifecycle::{self, Lifecycle, LifecycleEvent, LifecycleState},
-        outlier::OutlierRules,
+        outlier::OutlierConfig,
         retry::RetryBudget,
     },
     protocol::Peer,
@@ -84,7 +84,7 @@
     /// Whether suspect versions are held.
     pub guard: bool,
     /// Rules for failing servers; none keeps every server in.
-    pub outlier: Option<OutlierRules>,
+    pub outlier: Option<OutlierConfig>,
     /// Whether requests that may run only once are claimed first.
     pub claims: bool,
     /// Whether rows are written through the region's relay.
@@ -99,7 +99,7 @@
             server: ServerPolicy::default(),
             cascade: CascadePolicy::default(),
             guard: true,
-            outlier: Some(OutlierRules::default()),
+            outlier: Some(OutlierConfig::default()),
             claims: true,
             relay: true,
             charge_copies: true,
--- a/src/load/scenario.rs
+++ b/src/load/scenario.rs
@@ -8,7 +8,7 @@
     entry::{CascadePolicy, RoutingPolicy, ServerPolicy},
     ids::{ObjectId, VersionId},
     local::{Fleet, ServerSetup},
-    policy::outlier::OutlierRules,
+    policy::outlier::OutlierConfig,
     resources::Kind,
     standin::engine::EngineModel,
 };
@@ -282,7 +282,7 @@
             Baseline::LeastLoaded => policy.server = ServerPolicy::LeastReported,
             Baseline::NoGuard => policy.guard = false,
             Baseline::NoOutlier => policy.outlier = None,
-            Baseline::FlatOutlier => policy.outlier = Some(OutlierRules::flat()),
+            Baseline::FlatOutlier => policy.outlier = Some(OutlierConfig::flat()),
             Baseline::NoClaims => policy.claims = false,
             Baseline::NoCopies => policy.charge_copies = false,
             Baseline::NoRelay => policy.relay = false,
--- a/src/platform/answers.rs
+++ b/src/platform/answers.rs
@@ -94,7 +94,7 @@
 /// The limit that an answer names. Where it names several, the smallest is what the server surely takes.
 fn read_rate_limit(headers: &HeaderMap) -> AdvertisedLimit {
     let lines = headers.get_all(RATE_LIMIT).iter().map(|value| value.to_str().unwrap_or_default());
-    let said = lines.flat_map(|line| line.split(',')).map(AdvertisedLimit::read);
+    let said = lines.flat_map(|line| line.split(',')).map(AdvertisedLimit::parse);
     said.reduce(AdvertisedLimit::smaller).unwrap_or(AdvertisedLimit::Nothing)
 }
 
@@ -110,7 +110,7 @@
 fn read_retry_after(headers: &HeaderMap) -> RetryAfter {
     let lines = headers.get_all(header::RETRY_AFTER).iter();
     let lines = lines.map(|value| value.to_str().unwrap_or_default());
-    let pauses = lines.map(|line| RetryAfter::read(line, SystemTime::now()));
+    let pauses = lines.map(|line| RetryAfter::parse(line, SystemTime::now()));
     pauses.reduce(RetryAfter::longer).unwrap_or_default()
 }
 
--- a/src/platform/documents.rs
+++ b/src/platform/documents.rs
@@ -10,7 +10,7 @@
         Error, Result,
         store::{Row, Table},
     },
-    policy::cold_start::ColdTerms,
+    policy::cold_start::ColdStartLimit,
     routing::{
         BackendServer, BornAt, CallerLimits, Organisation, Progress, RollOutOrder, RollOutStatus,
         Route, RouteKind, RoutingTable, Target,
@@ -68,9 +68,10 @@
 const MOST_COLD_MS: f64 = 3_600_000.0;
 
 impl ServiceDoc {
-    fn cold(&self) -> Option<ColdTerms> {
+    fn cold(&self) -> Option<ColdStartLimit> {
         let lasts = milliseconds((self.cold_start_s * 1e3).min(MOST_COLD_MS));
-        (self.cold_per_s > 0.0).then_some(ColdTerms { sends_per_second: self.cold_per_s, lasts })
+        (self.cold_per_s > 0.0)
+            .then_some(ColdStartLimit { sends_per_second: self.cold_per_s, lasts })
     }
 }
 
--- a/src/policy/announcements.rs
+++ b/src/policy/announcements.rs
@@ -10,14 +10,14 @@
 
 /// Drain notice and pause; times are on the entry's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Announced {
+pub struct Announcements {
     draining_since: Option<Duration>,
     paused_until: Option<Duration>,
     /// Answers since the last pause.
     answered: u32,
 }
 
-impl Announced {
+impl Announcements {
     /// Notes a drain notice; whether it is the first one. Only a new life ends it.
     pub fn note_draining(&mut self, now: Duration) -> bool {
         let is_first = self.draining_since.is_none();
--- a/src/policy/availability.rs
+++ b/src/policy/availability.rs
@@ -5,7 +5,7 @@
 
 use std::{fmt, time::Duration};
 
-use crate::policy::{announcements::Announced, send_window::SendWindow};
+use crate::policy::{announcements::Announcements, send_window::SendWindow};
 
 /// Part of the time for which a draining server goes on serving in which it still gets requests that no
 /// other server can take. The rest covers requests on their way and late updates of its row.
@@ -13,7 +13,7 @@
 
 /// Why a server should get no request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Cause {
+pub enum UnavailableCause {
     /// Another server answers at its address.
     Replaced,
     /// The operator has evacuated its AvailabilityZone.
@@ -32,7 +32,7 @@
     Ejected,
 }
 
-impl Cause {
+impl UnavailableCause {
     /// All causes.
     pub const ALL: [Self; 8] = [
         Self::Replaced,
@@ -60,7 +60,7 @@
     }
 }
 
-impl fmt::Display for Cause {
+impl fmt::Display for UnavailableCause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.as_str())
     }
@@ -72,11 +72,11 @@
     /// It may.
     Open,
     /// Only where no other server can serve.
-    LastResort(Cause),
+    LastResort(UnavailableCause),
     /// It may not.
     Closed {
         /// Why not.
-        cause: Cause,
+        cause: UnavailableCause,
         /// When that ends; none where nobody knows.
         until: Option<Duration>,
     },
@@ -93,7 +93,7 @@
     /// The same where no other server can serve: this entry does not know its share.
     LastResort(Duration),
     /// Other entries share what the server takes, the next of them at about this time.
-    OfOthers(Duration),
+    NoShare(Duration),
 }
 
 /// All that speaks for or against a send to a server; times are on the entry's clock.
@@ -106,7 +106,7 @@
     /// Since when its row says that it is draining.
     pub row_draining_since: Option<Duration>,
     /// What it announced in its answers.
-    pub announced: Announced,
+    pub announced: Announcements,
     /// For how long a draining server goes on serving.
     pub drain: Duration,
     /// Requests of this entry that it has not begun to answer.
@@ -126,42 +126,42 @@
     let Signals { announced, .. } = signals;
     let closed = |cause, until| Availability::Closed { cause, until };
     if signals.is_replaced {
-        return closed(Cause::Replaced, None);
+        return closed(UnavailableCause::Replaced, None);
     }
     if signals.is_evacuated {
-        return closed(Cause::Evacuated, None);
+        return closed(UnavailableCause::Evacuated, None);
     }
     let announcements = [signals.row_draining_since, announced.draining_since()];
     let draining = announcements.into_iter().flatten().min();
     if draining.is_some_and(|since| now >= since + signals.drain / LAST_RESORT_SHARE) {
-        return closed(Cause::Draining, None);
+        return closed(UnavailableCause::Draining, None);
     }
     if announced.is_paused(now) {
-        return closed(Cause::Paused, Some(announced.paused_until()));
+        return closed(UnavailableCause::Paused, Some(announced.paused_until()));
     }
     if announced.is_recovering(now) && signals.unanswered > announced.answered() {
-        return closed(Cause::Recovering, None);
+        return closed(UnavailableCause::Recovering, None);
     }
-    if !signals.window.allows_one_beside(signals.at_server, now) {
-        return closed(Cause::Full, None);
+    if !signals.window.allows_another(signals.at_server, now) {
+        return closed(UnavailableCause::Full, None);
     }
     match signals.rate {
-        RateSignal::Share(next) | RateSignal::LastResort(next) | RateSignal::OfOthers(next)
+        RateSignal::Share(next) | RateSignal::LastResort(next) | RateSignal::NoShare(next)
             if now < next =>
         {
-            return closed(Cause::RateLimited, Some(next));
+            return closed(UnavailableCause::RateLimited, Some(next));
         }
-        RateSignal::OfOthers(next) => return closed(Cause::RateLimited, Some(next)),
+        RateSignal::NoShare(next) => return closed(UnavailableCause::RateLimited, Some(next)),
         _ => {}
     }
     if draining.is_some() {
-        return Availability::LastResort(Cause::Draining);
+        return Availability::LastResort(UnavailableCause::Draining);
     }
     if matches!(signals.rate, RateSignal::LastResort(_)) {
-        return Availability::LastResort(Cause::RateLimited);
+        return Availability::LastResort(UnavailableCause::RateLimited);
     }
     if signals.is_ejected {
-        return Availability::LastResort(Cause::Ejected);
+        return Availability::LastResort(UnavailableCause::Ejected);
     }
     Availability::Open
 }
@@ -169,10 +169,14 @@
 impl Availability {
     /// Whether a request that was about to be sent must not be sent any more. What it counts towards itself does not
     /// stop it.
-    pub fn stops_send(self) -> Option<Cause> {
+    pub fn stops_send(self) -> Option<UnavailableCause> {
         match self {
             Self::Closed {
-                cause: Cause::RateLimited | Cause::Recovering | Cause::Full, ..
+                cause:
+                    UnavailableCause::RateLimited
+                    | UnavailableCause::Recovering
+                    | UnavailableCause::Full,
+                ..
             } => None,
             Self::Closed { cause, .. } => Some(cause),
             Self::Open | Self::LastResort(_) => None,
@@ -180,7 +184,7 @@
     }
 
     /// Whether it is closed for this cause.
-    pub fn is_closed_by(self, by: Cause) -> bool {
+    pub fn is_closed_by(self, by: UnavailableCause) -> bool {
         matches!(self, Self::Closed { cause, .. } if cause == by)
     }
 
@@ -197,7 +201,7 @@
     fn tier(self) -> Option<u8> {
         match self {
             Self::Open => Some(0),
-            Self::LastResort(Cause::Ejected) => Some(1),
+            Self::LastResort(UnavailableCause::Ejected) => Some(1),
             Self::LastResort(_) => Some(2),
             Self::Closed { .. } => None,
         }
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -7,13 +7,13 @@
 
 /// Additive increase, multiplicative decrease on the time between tokens.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AdaptiveLimit {
+pub struct AdaptiveConcurrencyLimit {
     limit: f64,
     max: f64,
     target: Duration,
 }
 
-impl AdaptiveLimit {
+impl AdaptiveConcurrencyLimit {
     /// A limit that starts at `max` and gives way when tokens come slower than `target`.
     pub fn new(max: u32, target: Duration) -> Self {
         Self { limit: f64::from(max), max: f64::from(max), target }
--- a/src/policy/known_limit.rs
+++ b/src/policy/known_limit.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use crate::policy::rate_limit::{AdvertisedLimit, LEAST_NAMED, Rate};
+use crate::policy::rate_limit::{AdvertisedLimit, MIN_ADVERTISED_RATE, Rate};
 
 /// Time after which it is reported once more that a server still advertises its limit: where nobody says so, others see
 /// that nobody asks it.
@@ -18,7 +18,7 @@
 
 /// What is known of one server, as entries report it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LimitNews {
+pub struct LimitReport {
     /// Counts the changes.
     pub change: u32,
     /// Counts how often it was received again since the last change.
@@ -27,7 +27,7 @@
     pub rate: Option<Rate>,
 }
 
-impl LimitNews {
+impl LimitReport {
     /// Whether this is newer than what is known. Of two changes that were received at the same time the smaller limit
     /// holds: the server's next answer settles it, and until then it gets too little rather than too much.
     pub fn is_newer_than(&self, known: &Self) -> bool {
@@ -40,32 +40,32 @@
 
 /// What a change means for those who send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum LimitChange {
     /// The limit is new or fell: entries that have not learned of it send too much.
     Urgent,
     /// It rose or ended.
-    Calm,
+    Deferrable,
     /// It is as before, and was received again.
-    Again,
+    Repeated,
 }
 
 /// What this entry knows of one server's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct LimitBelief {
-    news: Option<LimitNews>,
+pub struct KnownLimit {
+    news: Option<LimitReport>,
     received_at: Duration,
     /// When there was last something to report.
     reported_at: Duration,
 }
 
-impl LimitBelief {
+impl KnownLimit {
     /// Requests a second that the server takes; none where it advertises no limit.
     pub fn rate(&self) -> Option<Rate> {
         self.news.and_then(|news| news.rate)
     }
 
     /// What is known, as it is reported.
-    pub fn news(&self) -> Option<LimitNews> {
+    pub fn news(&self) -> Option<LimitReport> {
         self.news
     }
 
@@ -83,17 +83,17 @@
         said: AdvertisedLimit,
         sent_at: Duration,
         now: Duration,
-    ) -> Option<Change> {
+    ) -> Option<LimitChange> {
         let rate = match said {
-            AdvertisedLimit::Rate(rate) => Some(rate.max(LEAST_NAMED)),
+            AdvertisedLimit::Rate(rate) => Some(rate.max(MIN_ADVERTISED_RATE)),
             AdvertisedLimit::Nothing if self.rate().is_some() && sent_at >= self.received_at => {
                 None
             }
             AdvertisedLimit::Nothing | AdvertisedLimit::Unreadable => return None,
         };
-        let known = self.news.unwrap_or(LimitNews { change: 0, again: 0, rate: None });
+        let known = self.news.unwrap_or(LimitReport { change: 0, again: 0, rate: None });
         if rate != known.rate {
-            let news = LimitNews { change: known.change.saturating_add(1), again: 0, rate };
+            let news = LimitReport { change: known.change.saturating_add(1), again: 0, rate };
             return Some(self.put(news, now));
         }
         self.received_at = now;
@@ -101,22 +101,22 @@
             return None;
         }
         let again = known.again.saturating_add(1);
-        Some(self.put(LimitNews { again, ..known }, now))
+        Some(self.put(LimitReport { again, ..known }, now))
     }
 
     /// Takes in what another entry reports; gives what there is to pass on.
-    pub fn take_update(&mut self, reported: LimitNews, now: Duration) -> Option<Change> {
+    pub fn take_update(&mut self, reported: LimitReport, now: Duration) -> Option<LimitChange> {
         let is_new = self.news.is_none_or(|known| reported.is_newer_than(&known));
         is_new.then(|| self.put(reported, now))
     }
 
-    fn put(&mut self, news: LimitNews, now: Duration) -> Change {
+    fn put(&mut self, news: LimitReport, now: Duration) -> LimitChange {
         let before = self.rate().unwrap_or(Rate::INFINITY);
         (self.news, self.received_at, self.reported_at) = (Some(news), now, now);
         match news.rate {
-            Some(rate) if rate < before * FALLS_BELOW => Change::Urgent,
-            rate if rate.unwrap_or(Rate::INFINITY) == before => Change::Again,
-            _ => Change::Calm,
+            Some(rate) if rate < before * FALLS_BELOW => LimitChange::Urgent,
+            rate if rate.unwrap_or(Rate::INFINITY) == before => LimitChange::Repeated,
+            _ => LimitChange::Deferrable,
         }
     }
 }
--- a/src/policy/lifecycle.rs
+++ b/src/policy/lifecycle.rs
@@ -15,7 +15,7 @@
     /// Nothing is in flight and everything is flushed.
     Idle,
     /// The grace for finishing ran out.
-    GraceOver,
+    GraceExpired,
 }
 
 /// The machine; its state is all it has.
@@ -51,7 +51,7 @@
     #[state]
     fn leaving(event: &LifecycleEvent) -> Outcome<State> {
         match event {
-            LifecycleEvent::Idle | LifecycleEvent::GraceOver => Transition(State::stopped()),
+            LifecycleEvent::Idle | LifecycleEvent::GraceExpired => Transition(State::stopped()),
             _ => Handled,
         }
     }
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -7,39 +7,39 @@
 
 /// Which rules are in force.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct OutlierRules {
+pub struct OutlierConfig {
     /// Failures in a row that take a server out.
-    pub out_after: u32,
+    pub consecutive_failures: u32,
     /// Time a server stays out the first time.
-    pub first_out: Duration,
+    pub base_ejection: Duration,
     /// Longest time out; each time out in a row is twice the one before.
-    pub longest_out: Duration,
+    pub max_ejection: Duration,
     /// Answers in a row before a server counts as recovered and its times out start anew.
-    pub back_after: u32,
+    pub recovery_answers: u32,
     /// Largest share of a pool that may be out; the last server never is.
-    pub most_out: f64,
+    pub max_ejected_share: f64,
 }
 
-impl Default for OutlierRules {
+impl Default for OutlierConfig {
     fn default() -> Self {
         Self {
-            out_after: 3,
-            first_out: Duration::from_secs(1),
-            longest_out: Duration::from_secs(30),
-            back_after: 10,
-            most_out: 0.5,
+            consecutive_failures: 3,
+            base_ejection: Duration::from_secs(1),
+            max_ejection: Duration::from_secs(30),
+            recovery_answers: 10,
+            max_ejected_share: 0.5,
         }
     }
 }
 
-impl OutlierRules {
+impl OutlierConfig {
     /// The plain rule that the others are measured against: out for a fixed time, no trial
     /// memory, and any number of servers may be out.
     pub fn flat() -> Self {
         Self {
-            longest_out: Duration::from_secs(1),
-            back_after: 1,
-            most_out: 1.0,
+            max_ejection: Duration::from_secs(1),
+            recovery_answers: 1,
+            max_ejected_share: 1.0,
             ..Self::default()
         }
     }
@@ -47,7 +47,7 @@
 
 /// Record of one server; times are on the entry's monotonic clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Outlier {
+pub struct OutlierDetector {
     failures: u32,
     answers: u32,
     times_out: u32,
@@ -55,40 +55,40 @@
     trying: bool,
 }
 
-impl Outlier {
+impl OutlierDetector {
     /// Notes an answer.
-    pub fn note_answer(&mut self, rules: &OutlierRules) {
+    pub fn note_answer(&mut self, rules: &OutlierConfig) {
         self.failures = 0;
         self.trying = false;
         self.answers += 1;
-        if self.answers >= rules.back_after {
+        if self.answers >= rules.recovery_answers {
             self.times_out = 0;
         }
     }
 
     /// Notes a failure; a server that fails its trial goes out again at once.
-    pub fn note_failure(&mut self, rules: &OutlierRules, now: Duration) {
+    pub fn note_failure(&mut self, rules: &OutlierConfig, now: Duration) {
         let on_trial = self.is_on_trial();
         self.answers = 0;
         self.failures += 1;
-        if self.failures < rules.out_after && !on_trial {
+        if self.failures < rules.consecutive_failures && !on_trial {
             return;
         }
         self.take_out(rules, now);
     }
 
     /// Notes that the server can't be reached at all, which takes it out at once.
-    pub fn note_unreachable(&mut self, rules: &OutlierRules, now: Duration) {
+    pub fn note_unreachable(&mut self, rules: &OutlierConfig, now: Duration) {
         self.answers = 0;
         self.take_out(rules, now);
     }
 
-    fn take_out(&mut self, rules: &OutlierRules, now: Duration) {
-        let time = rules.first_out * 2u32.saturating_pow(self.times_out.min(16));
+    fn take_out(&mut self, rules: &OutlierConfig, now: Duration) {
+        let time = rules.base_ejection * 2u32.saturating_pow(self.times_out.min(16));
         self.times_out += 1;
         self.failures = 0;
         self.trying = false;
-        self.out_until = now + time.min(rules.longest_out);
+        self.out_until = now + time.min(rules.max_ejection);
     }
 
     /// Whether the server is out now.
@@ -115,6 +115,6 @@
 }
 
 /// Whether being out is respected: not when too much of the pool is out.
-pub fn respects_out(out: usize, pool: usize, rules: &OutlierRules) -> bool {
-    out < pool && out as f64 <= pool as f64 * rules.most_out
+pub fn honors_ejection(out: usize, pool: usize, rules: &OutlierConfig) -> bool {
+    out < pool && out as f64 <= pool as f64 * rules.max_ejected_share
 }
--- a/src/policy/place.rs
+++ b/src/policy/place.rs
@@ -22,7 +22,7 @@
 
 /// An entry as a seed sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sharer<'a> {
+pub struct ObservedEntry<'a> {
     /// Name of its Host.
     pub host: &'a str,
     /// Whether it knows its place; a process that has just started does not, and sends nothing yet.
@@ -34,13 +34,14 @@
 /// Entries that are not settled have no turn, so that a server is not left to a process that has just started. Where
 /// they are many, as after a loss of half, they are ranked as well: to leave them out would move most places twice
 /// within seconds, and views that differ let too many send.
-pub fn place_among(host: &str, seen: &[Sharer<'_>]) -> Option<Place> {
+pub fn place_among(host: &str, seen: &[ObservedEntry<'_>]) -> Option<Place> {
     if !seen.iter().any(|sharer| sharer.host == host) {
         return None;
     }
     let new = seen.iter().filter(|sharer| !sharer.is_settled).count();
     let are_many_new = new > few_of(seen.len());
-    let shares = |sharer: &&Sharer<'_>| are_many_new || sharer.is_settled || sharer.host == host;
+    let shares =
+        |sharer: &&ObservedEntry<'_>| are_many_new || sharer.is_settled || sharer.host == host;
     let sharers = seen.iter().filter(shares);
     let rank = sharers.clone().filter(|sharer| sharer.host < host).count();
     Some(Place { rank: u32::try_from(rank).ok()?, entries: u32::try_from(sharers.count()).ok()? })
@@ -54,7 +55,7 @@
 /// Time from the first report of an entry's place until it is used: a seed that has just started learns of some
 /// entries only after 2 s, when they try it again, and what the process before sent on this Host is more than a
 /// second old.
-pub const SETTLES: Duration = Duration::from_secs(3);
+pub const SETTLE_TIME: Duration = Duration::from_secs(3);
 /// Time for which a few entries less have to be reported before that counts: a report may be late.
 const FEW_GONE_AFTER: Duration = Duration::from_secs(1);
 /// The same for more of them: processes that were killed together are back and settled by then.
@@ -64,7 +65,7 @@
 
 /// What is reported to an entry of its place among all.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PlaceBelief {
+pub struct PlaceTracker {
     place: Option<Place>,
     since: Duration,
     /// Largest number of entries, and when it was last received.
@@ -73,7 +74,7 @@
     fewer_since: Option<Duration>,
 }
 
-impl PlaceBelief {
+impl PlaceTracker {
     /// Takes in a place that was received; `sees_all` where whoever reports it has been up for long enough to get updates from
     /// all entries.
     ///
@@ -109,6 +110,6 @@
 
     /// The place to go by; none until it is settled.
     pub fn get(&self, now: Duration) -> Option<Place> {
-        self.place.filter(|_| now >= self.since + SETTLES)
+        self.place.filter(|_| now >= self.since + SETTLE_TIME)
     }
 }
--- a/src/policy/quarantine.rs
+++ b/src/policy/quarantine.rs
@@ -19,7 +19,7 @@
 use crate::routing::Fingerprint;
 
 /// One life of one server, hashed.
-pub type LifeHash = u64;
+pub type IncarnationHash = u64;
 
 /// Ends of servers at which a request has to have been at work to be refused. With two, a request beside
 /// the guilty one is refused as soon as both are sent to the same server again.
@@ -58,32 +58,32 @@
         /// The request.
         fingerprint: Fingerprint,
         /// The life that ended.
-        life: LifeHash,
+        life: IncarnationHash,
         /// When, on the clock of whoever holds the note.
         at: Duration,
     },
     /// That end speaks no longer against the request: a server answered it whole since, or an operator let it
     /// go. It names the end and not a time, which each entry would take for a little later than the one
     /// before, and pass on as news without end.
-    Annulled {
+    Cleared {
         /// The request.
         fingerprint: Fingerprint,
         /// The life that ended.
-        life: LifeHash,
+        life: IncarnationHash,
     },
 }
 
 impl Note {
     /// The request it is about.
     pub fn fingerprint(&self) -> Fingerprint {
-        let (Self::End { fingerprint, .. } | Self::Annulled { fingerprint, .. }) = self;
+        let (Self::End { fingerprint, .. } | Self::Cleared { fingerprint, .. }) = self;
         *fingerprint
     }
 }
 
 /// What may be done with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum QuarantineStatus {
     /// Nothing speaks against it.
     Free,
     /// Servers ended under it, too few to refuse it.
@@ -98,7 +98,7 @@
 /// The end of a server under a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct End {
-    life: LifeHash,
+    life: IncarnationHash,
     at: Duration,
     is_annulled: bool,
 }
@@ -114,7 +114,7 @@
 
 impl Known {
     /// Takes an end in; whether that is new.
-    fn note(&mut self, life: LifeHash, at: Duration, is_annulled: bool) -> bool {
+    fn note(&mut self, life: IncarnationHash, at: Duration, is_annulled: bool) -> bool {
         if let Some(end) = self.ends.iter_mut().find(|end| end.life == life) {
             let is_new = is_annulled && !end.is_annulled;
             end.is_annulled |= is_annulled;
@@ -129,7 +129,7 @@
     }
 
     /// The ends that speak against it.
-    fn counted(&self) -> impl Iterator<Item = (LifeHash, Duration)> {
+    fn counted(&self) -> impl Iterator<Item = (IncarnationHash, Duration)> {
         self.ends.iter().filter(|end| !end.is_annulled).map(|end| (end.life, end.at))
     }
 
@@ -142,7 +142,7 @@
         self.ends.last().map_or(Duration::ZERO, |end| end.at).max(self.tried_at)
     }
 
-    fn was_at(&self, life: LifeHash) -> bool {
+    fn was_at(&self, life: IncarnationHash) -> bool {
         self.ends.iter().any(|end| end.life == life)
     }
 
@@ -153,7 +153,7 @@
 }
 
 /// The name of the life after this one where the list shows neither.
-fn next_name(name: LifeHash, listed: LifeHash) -> LifeHash {
+fn next_name(name: IncarnationHash, listed: IncarnationHash) -> IncarnationHash {
     xxh3_64_with_seed(&name.to_le_bytes(), listed)
 }
 
@@ -163,7 +163,7 @@
     /// The request.
     pub fingerprint: Fingerprint,
     /// Lives that ended under it and when.
-    pub ends: Vec<(LifeHash, Duration)>,
+    pub ends: Vec<(IncarnationHash, Duration)>,
     /// Trials made since.
     pub trials: u32,
     /// When the last of them began.
@@ -175,7 +175,7 @@
 pub struct Quarantine {
     known: HashMap<Fingerprint, Known>,
     /// When each life ended.
-    lives: HashMap<LifeHash, Duration>,
+    lives: HashMap<IncarnationHash, Duration>,
 }
 
 impl Quarantine {
@@ -194,7 +194,7 @@
                 *ended_at = (*ended_at).min(at);
                 is_new
             }
-            Note::Annulled { fingerprint, life } => {
+            Note::Cleared { fingerprint, life } => {
                 self.make_room(&fingerprint);
                 self.known.entry(fingerprint).or_default().note(life, now, true)
             }
@@ -203,7 +203,7 @@
 
     /// The name of a life that ended now. A server may be back, and end again, before the list shows its next
     /// life: an end that comes later than the one known is that of another life.
-    pub fn name_of_end(&self, listed: LifeHash, now: Duration) -> LifeHash {
+    pub fn incarnation_of_end(&self, listed: IncarnationHash, now: Duration) -> IncarnationHash {
         let mut name = listed;
         while self.lives.get(&name).is_some_and(|at| *at + SAME_END < now) {
             name = next_name(name, listed);
@@ -213,7 +213,7 @@
 
     /// The name of a life that ended at a time under this listing. The earliest has the listed name, whoever
     /// shows it first: those known that ended later move on to the next names.
-    fn distinguish(&mut self, listed: LifeHash, at: Duration) -> LifeHash {
+    fn distinguish(&mut self, listed: IncarnationHash, at: Duration) -> IncarnationHash {
         let mut names = vec![listed];
         let mut times = Vec::new();
         while let Some(ended_at) = self.lives.get(&names[times.len()]) {
@@ -246,9 +246,9 @@
     }
 
     /// What annuls all that is known against a request.
-    pub fn acquittal(&self, fingerprint: Fingerprint) -> Vec<Note> {
+    pub fn clearing_notes(&self, fingerprint: Fingerprint) -> Vec<Note> {
         let counted = self.known.get(&fingerprint).into_iter().flat_map(Known::counted);
-        counted.map(|(life, _)| Note::Annulled { fingerprint, life }).collect()
+        counted.map(|(life, _)| Note::Cleared { fingerprint, life }).collect()
     }
 
     /// Takes in what the store keeps of a request, its times `error` off at most; whether that says something
@@ -272,16 +272,16 @@
     }
 
     /// What may be done with a request.
-    pub fn standing(&self, fingerprint: &Fingerprint, now: Duration) -> Standing {
+    pub fn standing(&self, fingerprint: &Fingerprint, now: Duration) -> QuarantineStatus {
         let Some(known) = self.known.get(fingerprint) else {
-            return Standing::Free;
+            return QuarantineStatus::Free;
         };
         match self.events(known) {
-            0 => Standing::Free,
-            few if few < REFUSED_AFTER => Standing::Suspect,
+            0 => QuarantineStatus::Free,
+            few if few < REFUSED_AFTER => QuarantineStatus::Suspect,
             _ => {
                 let trial_at = self.trial_at(fingerprint, known);
-                Standing::Refused { trial_in: trial_at.map(|at| at.saturating_sub(now)) }
+                QuarantineStatus::Refused { trial_in: trial_at.map(|at| at.saturating_sub(now)) }
             }
         }
     }
@@ -339,9 +339,9 @@
     /// Requests that are known and not cleared, the one with the latest end first.
     pub fn cases(&self, only_refused: bool, now: Duration) -> Vec<Case> {
         let is_wanted = |fingerprint: &&Fingerprint| match self.standing(fingerprint, now) {
-            Standing::Free => false,
-            Standing::Suspect => !only_refused,
-            Standing::Refused { .. } => true,
+            QuarantineStatus::Free => false,
+            QuarantineStatus::Suspect => !only_refused,
+            QuarantineStatus::Refused { .. } => true,
         };
         let wanted = self.known.keys().filter(is_wanted);
         let mut cases: Vec<Case> = wanted.filter_map(|f| self.case(f)).collect();
@@ -390,7 +390,7 @@
 
     fn forget_lives(&mut self) {
         let ends = self.known.values().flat_map(|known| &known.ends);
-        let needed: HashSet<LifeHash> = ends.map(|end| end.life).collect();
+        let needed: HashSet<IncarnationHash> = ends.map(|end| end.life).collect();
         self.lives.retain(|life, _| needed.contains(life));
     }
 }
--- a/src/policy/rate_limit.rs
+++ b/src/policy/rate_limit.rs
@@ -17,7 +17,7 @@
 pub type Rate = f64;
 
 /// Least that a limit counts for, whatever its server advertises: only its answers show that its limit is over.
-pub const LEAST_NAMED: Rate = 0.05;
+pub const MIN_ADVERTISED_RATE: Rate = 0.05;
 /// Least rate that is distinguished from none, so that no window is without end.
 const LEAST_RATE: Rate = 1e-3;
 
@@ -41,7 +41,7 @@
 
 impl AdvertisedLimit {
     /// Reads what a server names.
-    pub fn read(text: &str) -> Self {
+    pub fn parse(text: &str) -> Self {
         match text.trim().parse::<Rate>() {
             Ok(rate) if rate.is_finite() && rate >= 0.0 => Self::Rate(rate),
             _ => Self::Unreadable,
@@ -71,7 +71,7 @@
 impl Allowance {
     /// The least: what an entry may send that does not know its place among so many, and only where nobody else can
     /// serve. Where all of them have just started, that adds up to what the server takes.
-    pub fn least(rate: Rate, entries: u32) -> Self {
+    pub fn minimum(rate: Rate, entries: u32) -> Self {
         Self { sends: 1, window: window(entries.max(1), rate).max(Duration::from_secs(1)) }
     }
 }
@@ -100,7 +100,12 @@
 /// What an entry without a share may send to a server that has answered nobody for a while: its senders have no
 /// work for it, or are gone, and only an answer shows that its limit is over. One such entry at a time, one after
 /// the other, so that they don't all come at once; none where it is another one's turn.
-pub fn stand_in(rate: Rate, place: Place, server: u64, silent_for: Duration) -> Option<Allowance> {
+pub fn probe_allowance(
+    rate: Rate,
+    place: Place,
+    server: u64,
+    silent_for: Duration,
+) -> Option<Allowance> {
     let quiet = SILENT_AFTER_SENDS + window(2, rate);
     let waited = silent_for.checked_sub(quiet)?;
     let senders = place.entries.clamp(1, whole(rate));
@@ -125,11 +130,11 @@
 
 /// Sends of this entry to one server under a limit, those of the last window.
 #[derive(Clone, Debug, Default)]
-pub struct LimitedSends {
+pub struct SlidingWindowLog {
     at: VecDeque<Duration>,
 }
 
-impl LimitedSends {
+impl SlidingWindowLog {
     /// Whether one more may be made now.
     pub fn may_send(&self, allowance: &Allowance, now: Duration) -> bool {
         self.next_at(allowance, now) <= now
--- a/src/policy/replication.rs
+++ b/src/policy/replication.rs
@@ -6,7 +6,7 @@
 
 /// How far a table was followed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Position {
+pub struct TablePosition {
     /// None until all rows were read, and when they have to be read again.
     pub at: Option<StoreVersion>,
     /// Era of the last rows; none until there were any.
@@ -15,7 +15,7 @@
 
 /// Rows that are shown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Offer {
+pub struct UpdateHeader {
     /// Newest transaction they cover.
     pub version: StoreVersion,
     /// Whether these are all rows, not only those that changed.
@@ -26,11 +26,11 @@
 
 /// What is taken in of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taking {
+pub enum UpdateAction {
     /// Nothing: they are known, or follow on rows that are not.
-    Nothing,
+    Ignore,
     /// The configuration, where it is newer than the one in force: the store that was read has lost it.
-    Configuration,
+    ConfigurationOnly,
     /// What changed.
     Changes,
     /// All rows.
@@ -39,20 +39,20 @@
     Restored,
 }
 
-impl Position {
+impl TablePosition {
     /// What to take in of rows that are shown here.
-    pub fn taking(&self, offer: &Offer) -> Taking {
+    pub fn action_for(&self, offer: &UpdateHeader) -> UpdateAction {
         let is_of_known_era = self.era.is_none_or(|era| era == offer.version.era);
         if Some(offer.version) <= self.at || Some(offer.version.era) < self.era {
             let is_lost = offer.is_amended && is_of_known_era;
-            return if is_lost { Taking::Configuration } else { Taking::Nothing };
+            return if is_lost { UpdateAction::ConfigurationOnly } else { UpdateAction::Ignore };
         }
         match (offer.is_whole, is_of_known_era) {
-            (false, true) => Taking::Changes,
-            (true, true) => Taking::Whole,
-            (true, false) => Taking::Restored,
+            (false, true) => UpdateAction::Changes,
+            (true, true) => UpdateAction::Whole,
+            (true, false) => UpdateAction::Restored,
             // Changes follow on rows of their own era.
-            (false, false) => Taking::Nothing,
+            (false, false) => UpdateAction::Ignore,
         }
     }
 
--- a/src/policy/retry_after.rs
+++ b/src/policy/retry_after.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, SystemTime};
 
 /// Longest pause that is honoured, so that a wrong value doesn't take a server out for good.
-pub const LONGEST_PAUSE: Duration = Duration::from_secs(600);
+pub const MAX_PAUSE: Duration = Duration::from_secs(600);
 
 /// What the head of an answer says of a pause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -11,7 +11,7 @@
     /// Nothing.
     #[default]
     None,
-    /// The pause, at most [`LONGEST_PAUSE`].
+    /// The pause, at most [`MAX_PAUSE`].
     After(Duration),
     /// Neither a number of seconds nor a date.
     Unreadable,
@@ -19,24 +19,24 @@
 
 impl RetryAfter {
     /// Reads a number of seconds, which may have a fraction, or an HTTP date.
-    pub fn read(text: &str, now: SystemTime) -> Self {
+    pub fn parse(text: &str, now: SystemTime) -> Self {
         let text = text.trim();
         match text.parse::<f64>() {
             Ok(seconds) if seconds.is_finite() && seconds >= 0.0 => {
-                let seconds = seconds.min(LONGEST_PAUSE.as_secs_f64());
+                let seconds = seconds.min(MAX_PAUSE.as_secs_f64());
                 Self::After(Duration::from_secs_f64(seconds))
             }
             Ok(_) => Self::Unreadable,
-            Err(_) => Self::read_date(text, now),
+            Err(_) => Self::parse_date(text, now),
         }
     }
 
-    fn read_date(text: &str, now: SystemTime) -> Self {
+    fn parse_date(text: &str, now: SystemTime) -> Self {
         let Ok(date) = httpdate::parse_http_date(text) else {
             return Self::Unreadable;
         };
         let pause = date.duration_since(now).unwrap_or_default();
-        Self::After(pause.min(LONGEST_PAUSE))
+        Self::After(pause.min(MAX_PAUSE))
     }
 
     /// The longer of two pauses that one answer asks for.
--- a/src/policy/send_window.rs
+++ b/src/policy/send_window.rs
@@ -35,7 +35,7 @@
     }
 
     /// Whether one more may be sent while the server has so many.
-    pub fn allows_one_beside(&self, others: u32, now: Duration) -> bool {
+    pub fn allows_another(&self, others: u32, now: Duration) -> bool {
         self.learned.is_none_or(|(most, at)| now >= at + LASTS || f64::from(others) + 1.0 <= most)
     }
 }
--- a/src/policy/windowed_retry_budget.rs
+++ b/src/policy/windowed_retry_budget.rs
@@ -18,7 +18,7 @@
 
 /// What one entry may do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SendTerms {
+pub struct RetryLimits {
     /// Repeats for each request.
     pub ratio: f64,
     /// Repeats beyond that in a window: this entry's part of what all may.
@@ -36,18 +36,18 @@
 
 /// Sends of one entry to one service.
 #[derive(Clone, Debug, Default)]
-pub struct SendBudget {
+pub struct WindowedRetryBudget {
     steps: VecDeque<Step>,
 }
 
-impl SendBudget {
+impl WindowedRetryBudget {
     /// Notes a caller's request for the service.
-    pub fn note_request(&mut self, terms: &SendTerms, now: Duration) {
+    pub fn note_request(&mut self, terms: &RetryLimits, now: Duration) {
         self.current(terms, now).requests += 1;
     }
 
     /// Takes one repeated send from the budget; false when it is used up.
-    pub fn try_repeat(&mut self, terms: &SendTerms, now: Duration) -> bool {
+    pub fn try_repeat(&mut self, terms: &RetryLimits, now: Duration) -> bool {
         if self.left(terms, now) < 1.0 {
             return false;
         }
@@ -56,7 +56,7 @@
     }
 
     /// Repeats still allowed.
-    pub fn left(&mut self, terms: &SendTerms, now: Duration) -> f64 {
+    pub fn left(&mut self, terms: &RetryLimits, now: Duration) -> f64 {
         self.current(terms, now);
         let requests: u32 = self.steps.iter().map(|step| step.requests).sum();
         let repeats: u32 = self.steps.iter().map(|step| step.repeats).sum();
@@ -65,7 +65,7 @@
         allowed.max(first) - f64::from(repeats)
     }
 
-    fn current(&mut self, terms: &SendTerms, now: Duration) -> &mut Step {
+    fn current(&mut self, terms: &RetryLimits, now: Duration) -> &mut Step {
         let step = terms.window / STEPS;
         let number = (now.as_nanos() / step.as_nanos().max(1)) as u64;
         while self.steps.front().is_some_and(|s| s.number + u64::from(STEPS) < number) {
--- a/src/router/announcements.rs
+++ b/src/router/announcements.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     policy::{
-        availability::{Availability, Cause},
+        availability::{Availability, UnavailableCause},
         retry_after::RetryAfter,
     },
     router::{Member, Router},
@@ -55,7 +55,7 @@
 
     /// Counts servers that were left out of a choice since they are unavailable.
     pub(crate) fn count_avoided(&self, closed: &[(&Arc<Member>, Availability)]) {
-        for cause in Cause::ALL {
+        for cause in UnavailableCause::ALL {
             let servers = closed.iter().filter(|(_, a)| a.is_closed_by(cause)).count() as u64;
             if servers > 0 {
                 self.metrics.count_avoided(cause.as_str(), servers);
--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -13,7 +13,7 @@
         answers::read_answer,
         headers::{AttemptHeaders, write_attempt},
     },
-    policy::{availability::Cause, kept::PromptMark, patience::Patience},
+    policy::{availability::UnavailableCause, kept::PromptMark, patience::Patience},
     router::{
         Member, Router,
         connection::{self, Checkout, ConnectError, Connection},
@@ -93,7 +93,7 @@
     NotSent(#[from] ConnectError),
     /// Nothing was sent: the server became unavailable while it was connected to.
     #[error("not sent: the server is {0}")]
-    Unavailable(Cause),
+    Unavailable(UnavailableCause),
     /// The server says that it did not run it.
     #[error("the server refused it with status {0}")]
     Refused(http::StatusCode),
--- a/src/router/availability.rs
+++ b/src/router/availability.rs
@@ -6,11 +6,11 @@
 
 use crate::{
     policy::{
-        availability::{Availability, Cause, RateSignal, Signals, decide},
-        cold_start::ColdTerms,
-        known_limit::LimitBelief,
+        availability::{Availability, RateSignal, Signals, UnavailableCause, decide},
+        cold_start::ColdStartLimit,
+        known_limit::KnownLimit,
         place::Place,
-        rate_limit::{Allowance, Rate, allowance, stand_in},
+        rate_limit::{Allowance, Rate, allowance, probe_allowance},
     },
     router::{Member, Router, limit_board::LimitView},
 };
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub(crate) struct ServiceCheck<'a> {
     router: &'a Router,
-    cold: Option<ColdTerms>,
+    cold: Option<ColdStartLimit>,
     named: Option<LimitView<'a>>,
     place: Option<Place>,
     is_any_evacuated: bool,
@@ -77,7 +77,7 @@
     }
 
     /// Why a request that is about to be sent to a server must not be sent any more.
-    pub(crate) fn stops_send(&self, member: &Member) -> Option<Cause> {
+    pub(crate) fn stops_send(&self, member: &Member) -> Option<UnavailableCause> {
         self.check_service(&member.server.service).availability(member).stops_send()
     }
 }
@@ -91,7 +91,7 @@
                 RateSignal::LastResort(self.next_at(member, &allowance))
             }
             Limit::OfOthers(rate) => {
-                RateSignal::OfOthers(self.now + Allowance::least(rate, 1).window)
+                RateSignal::NoShare(self.now + Allowance::minimum(rate, 1).window)
             }
         });
         let zone = &member.server.zone;
@@ -126,7 +126,7 @@
 
     /// Whether a server is cold, by its row or because nothing newer is known of it since it may have
     /// become so.
-    fn is_cold(&self, member: &Member, terms: &ColdTerms) -> bool {
+    fn is_cold(&self, member: &Member, terms: &ColdStartLimit) -> bool {
         let taken_back = self.router.evacuations.taken_back_at(&member.server.zone);
         self.now < member.cold_until()
             || taken_back.is_some_and(|at| self.now < at + terms.lasts)
@@ -141,14 +141,14 @@
     }
 
     /// What is known of the limit that a server advertises.
-    fn advertised(&self, member: &Member) -> LimitBelief {
+    fn advertised(&self, member: &Member) -> KnownLimit {
         let view = self.named.as_ref();
         view.map(|view| view.belief(member.life_hash())).unwrap_or_default()
     }
 
     /// Requests a second that a server takes from all entries; none where it takes what it has slots for. The
     /// smaller one counts of what it takes while it is cold and what it advertises.
-    fn rate(&self, member: &Member, advertised: &LimitBelief) -> Option<Rate> {
+    fn rate(&self, member: &Member, advertised: &KnownLimit) -> Option<Rate> {
         let cold = self.cold.filter(|terms| self.is_cold(member, terms));
         let cold = cold.map(|terms| terms.sends_per_second);
         cold.into_iter().chain(advertised.rate()).reduce(Rate::min)
@@ -159,12 +159,13 @@
         let advertised = self.advertised(member);
         let rate = self.rate(member, &advertised)?;
         let Some(place) = self.place else {
-            return Some(Limit::LastResort(Allowance::least(rate, self.entries())));
+            return Some(Limit::LastResort(Allowance::minimum(rate, self.entries())));
         };
         let silent_for = self.now.saturating_sub(advertised.received_at());
         let server = member.id_hash();
-        let share = allowance(rate, place, server)
-            .or_else(|| advertised.rate().and_then(|_| stand_in(rate, place, server, silent_for)));
+        let share = allowance(rate, place, server).or_else(|| {
+            advertised.rate().and_then(|_| probe_allowance(rate, place, server, silent_for))
+        });
         Some(share.map_or(Limit::OfOthers(rate), Limit::Share))
     }
 }
--- a/src/router/choice.rs
+++ b/src/router/choice.rs
@@ -6,10 +6,10 @@
 
 use crate::{
     policy::{
-        availability::{Availability, Cause, retain_first_tier},
+        availability::{Availability, UnavailableCause, retain_first_tier},
         kept::{PromptMark, shared_marks},
         placement::{Work, hash_id, place},
-        quarantine::Standing,
+        quarantine::QuarantineStatus,
     },
     router::{
         Fleet, Member, Router,
@@ -31,7 +31,7 @@
     let mut members = able(router, job, ask, &fleet);
     members.retain(|member| may_be(&member.server.id));
     let members = available(router, &job.service, members);
-    if router.standing(job) != Standing::Free {
+    if router.standing(job) != QuarantineStatus::Free {
         return place_suspect(job, &members).cloned();
     }
     let marks = marks(job, ask);
@@ -70,7 +70,7 @@
     router: &Router,
     job: &Job,
     ask: Ask<'_>,
-) -> Option<(Cause, Duration)> {
+) -> Option<(UnavailableCause, Duration)> {
     let check = router.check_service(&job.service);
     let fleet = router.fleet.load();
     let members = able(router, job, ask, &fleet).into_iter();
--- a/src/router/departed.rs
+++ b/src/router/departed.rs
@@ -5,10 +5,10 @@
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
-use crate::{policy::retry_after::LONGEST_PAUSE, router::Member};
+use crate::{policy::retry_after::MAX_PAUSE, router::Member};
 
 /// Time for which a life is remembered: what it announced may hold for as long.
-const REMEMBERED: Duration = LONGEST_PAUSE;
+const REMEMBERED: Duration = MAX_PAUSE;
 /// Lives remembered at most, under half a kilobyte each.
 const MOST: usize = 256;
 
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -6,7 +6,7 @@
     platform::headers::AttemptHeaders,
     policy::{
         attempt::{self, AttemptEvent, AttemptState, Verdict, judge, may_send_again},
-        availability::Cause,
+        availability::UnavailableCause,
         patience::head_patience,
     },
     router::{
@@ -81,7 +81,7 @@
             let Some((cause, wait)) = unavailable_for(router, job, ask) else {
                 return Refusal::NotRun { retry_after };
             };
-            if cause == Cause::RateLimited {
+            if cause == UnavailableCause::RateLimited {
                 router.metrics.count_limited("refused");
                 return Refusal::Limited { retry_after: retry_after.max(wait) };
             }
--- a/src/router/feed.rs
+++ b/src/router/feed.rs
@@ -10,7 +10,7 @@
         documents::is_configuration,
         store::{Feed, Rows, StoreClient, Table},
     },
-    policy::replication::{Offer, Position, Taking},
+    policy::replication::{TablePosition, UpdateAction, UpdateHeader},
     router::{
         Router,
         restore::{self, Extent},
@@ -95,7 +95,7 @@
 /// A table that is followed.
 struct Followed {
     table: Table,
-    position: Position,
+    position: TablePosition,
     contact: Contact,
 }
 
@@ -106,20 +106,20 @@
         &mut self,
         router: &Router,
         mut rows: Rows,
-        offer: Offer,
+        offer: UpdateHeader,
         apply: &mut impl FnMut(Rows, Extent, &Contact),
     ) -> bool {
         let known = self.position.at;
-        let extent = match self.position.taking(&offer) {
-            Taking::Nothing => return Some(offer.version.era) >= self.position.era,
-            Taking::Configuration => {
+        let extent = match self.position.action_for(&offer) {
+            UpdateAction::Ignore => return Some(offer.version.era) >= self.position.era,
+            UpdateAction::ConfigurationOnly => {
                 rows.rows.retain(|row| is_configuration(&row.key));
                 apply(rows, Extent::Changes, &self.contact);
                 return true;
             }
-            Taking::Changes => Extent::Changes,
-            Taking::Whole => Extent::Whole,
-            Taking::Restored => Extent::Restored,
+            UpdateAction::Changes => Extent::Changes,
+            UpdateAction::Whole => Extent::Whole,
+            UpdateAction::Restored => Extent::Restored,
         };
         self.position.advance(offer.version);
         if extent == Extent::Changes {
@@ -167,7 +167,7 @@
     table: Table,
     mut apply: impl FnMut(Rows, Extent, &Contact),
 ) {
-    let (position, contact) = (Position::default(), Contact::default());
+    let (position, contact) = (TablePosition::default(), Contact::default());
     let mut followed = Followed { table, position, contact };
     wait_for_first_link(router).await;
     loop {
@@ -205,7 +205,7 @@
         };
         let is_first = followed.position.at.is_none();
         let has_news = !rows.rows.is_empty();
-        let offer = Offer { version: rows.version, is_whole, is_amended: false };
+        let offer = UpdateHeader { version: rows.version, is_whole, is_amended: false };
         if !followed.take(router, rows, offer, &mut apply) {
             // An answer from before the store came back, which another entry reported meanwhile.
             sleep(PAUSE).await;
@@ -277,7 +277,12 @@
             .log(format_args!("table={table:?} version={version:?} before={known:?}"));
     }
     // What is older than what the store reported is left; the entry that is followed learns of that, too.
-    followed.take(router, update.into_rows(), Offer { version, is_whole, is_amended }, apply);
+    followed.take(
+        router,
+        update.into_rows(),
+        UpdateHeader { version, is_whole, is_amended },
+        apply,
+    );
 }
 
 /// What is new about a table.
--- a/src/router/fleet.rs
+++ b/src/router/fleet.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 
 use crate::{
-    policy::quarantine::LifeHash,
+    policy::quarantine::IncarnationHash,
     router::{Member, departed::Departed},
     routing::{BackendServer, ServerVersion},
     telemetry::event,
@@ -92,7 +92,7 @@
     }
 
     /// The server whose life has this hash.
-    pub(crate) fn by_life(&self, life: LifeHash) -> Option<&Arc<Member>> {
+    pub(crate) fn by_life(&self, life: IncarnationHash) -> Option<&Arc<Member>> {
         self.by_short_hash(life as u32).filter(|member| member.life_hash() == life)
     }
 
--- a/src/router/limit_board.rs
+++ b/src/router/limit_board.rs
@@ -19,8 +19,8 @@
 
 use crate::{
     policy::{
-        known_limit::{Change, LimitBelief, LimitNews},
-        quarantine::LifeHash,
+        known_limit::{KnownLimit, LimitChange, LimitReport},
+        quarantine::IncarnationHash,
         rate_limit::{AdvertisedLimit, Rate},
     },
     router::Fleet,
@@ -34,23 +34,23 @@
 /// A server's limit on its way: its life, the counts of the news, and the rate, none where it has ended. Numbers
 /// without names take 22 bytes instead of 60.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct LimitUpdate(LifeHash, u32, u32, Option<Rate>);
+pub(crate) struct LimitUpdate(IncarnationHash, u32, u32, Option<Rate>);
 
 impl LimitUpdate {
-    fn new(life: LifeHash, news: LimitNews) -> Self {
+    fn new(life: IncarnationHash, news: LimitReport) -> Self {
         Self(life, news.change, news.again, news.rate)
     }
 
-    fn read(self) -> (LifeHash, LimitNews) {
+    fn read(self) -> (IncarnationHash, LimitReport) {
         let Self(life, change, again, rate) = self;
         let rate = rate.filter(|rate| rate.is_finite() && *rate > 0.0);
-        (life, LimitNews { change, again, rate })
+        (life, LimitReport { change, again, rate })
     }
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Known {
-    belief: LimitBelief,
+    belief: KnownLimit,
     /// Number of the last news.
     number: u64,
     /// Whether this entry had them from the server itself.
@@ -59,7 +59,7 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    servers: HashMap<LifeHash, Known>,
+    servers: HashMap<IncarnationHash, Known>,
     /// Number of the next news.
     next: u64,
 }
@@ -73,7 +73,7 @@
 /// A change of what is known of a server's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Changed {
-    pub(crate) life: LifeHash,
+    pub(crate) life: IncarnationHash,
     pub(crate) before: Option<Rate>,
     pub(crate) rate: Option<Rate>,
 }
@@ -129,7 +129,7 @@
     /// Takes in what a server's answer says to a request that was sent at `sent_at`; what changed by it.
     pub(crate) fn note(
         &self,
-        life: LifeHash,
+        life: IncarnationHash,
         said: AdvertisedLimit,
         sent_at: Duration,
         now: Duration,
@@ -152,9 +152,9 @@
     /// Lets a belief change, and makes it known if it did.
     fn change(
         &self,
-        life: LifeHash,
+        life: IncarnationHash,
         is_own: bool,
-        take_in: impl FnOnce(&mut LimitBelief) -> Option<Change>,
+        take_in: impl FnOnce(&mut KnownLimit) -> Option<LimitChange>,
     ) -> Option<Changed> {
         let mut inner = self.lock();
         let mut known = inner.servers.get(&life).copied().unwrap_or_default();
@@ -173,7 +173,7 @@
         inner.servers.insert(life, known);
         self.rate_limited.store(inner.rate_limited(), Ordering::Release);
         drop(inner);
-        if change == Change::Urgent {
+        if change == LimitChange::Urgent {
             self.urgent.send_modify(|changes| *changes += 1);
             if is_own {
                 self.own_urgent.send_modify(|changes| *changes += 1);
@@ -204,7 +204,7 @@
         news.sort_unstable_by_key(|(_, known)| known.number);
         let next = news.get(MOST_REPORTED).map_or(inner.next, |(_, known)| known.number);
         news.truncate(MOST_REPORTED);
-        let reported = |(life, known): (&LifeHash, &Known)| {
+        let reported = |(life, known): (&IncarnationHash, &Known)| {
             Some(LimitUpdate::new(*life, known.belief.news()?))
         };
         (news.into_iter().filter_map(reported).collect(), next)
@@ -213,7 +213,7 @@
     /// Part of the state dump.
     pub(crate) fn dump(&self, fleet: &Fleet, now: Duration) -> Value {
         let inner = self.lock();
-        let one = |(life, known): (&LifeHash, &Known)| {
+        let one = |(life, known): (&IncarnationHash, &Known)| {
             let member = fleet.by_life(*life)?;
             let received_ms = now.saturating_sub(known.belief.received_at()).as_millis() as u64;
             Some(json!({
@@ -228,7 +228,7 @@
 
     /// Forgets servers that are long out of view.
     pub(crate) fn forget_gone(&self, fleet: &Fleet, now: Duration) {
-        let is_kept = |life: &LifeHash, known: &mut Known| {
+        let is_kept = |life: &IncarnationHash, known: &mut Known| {
             fleet.by_life(*life).is_some() || now < known.belief.received_at() + REMEMBERED
         };
         let mut inner = self.lock();
@@ -245,7 +245,7 @@
 
 impl LimitView<'_> {
     /// What is known of the limit of one life of a server.
-    pub(crate) fn belief(&self, life: LifeHash) -> LimitBelief {
+    pub(crate) fn belief(&self, life: IncarnationHash) -> KnownLimit {
         self.inner.servers.get(&life).map(|known| known.belief).unwrap_or_default()
     }
 }
--- a/src/router/load_board.rs
+++ b/src/router/load_board.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    policy::place::{Place, Sharer, place_among},
+    policy::place::{ObservedEntry, Place, place_among},
     router::Fleet,
 };
 
@@ -139,10 +139,11 @@
     }
 
     /// The place of an entry that reports here, or of this one, among all.
-    pub(crate) fn place(&self, host: &str, own: Sharer<'_>, now: Duration) -> Option<Place> {
+    pub(crate) fn place(&self, host: &str, own: ObservedEntry<'_>, now: Duration) -> Option<Place> {
         let inner = self.lock();
         let fresh = inner.reports.iter().filter(|(_, report)| report.is_fresh(now));
-        let others = fresh.map(|(host, report)| Sharer { host, is_settled: report.is_settled });
+        let others =
+            fresh.map(|(host, report)| ObservedEntry { host, is_settled: report.is_settled });
         let seen: Vec<_> = others.chain([own]).collect();
         place_among(host, &seen)
     }
--- a/src/router/member.rs
+++ b/src/router/member.rs
@@ -11,15 +11,15 @@
 
 use crate::{
     policy::{
-        announcements::Announced,
+        announcements::Announcements,
         availability::Signals,
         failure_rate::FailureRate,
         kept::{KeptParts, PromptMark},
         load::LoadBelief,
-        outlier::{Outlier, OutlierRules},
+        outlier::{OutlierConfig, OutlierDetector},
         placement::{Candidate, hash_id},
-        quarantine::LifeHash,
-        rate_limit::{Allowance, LimitedSends},
+        quarantine::IncarnationHash,
+        rate_limit::{Allowance, SlidingWindowLog},
         send_window::SendWindow,
     },
     router::{breaks::Breaks, connection::IdleConnection},
@@ -28,12 +28,12 @@
 
 /// Rules by which a server is passed over. Out after two failures in a row: one lost answer is
 /// common here, and a third of a second request's time is too much to wait for a third.
-const OUTLIER_RULES: OutlierRules = OutlierRules {
-    out_after: 2,
-    first_out: Duration::from_millis(500),
-    longest_out: Duration::from_secs(4),
-    back_after: 6,
-    most_out: 0.7,
+const OUTLIER_RULES: OutlierConfig = OutlierConfig {
+    consecutive_failures: 2,
+    base_ejection: Duration::from_millis(500),
+    max_ejection: Duration::from_secs(4),
+    recovery_answers: 6,
+    max_ejected_share: 0.7,
 };
 
 /// Least time between log lines on a header of one server that can't be read: each answer may have it.
@@ -58,7 +58,7 @@
     /// Belief about its load.
     pub(crate) load: LoadBelief,
     /// Its failures in a row.
-    pub(crate) outlier: Outlier,
+    pub(crate) outlier: OutlierDetector,
     /// Its failures of late.
     pub(crate) failures: FailureRate,
     /// Connections that wait for use, the longest idle first.
@@ -74,13 +74,13 @@
     /// Whether another server answered at its address.
     pub(crate) is_replaced: bool,
     /// Sends of this entry while it took few.
-    limited_sends: LimitedSends,
+    limited_sends: SlidingWindowLog,
     /// When it last advertised a limit that could not be read.
     limit_unreadable_at: Option<Duration>,
     /// When it last asked for a pause that could not be read.
     retry_after_unreadable_at: Option<Duration>,
     /// What it has announced in its answers.
-    pub(crate) announced: Announced,
+    pub(crate) announced: Announcements,
     /// How many requests of this entry it may have at once.
     window: SendWindow,
     /// When nobody last listened at its address.
@@ -260,7 +260,7 @@
     }
 
     /// Hash of the server's life.
-    pub(crate) fn life_hash(&self) -> LifeHash {
+    pub(crate) fn life_hash(&self) -> IncarnationHash {
         match self.server.born {
             Some(born) => xxh3_64_with_seed(&born.to_le_bytes(), self.id_hash),
             None => self.id_hash,
--- a/src/router/own_place.rs
+++ b/src/router/own_place.rs
@@ -3,14 +3,14 @@
 use std::{sync::Mutex, time::Duration};
 
 use crate::{
-    policy::place::{Place, PlaceBelief, SETTLES, Sharer},
+    policy::place::{ObservedEntry, Place, PlaceTracker, SETTLE_TIME},
     router::{Router, messages::ReportedPlace},
 };
 
 /// This entry's place among all, as the seeds report it.
 #[derive(Debug, Default)]
 pub(crate) struct OwnPlace {
-    belief: Mutex<PlaceBelief>,
+    belief: Mutex<PlaceTracker>,
 }
 
 impl OwnPlace {
@@ -44,8 +44,12 @@
     /// The place of an entry that reports to this one, or of this one itself.
     pub(crate) fn place_of(&self, host: &str) -> Option<ReportedPlace> {
         let settings = self.settings.load();
-        let own = Sharer { host: &settings.host, is_settled: self.place().is_some() };
+        let own = ObservedEntry { host: &settings.host, is_settled: self.place().is_some() };
         let Place { rank, entries } = self.loads.place(host, own, self.now())?;
-        Some(ReportedPlace { rank, entries, sees_all: self.now() >= self.started_at() + SETTLES })
+        Some(ReportedPlace {
+            rank,
+            entries,
+            sees_all: self.now() >= self.started_at() + SETTLE_TIME,
+        })
     }
 }
--- a/src/router/quarantine.rs
+++ b/src/router/quarantine.rs
@@ -8,7 +8,7 @@
 };
 
 use crate::{
-    policy::quarantine::Standing,
+    policy::quarantine::QuarantineStatus,
     router::{Released, Router, job::Job, quarantine_row::TrialRequest},
     routing::Fingerprint,
     telemetry::event,
@@ -26,22 +26,23 @@
 
 impl Router {
     /// What may be done with a request, by the servers that ended under it.
-    pub(crate) fn standing(&self, job: &Job) -> Standing {
+    pub(crate) fn standing(&self, job: &Job) -> QuarantineStatus {
         if self.quarantine.is_idle() {
-            return Standing::Free;
+            return QuarantineStatus::Free;
         }
         self.quarantine.standing(&job.fingerprint(), self.now())
     }
 
     /// Whether a request reaches no more servers because of those that ended under it.
     pub(crate) fn is_refused(&self, job: &Job) -> bool {
-        !job.is_trial && matches!(self.standing(job), Standing::Refused { .. })
+        !job.is_trial && matches!(self.standing(job), QuarantineStatus::Refused { .. })
     }
 
     /// Whether a refused request gets its trial now, here and nowhere else; the store is asked only when one
     /// is due.
     pub(crate) async fn gets_trial(&self, job: &Job) -> bool {
-        let is_due = self.standing(job) == Standing::Refused { trial_in: Some(Duration::ZERO) };
+        let is_due =
+            self.standing(job) == QuarantineStatus::Refused { trial_in: Some(Duration::ZERO) };
         if !is_due {
             return false;
         }
@@ -75,7 +76,7 @@
 
     /// Notes that a server answered a request whole: it does not end servers.
     pub(crate) fn note_answered_whole(&self, job: &Job) {
-        if self.standing(job) != Standing::Free {
+        if self.standing(job) != QuarantineStatus::Free {
             self.quarantine.clear(job.fingerprint(), self.now());
         }
     }
@@ -83,7 +84,9 @@
     /// When the caller of a refused request may come back.
     pub(crate) fn refused_for(&self, job: &Job) -> Duration {
         match self.standing(job) {
-            Standing::Refused { trial_in: Some(trial_in) } => trial_in.max(LEAST_RETRY_AFTER),
+            QuarantineStatus::Refused { trial_in: Some(trial_in) } => {
+                trial_in.max(LEAST_RETRY_AFTER)
+            }
             _ => REFUSED_FOR_GOOD,
         }
     }
--- a/src/router/quarantine_board.rs
+++ b/src/router/quarantine_board.rs
@@ -17,7 +17,7 @@
 use tokio::sync::watch;
 
 use crate::{
-    policy::quarantine::{Case, LifeHash, Note, Quarantine, Standing},
+    policy::quarantine::{Case, IncarnationHash, Note, Quarantine, QuarantineStatus},
     router::note_log::{NoteLimits, NoteLog},
     routing::Fingerprint,
     telemetry::event,
@@ -34,7 +34,7 @@
 /// A note on its way: fingerprint in two halves, the life, and the age in milliseconds, none where the end is
 /// annulled. Four numbers without names take 32 bytes instead of 70.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct NoteUpdate(u64, u64, LifeHash, Option<u32>);
+pub(crate) struct NoteUpdate(u64, u64, IncarnationHash, Option<u32>);
 
 impl NoteUpdate {
     fn new(note: &Note, now: Duration) -> Self {
@@ -43,7 +43,7 @@
         let Fingerprint(fingerprint) = note.fingerprint();
         let (life, age_ms) = match note {
             Note::End { life, at, .. } => (*life, Some(age_ms(at))),
-            Note::Annulled { life, .. } => (*life, None),
+            Note::Cleared { life, .. } => (*life, None),
         };
         Self((fingerprint >> 64) as u64, fingerprint as u64, life, age_ms)
     }
@@ -53,7 +53,7 @@
         let fingerprint = Fingerprint(u128::from(high) << 64 | u128::from(low));
         match age_ms.map(u64::from).map(Duration::from_millis) {
             Some(age) => Note::End { fingerprint, life, at: now.saturating_sub(age) },
-            None => Note::Annulled { fingerprint, life },
+            None => Note::Cleared { fingerprint, life },
         }
     }
 }
@@ -109,7 +109,7 @@
     }
 
     /// What may be done with a request.
-    pub(crate) fn standing(&self, fingerprint: &Fingerprint, now: Duration) -> Standing {
+    pub(crate) fn standing(&self, fingerprint: &Fingerprint, now: Duration) -> QuarantineStatus {
         self.lock().quarantine.standing(fingerprint, now)
     }
 
@@ -125,14 +125,19 @@
 
     /// Notes that a server ended at a time while these requests were at work there, as its address shows; the
     /// life that ended may be one that the list has not shown yet.
-    pub(crate) fn note_ends(&self, all: &[Fingerprint], listed: LifeHash, at: Duration) {
-        let life = self.lock().quarantine.name_of_end(listed, at);
+    pub(crate) fn note_ends(&self, all: &[Fingerprint], listed: IncarnationHash, at: Duration) {
+        let life = self.lock().quarantine.incarnation_of_end(listed, at);
         self.note_listed_ends(all, life, at);
     }
 
     /// Notes that this life of a server ended at a time while these requests were at work there, as the list
     /// reports. It is the same life for every entry, whenever each of them saw its own connections break.
-    pub(crate) fn note_listed_ends(&self, all: &[Fingerprint], life: LifeHash, at: Duration) {
+    pub(crate) fn note_listed_ends(
+        &self,
+        all: &[Fingerprint],
+        life: IncarnationHash,
+        at: Duration,
+    ) {
         let note = |f: &Fingerprint| Note::End { fingerprint: *f, life, at };
         self.take_in(all.iter().map(note), true, at);
     }
@@ -141,14 +146,14 @@
     /// suspected.
     pub(crate) fn clear(&self, fingerprint: Fingerprint, now: Duration) -> bool {
         let standing = self.standing(&fingerprint, now);
-        if standing == Standing::Free {
+        if standing == QuarantineStatus::Free {
             return false;
         }
-        if matches!(standing, Standing::Refused { .. }) {
+        if matches!(standing, QuarantineStatus::Refused { .. }) {
             self.is_row_stale.store(true, Ordering::Release);
         }
-        let acquittal = self.lock().quarantine.acquittal(fingerprint);
-        self.take_in(acquittal.into_iter(), true, now);
+        let clearing_notes = self.lock().quarantine.clearing_notes(fingerprint);
+        self.take_in(clearing_notes.into_iter(), true, now);
         event::REQUEST_CLEARED.log(format_args!("fingerprint={fingerprint}"));
         true
     }
@@ -235,7 +240,7 @@
     pub(crate) fn begin_trial(&self, fingerprint: &Fingerprint, now: Duration) -> Option<Case> {
         let mut inner = self.lock();
         let standing = inner.quarantine.standing(fingerprint, now);
-        let is_due = standing == Standing::Refused { trial_in: Some(Duration::ZERO) };
+        let is_due = standing == QuarantineStatus::Refused { trial_in: Some(Duration::ZERO) };
         if !is_due {
             return None;
         }
@@ -336,5 +341,5 @@
 }
 
 fn is_refused(quarantine: &Quarantine, fingerprint: &Fingerprint, now: Duration) -> bool {
-    matches!(quarantine.standing(fingerprint, now), Standing::Refused { .. })
+    matches!(quarantine.standing(fingerprint, now), QuarantineStatus::Refused { .. })
 }
--- a/src/router/quarantine_row.rs
+++ b/src/router/quarantine_row.rs
@@ -15,7 +15,7 @@
 use crate::{
     ids::{Era, Revision},
     platform::store::{Put, Row, Rows, StoreClient, Table, WriteOutcome},
-    policy::quarantine::{Case, LifeHash, Standing},
+    policy::quarantine::{Case, IncarnationHash, QuarantineStatus},
     router::Router,
     routing::Fingerprint,
     telemetry::event,
@@ -99,7 +99,7 @@
 
     fn read(&self, doc: &CaseDoc) -> Option<Case> {
         let end = |(life, ms): &(Box<str>, u64)| {
-            Some((LifeHash::from_str_radix(life, 16).ok()?, self.to_own(*ms)))
+            Some((IncarnationHash::from_str_radix(life, 16).ok()?, self.to_own(*ms)))
         };
         Some(Case {
             fingerprint: Fingerprint(u128::from_str_radix(&doc.fingerprint, 16).ok()?),
@@ -124,7 +124,7 @@
     fn holds(&self, case: &Case) -> bool {
         let of_same = self.cases.iter().find(|kept| kept.fingerprint == case.fingerprint);
         of_same.is_some_and(|kept| {
-            let is_kept = |life: &LifeHash| kept.ends.iter().any(|(known, _)| known == life);
+            let is_kept = |life: &IncarnationHash| kept.ends.iter().any(|(known, _)| known == life);
             let is_enough = kept.ends.len() >= MOST_ENDS;
             kept.trials >= case.trials && (is_enough || case.ends.iter().all(|(l, _)| is_kept(l)))
         })
@@ -133,7 +133,7 @@
     /// Whether it holds a case that has been cleared since.
     fn has_cleared(&self, router: &Router) -> bool {
         let standing = |case: &Case| router.quarantine.standing(&case.fingerprint, router.now());
-        self.cases.iter().any(|case| standing(case) == Standing::Free)
+        self.cases.iter().any(|case| standing(case) == QuarantineStatus::Free)
     }
 
     /// Takes in the row as the store has it.
--- a/src/router/refusal.rs
+++ b/src/router/refusal.rs
@@ -4,7 +4,7 @@
 
 use http::{HeaderValue, Response, StatusCode, header};
 
-use crate::{policy::availability::Cause, router::body::AnswerBody};
+use crate::{policy::availability::UnavailableCause, router::body::AnswerBody};
 
 /// Why a request gets no server's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
@@ -44,7 +44,7 @@
     #[error("all its servers are {cause}, back in {retry_after:?}")]
     Unavailable {
         /// Why the first of them that is back is away.
-        cause: Cause,
+        cause: UnavailableCause,
         /// When it can be expected to take it.
         retry_after: Duration,
     },
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -24,7 +24,7 @@
         lifecycle::{self, Lifecycle, LifecycleEvent, LifecycleState},
         overload::{Overload, retry_after},
         stopping::still_fits,
-        windowed_retry_budget::{SendBudget, SendTerms},
+        windowed_retry_budget::{RetryLimits, WindowedRetryBudget},
     },
     router::{
         Fleet, evacuations::Evacuations, kept_board::KeptBoard, limit_board::LimitBoard,
@@ -93,7 +93,7 @@
     pub(crate) link: Link,
     /// Metrics.
     pub metrics: Metrics,
-    pub(super) budgets: Mutex<HashMap<Box<str>, SendBudget>>,
+    pub(super) budgets: Mutex<HashMap<Box<str>, WindowedRetryBudget>>,
     extra_share: Mutex<ExtraShare>,
     overloads: Mutex<HashMap<Box<str>, Overload>>,
     lifecycle: Mutex<Lifecycle>,
@@ -354,12 +354,12 @@
         self.extra_share.lock().expect("no panics under the lock").entries()
     }
 
-    pub(super) fn send_terms(&self) -> SendTerms {
+    pub(super) fn send_terms(&self) -> RetryLimits {
         let settings = self.settings.load();
         let window = settings.retry_window;
         let share = self.extra_share.lock().expect("no panics under the lock");
         let extra = settings.retry_extra * share.part(window, self.now());
-        SendTerms { ratio: settings.retry_ratio, extra, window }
+        RetryLimits { ratio: settings.retry_ratio, extra, window }
     }
 }
 
--- a/src/routing/table.rs
+++ b/src/routing/table.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
-use crate::{ids::Revision, policy::cold_start::ColdTerms};
+use crate::{ids::Revision, policy::cold_start::ColdStartLimit};
 
 /// Name of a region, which has one or more AvailabilityZones.
 pub type Region = Box<str>;
@@ -116,7 +116,7 @@
     /// Tokens that one BackendServer of a service has memory for; none where no model runs.
     pub memories: HashMap<Box<str>, u64>,
     /// What a cold BackendServer of a service takes; none where they start warm.
-    pub cold: HashMap<Box<str>, ColdTerms>,
+    pub cold: HashMap<Box<str>, ColdStartLimit>,
     /// Organisations by key; none where requests need no keys at all.
     pub keys: Option<HashMap<Box<str>, Arc<Organisation>>>,
     /// Limits on callers; none where the operator sets none.
--- a/tests/availability.rs
+++ b/tests/availability.rs
@@ -3,9 +3,11 @@
 use std::time::{Duration, SystemTime};
 
 use mintmoor::policy::{
-    announcements::Announced,
-    availability::{Availability, Cause, RateSignal, Signals, decide, retain_first_tier},
-    retry_after::{LONGEST_PAUSE, RetryAfter},
+    announcements::Announcements,
+    availability::{
+        Availability, RateSignal, Signals, UnavailableCause, decide, retain_first_tier,
+    },
+    retry_after::{MAX_PAUSE, RetryAfter},
 };
 use proptest::prelude::*;
 
@@ -40,10 +42,19 @@
 
     let at = |after: Duration| decide(&signals, NOW + after);
 
-    assert_eq!(at(Duration::ZERO), Availability::LastResort(Cause::Draining));
-    assert_eq!(at(DRAIN / 2 - Duration::from_millis(1)), Availability::LastResort(Cause::Draining));
-    assert_eq!(at(DRAIN / 2), Availability::Closed { cause: Cause::Draining, until: None });
-    assert_eq!(at(60 * DRAIN), Availability::Closed { cause: Cause::Draining, until: None });
+    assert_eq!(at(Duration::ZERO), Availability::LastResort(UnavailableCause::Draining));
+    assert_eq!(
+        at(DRAIN / 2 - Duration::from_millis(1)),
+        Availability::LastResort(UnavailableCause::Draining)
+    );
+    assert_eq!(
+        at(DRAIN / 2),
+        Availability::Closed { cause: UnavailableCause::Draining, until: None }
+    );
+    assert_eq!(
+        at(60 * DRAIN),
+        Availability::Closed { cause: UnavailableCause::Draining, until: None }
+    );
 }
 
 #[test]
@@ -52,9 +63,15 @@
     signals.announced.note_pause(SECOND, NOW + SECOND);
 
     let until = Some(NOW + 3 * SECOND);
-    assert_eq!(decide(&signals, NOW), Availability::Closed { cause: Cause::Paused, until });
+    assert_eq!(
+        decide(&signals, NOW),
+        Availability::Closed { cause: UnavailableCause::Paused, until }
+    );
     let last = NOW + 3 * SECOND - Duration::from_millis(1);
-    assert_eq!(decide(&signals, last), Availability::Closed { cause: Cause::Paused, until });
+    assert_eq!(
+        decide(&signals, last),
+        Availability::Closed { cause: UnavailableCause::Paused, until }
+    );
     assert_eq!(decide(&signals, NOW + 3 * SECOND), Availability::Open);
 }
 
@@ -62,7 +79,7 @@
 fn after_a_pause_the_sends_that_wait_grow_with_the_answers() {
     let mut signals = paused(NOW, SECOND);
     let now = NOW + SECOND;
-    let recovering = Availability::Closed { cause: Cause::Recovering, until: None };
+    let recovering = Availability::Closed { cause: UnavailableCause::Recovering, until: None };
 
     signals.unanswered = 1;
     assert_eq!(decide(&signals, now), recovering);
@@ -93,27 +110,37 @@
     signals.is_ejected = true;
 
     let until = Some(NOW + SECOND);
-    assert_eq!(decide(&signals, NOW), Availability::Closed { cause: Cause::Paused, until });
+    assert_eq!(
+        decide(&signals, NOW),
+        Availability::Closed { cause: UnavailableCause::Paused, until }
+    );
     signals.is_evacuated = true;
     assert_eq!(
         decide(&signals, NOW),
-        Availability::Closed { cause: Cause::Evacuated, until: None }
+        Availability::Closed { cause: UnavailableCause::Evacuated, until: None }
     );
     signals.is_replaced = true;
-    assert_eq!(decide(&signals, NOW), Availability::Closed { cause: Cause::Replaced, until: None });
+    assert_eq!(
+        decide(&signals, NOW),
+        Availability::Closed { cause: UnavailableCause::Replaced, until: None }
+    );
 }
 
 #[test]
 fn a_rate_limit_closes_a_server_until_its_next_send() {
     let with = |rate| decide(&Signals { rate, ..signals() }, NOW);
-    let until = |until| Availability::Closed { cause: Cause::RateLimited, until: Some(until) };
+    let until =
+        |until| Availability::Closed { cause: UnavailableCause::RateLimited, until: Some(until) };
 
     assert_eq!(with(RateSignal::Share(NOW)), Availability::Open);
     assert_eq!(with(RateSignal::Share(NOW + SECOND)), until(NOW + SECOND));
-    assert_eq!(with(RateSignal::LastResort(NOW)), Availability::LastResort(Cause::RateLimited));
+    assert_eq!(
+        with(RateSignal::LastResort(NOW)),
+        Availability::LastResort(UnavailableCause::RateLimited)
+    );
     assert_eq!(with(RateSignal::LastResort(NOW + SECOND)), until(NOW + SECOND));
-    assert_eq!(with(RateSignal::OfOthers(NOW)), until(NOW));
-    assert_eq!(with(RateSignal::OfOthers(NOW + SECOND)), until(NOW + SECOND));
+    assert_eq!(with(RateSignal::NoShare(NOW)), until(NOW));
+    assert_eq!(with(RateSignal::NoShare(NOW + SECOND)), until(NOW + SECOND));
 }
 
 /// The servers that are used, by their numbers.
@@ -125,7 +152,7 @@
 
 #[test]
 fn an_ejected_server_is_left_out_unless_all_are() {
-    let ejected = Availability::LastResort(Cause::Ejected);
+    let ejected = Availability::LastResort(UnavailableCause::Ejected);
 
     assert_eq!(used(&[ejected, Availability::Open, ejected]), [1]);
     assert_eq!(used(&[ejected, ejected]), [0, 1]);
@@ -133,9 +160,9 @@
 
 #[test]
 fn a_draining_server_is_used_after_ejected_ones_and_a_closed_one_never() {
-    let draining = Availability::LastResort(Cause::Draining);
-    let ejected = Availability::LastResort(Cause::Ejected);
-    let closed = Availability::Closed { cause: Cause::Paused, until: None };
+    let draining = Availability::LastResort(UnavailableCause::Draining);
+    let ejected = Availability::LastResort(UnavailableCause::Ejected);
+    let closed = Availability::Closed { cause: UnavailableCause::Paused, until: None };
 
     assert_eq!(used(&[draining, ejected, closed]), [1]);
     assert_eq!(used(&[closed, draining]), [1]);
@@ -145,15 +172,15 @@
 #[test]
 fn a_pause_is_read_as_seconds_or_as_a_date() {
     let now = SystemTime::UNIX_EPOCH + Duration::from_secs(784_111_777);
-    let read = |text| RetryAfter::read(text, now);
+    let read = |text| RetryAfter::parse(text, now);
 
     assert_eq!(read("3"), RetryAfter::After(3 * SECOND));
     assert_eq!(read(" 0.25 "), RetryAfter::After(SECOND / 4));
     assert_eq!(read("0"), RetryAfter::After(Duration::ZERO));
-    assert_eq!(read("1e300"), RetryAfter::After(LONGEST_PAUSE));
+    assert_eq!(read("1e300"), RetryAfter::After(MAX_PAUSE));
     assert_eq!(read("Sun, 06 Nov 1994 08:49:40 GMT"), RetryAfter::After(3 * SECOND));
     assert_eq!(read("Sun, 06 Nov 1994 08:49:30 GMT"), RetryAfter::After(Duration::ZERO));
-    assert_eq!(read("Sat, 06 Nov 2094 08:49:30 GMT"), RetryAfter::After(LONGEST_PAUSE));
+    assert_eq!(read("Sat, 06 Nov 2094 08:49:30 GMT"), RetryAfter::After(MAX_PAUSE));
     for junk in ["", "-1", "NaN", "inf", "-inf", "soon", "3 s", "Sun, 99 Nov 1994"] {
         assert_eq!(read(junk), RetryAfter::Unreadable, "{junk}");
     }
@@ -189,7 +216,7 @@
 proptest! {
     #[test]
     fn nothing_is_sent_while_a_server_drains_or_pauses(answers in answers()) {
-        let (mut announced, mut now) = (Announced::default(), NOW);
+        let (mut announced, mut now) = (Announcements::default(), NOW);
         let (mut drains_since, mut pause_ends) = (None, Duration::ZERO);
         for (after, said) in answers {
             now += Duration::from_millis(after);
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -4,23 +4,24 @@
 
 use mintmoor::policy::{
     extra_share::ExtraShare,
-    windowed_retry_budget::{SendBudget, SendTerms},
+    windowed_retry_budget::{RetryLimits, WindowedRetryBudget},
 };
 
 /// What a deployment of this size allows.
-const TERMS: SendTerms = SendTerms { ratio: 0.9, extra: 104.0, window: Duration::from_secs(10) };
+const TERMS: RetryLimits =
+    RetryLimits { ratio: 0.9, extra: 104.0, window: Duration::from_secs(10) };
 /// Time between two rounds in which callers ask.
 const ROUND: Duration = Duration::from_millis(50);
 
 /// One entry's process as far as the budget goes.
 struct Process {
-    budget: SendBudget,
+    budget: WindowedRetryBudget,
     share: ExtraShare,
 }
 
 impl Process {
     fn start(now: Duration) -> Self {
-        Self { budget: SendBudget::default(), share: ExtraShare::started_at(now) }
+        Self { budget: WindowedRetryBudget::default(), share: ExtraShare::started_at(now) }
     }
 
     /// Lets it know how many entries there are.
@@ -28,8 +29,8 @@
         self.share.note(entries, now);
     }
 
-    fn terms(&self, now: Duration) -> SendTerms {
-        SendTerms { extra: TERMS.extra * self.share.part(TERMS.window, now), ..TERMS }
+    fn terms(&self, now: Duration) -> RetryLimits {
+        RetryLimits { extra: TERMS.extra * self.share.part(TERMS.window, now), ..TERMS }
     }
 
     fn note_request(&mut self, now: Duration) {
--- a/tests/model/availability.rs
+++ b/tests/model/availability.rs
@@ -6,7 +6,7 @@
 };
 
 use mintmoor::policy::{
-    announcements::Announced,
+    announcements::Announcements,
     availability::{Availability, Signals, decide},
 };
 
@@ -58,8 +58,8 @@
 }
 
 /// Production's state of a life from the notices that are remembered of it.
-fn announced(state: &State, mutation: Mutation) -> Announced {
-    let mut announced = Announced::default();
+fn announced(state: &State, mutation: Mutation) -> Announcements {
+    let mut announced = Announcements::default();
     let is_about = |life: u8| life == state.life || mutation == Mutation::LifeIsIgnored;
     let remembered = state.remembered.iter().filter(|(life, _)| is_about(**life));
     for (notice, at) in remembered.flat_map(|(_, received)| received) {
@@ -70,7 +70,7 @@
             }
             Notice::Pause(ticks) => {
                 if mutation == Mutation::ShorterPauseWins {
-                    announced = Announced::default();
+                    announced = Announcements::default();
                 }
                 announced.note_pause(*ticks * TICK, *at * TICK);
             }
--- a/tests/model/quarantine.rs
+++ b/tests/model/quarantine.rs
@@ -7,7 +7,7 @@
 use std::{collections::BTreeSet, time::Duration};
 
 use mintmoor::{
-    policy::quarantine::{LifeHash, Note, Quarantine, Standing},
+    policy::quarantine::{IncarnationHash, Note, Quarantine, QuarantineStatus},
     routing::Fingerprint,
 };
 
@@ -16,7 +16,7 @@
 const GUILTY: Fingerprint = Fingerprint(1);
 const ENTRIES: usize = 2;
 /// Ends after which the model asks no more: three, three again after all were killed, and what crosses news.
-const MOST_ENDS: LifeHash = 7;
+const MOST_ENDS: IncarnationHash = 7;
 const MOST_KILLS: u8 = 2;
 const MOST_LINK_LOSSES: u8 = 1;
 
@@ -29,7 +29,7 @@
     SendsBeforeItIsInformed,
 }
 
-type Lives = BTreeSet<LifeHash>;
+type Lives = BTreeSet<IncarnationHash>;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Entry {
@@ -52,7 +52,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    ends: LifeHash,
+    ends: IncarnationHash,
     entries: [Entry; ENTRIES],
     row: Lives,
     is_store_up: bool,
@@ -85,7 +85,10 @@
         let note = Note::End { fingerprint: GUILTY, life: *life, at: Duration::from_secs(*life) };
         quarantine.note(note, Duration::from_secs(*life));
     }
-    matches!(quarantine.standing(&GUILTY, Duration::from_secs(60)), Standing::Refused { .. })
+    matches!(
+        quarantine.standing(&GUILTY, Duration::from_secs(60)),
+        QuarantineStatus::Refused { .. }
+    )
 }
 
 /// Whether everything that can be told and kept has been, and three ends are known.
--- a/tests/model/rate_limit.rs
+++ b/tests/model/rate_limit.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeSet, time::Duration};
 
 use mintmoor::policy::{
-    known_limit::{LimitBelief, LimitNews},
+    known_limit::{KnownLimit, LimitReport},
     place::Place,
     rate_limit::{AdvertisedLimit, allowance},
 };
@@ -66,19 +66,19 @@
 }
 
 /// Production's belief about a life.
-fn belief(entry: &Entry, life: u8, mutation: Mutation) -> LimitBelief {
-    let mut belief = LimitBelief::default();
+fn belief(entry: &Entry, life: u8, mutation: Mutation) -> KnownLimit {
+    let mut belief = KnownLimit::default();
     let is_about = |of: u8| of == life || mutation == Mutation::LifeIsIgnored;
     for (of, change, rate) in &entry.known {
         if is_about(*of) {
-            let news = LimitNews { change: *change, again: 0, rate: rate.map(f64::from) };
+            let news = LimitReport { change: *change, again: 0, rate: rate.map(f64::from) };
             belief.take_update(news, Duration::ZERO);
         }
     }
     belief
 }
 
-fn word(life: u8, news: LimitNews) -> Word {
+fn word(life: u8, news: LimitReport) -> Word {
     (life, news.change, news.rate.map(|rate| rate as u8))
 }
 
@@ -106,7 +106,7 @@
 
 /// News reaches an entry.
 fn learn(entry: &mut Entry, (life, change, rate): Word, mutation: Mutation) {
-    let news = LimitNews { change, again: 0, rate: rate.map(f64::from) };
+    let news = LimitReport { change, again: 0, rate: rate.map(f64::from) };
     let mut known = belief(entry, life, Mutation::None);
     let is_new = known.take_update(news, Duration::ZERO).is_some();
     if is_new || mutation == Mutation::OldWordWins {
--- a/tests/model/restore.rs
+++ b/tests/model/restore.rs
@@ -6,7 +6,7 @@
 
 use mintmoor::{
     ids::{Era, Revision, StoreVersion},
-    policy::replication::{Offer, Position, Taking},
+    policy::replication::{TablePosition, UpdateAction, UpdateHeader},
 };
 
 use crate::explore::{Found, Step, assert_found, assert_holds, explore};
@@ -59,7 +59,7 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Entry {
-    position: Position,
+    position: TablePosition,
     rows: Rows,
     in_force: u8,
     is_amended: bool,
@@ -87,7 +87,7 @@
 }
 
 /// Takes in rows that are shown, as an entry's feed does.
-fn take(entry: &mut Entry, shown: Rows, offer: Offer, mutation: Mutation) {
+fn take(entry: &mut Entry, shown: Rows, offer: UpdateHeader, mutation: Mutation) {
     let mut position = entry.position;
     let mut seen = offer;
     if mutation == Mutation::ForgetsEras {
@@ -95,18 +95,18 @@
         position.at = position.at.map(|at| StoreVersion { era: 0, ..at });
         position.era = position.era.map(|_| 0);
     }
-    let mut taking = position.taking(&seen);
-    if mutation == Mutation::MixesEras && taking == Taking::Nothing && !offer.is_whole {
-        taking = Taking::Changes;
+    let mut taking = position.action_for(&seen);
+    if mutation == Mutation::MixesEras && taking == UpdateAction::Ignore && !offer.is_whole {
+        taking = UpdateAction::Changes;
     }
     let before = entry.rows;
     match taking {
-        Taking::Nothing => return,
-        Taking::Configuration => {
+        UpdateAction::Ignore => return,
+        UpdateAction::ConfigurationOnly => {
             entry.in_force = entry.in_force.max(shown.configuration.0);
             return;
         }
-        Taking::Changes => {
+        UpdateAction::Changes => {
             let known = entry.position.at.map_or(0, |at| at.revision);
             if shown.configuration.1 > known {
                 entry.rows.configuration = shown.configuration;
@@ -115,12 +115,12 @@
                 entry.rows.other = shown.other;
             }
         }
-        Taking::Whole | Taking::Restored => {
+        UpdateAction::Whole | UpdateAction::Restored => {
             entry.rows = shown;
             entry.is_amended = false;
         }
     }
-    if taking == Taking::Restored
+    if taking == UpdateAction::Restored
         && before.configuration.0 > shown.configuration.0
         && mutation != Mutation::KeepsNothing
     {
@@ -143,7 +143,7 @@
     let [first, second] = state.entries;
     if let Some(version) = first.position.at {
         let mut next = state.clone();
-        let offer = Offer { version, is_whole: true, is_amended: first.is_amended };
+        let offer = UpdateHeader { version, is_whole: true, is_amended: first.is_amended };
         take(&mut next.entries[1], first.rows, offer, mutation);
         let is_behind = next.entries[1].in_force < first.in_force;
         let is_newer = second.position.at.is_some_and(|at| at > version);
@@ -170,7 +170,7 @@
     if is_whole {
         entry.position.at = None;
     }
-    let offer = Offer { version: store.version(), is_whole, is_amended: false };
+    let offer = UpdateHeader { version: store.version(), is_whole, is_amended: false };
     take(entry, store.rows, offer, mutation);
 }
 
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -14,7 +14,7 @@
         reading::ReadingBelief,
         roll_out::{Evidence, Finding, VersionTest},
         stopping::still_fits,
-        windowed_retry_budget::{SendBudget, SendTerms},
+        windowed_retry_budget::{RetryLimits, WindowedRetryBudget},
     },
     resources::Guard,
     router::EventSplitter,
@@ -268,9 +268,9 @@
 const EXTRA: f64 = 52.0;
 const ENTRIES: usize = 8;
 
-fn terms() -> SendTerms {
+fn terms() -> RetryLimits {
     let extra = EXTRA / ENTRIES as f64;
-    SendTerms { ratio: 0.9, extra, window: Duration::from_secs(10) }
+    RetryLimits { ratio: 0.9, extra, window: Duration::from_secs(10) }
 }
 
 proptest! {
@@ -280,7 +280,7 @@
     fn repeats_of_all_entries_stay_within_the_shared_budget(
         steps in prop::collection::vec((0usize..ENTRIES, any::<bool>(), 0u64..400), 1..600),
     ) {
-        let mut entries = vec![SendBudget::default(); ENTRIES];
+        let mut entries = vec![WindowedRetryBudget::default(); ENTRIES];
         let (mut now, mut requests, mut repeats) = (Duration::ZERO, Vec::new(), Vec::new());
         for (entry, is_request, pause) in steps {
             now += Duration::from_millis(pause);
--- a/tests/play/crashing.rs
+++ b/tests/play/crashing.rs
@@ -4,7 +4,7 @@
 use std::{collections::HashSet, time::Duration};
 
 use mintmoor::{
-    policy::quarantine::{Note, Quarantine, Standing},
+    policy::quarantine::{Note, Quarantine, QuarantineStatus},
     routing::Fingerprint,
 };
 use rand::{RngExt, SeedableRng};
@@ -71,16 +71,16 @@
 }
 
 impl Pool {
-    fn standing(&self, fingerprint: Fingerprint, now: u64) -> Standing {
+    fn standing(&self, fingerprint: Fingerprint, now: u64) -> QuarantineStatus {
         if !self.remembers {
-            return Standing::Free;
+            return QuarantineStatus::Free;
         }
         self.quarantine.standing(&fingerprint, at(now))
     }
 
     /// Sends a request to a server, if it is not refused and one is up.
     fn send(&mut self, fingerprint: Fingerprint, sends: u32, now: u64) {
-        if matches!(self.standing(fingerprint, now), Standing::Refused { .. }) {
+        if matches!(self.standing(fingerprint, now), QuarantineStatus::Refused { .. }) {
             self.outcome.refused += usize::from(fingerprint != GUILTY);
             return;
         }
@@ -91,7 +91,9 @@
         }
         let server = match self.standing(fingerprint, now) {
             // By a hash of its own; any will do here.
-            Standing::Suspect => up[(fingerprint.0 as usize * 7 + sends as usize) % up.len()],
+            QuarantineStatus::Suspect => {
+                up[(fingerprint.0 as usize * 7 + sends as usize) % up.len()]
+            }
             _ => up[self.rng.random_range(0..up.len())],
         };
         let lasts = if fingerprint == GUILTY { WAITS + ENDS_AFTER } else { 1_000 };
--- a/tests/play/pauses.rs
+++ b/tests/play/pauses.rs
@@ -7,9 +7,9 @@
 };
 
 use mintmoor::policy::{
-    announcements::Announced,
+    announcements::Announcements,
     availability::{Availability, Signals, decide, retain_first_tier},
-    outlier::{Outlier, OutlierRules},
+    outlier::{OutlierConfig, OutlierDetector},
     send_window::SendWindow,
 };
 use rand::{RngExt, SeedableRng};
@@ -30,12 +30,12 @@
 const ON_THEIR_WAY: Duration = Duration::from_millis(500);
 
 /// Rules by which the entry ejects servers.
-const OUTLIER_RULES: OutlierRules = OutlierRules {
-    out_after: 2,
-    first_out: Duration::from_millis(500),
-    longest_out: Duration::from_secs(4),
-    back_after: 6,
-    most_out: 0.7,
+const OUTLIER_RULES: OutlierConfig = OutlierConfig {
+    consecutive_failures: 2,
+    base_ejection: Duration::from_millis(500),
+    max_ejection: Duration::from_secs(4),
+    recovery_answers: 6,
+    max_ejected_share: 0.7,
 };
 
 /// What keeps an entry's requests from a server.
@@ -52,8 +52,8 @@
 /// A server as one entry knows it.
 #[derive(Default)]
 struct View {
-    announced: Announced,
-    outlier: Outlier,
+    announced: Announcements,
+    outlier: OutlierDetector,
     window: SendWindow,
     /// When the entry's requests there end.
     own: BinaryHeap<Reverse<Duration>>,
@@ -178,14 +178,14 @@
 fn a_window_is_forgotten_half_a_minute_after_the_last_rejection() {
     let mut window = SendWindow::default();
     let now = Duration::from_secs(1);
-    assert!(window.allows_one_beside(1_000, now));
+    assert!(window.allows_another(1_000, now));
 
     window.note_rejection(10, now);
 
-    assert!(window.allows_one_beside(8, now));
-    assert!(!window.allows_one_beside(9, now));
+    assert!(window.allows_another(8, now));
+    assert!(!window.allows_another(9, now));
     (0..160).for_each(|_| window.note_answer());
-    assert!(window.allows_one_beside(9, now), "it grows with the answers");
-    assert!(!window.allows_one_beside(100, now + Duration::from_secs(29)));
-    assert!(window.allows_one_beside(100, now + Duration::from_secs(30)));
+    assert!(window.allows_another(9, now), "it grows with the answers");
+    assert!(!window.allows_another(100, now + Duration::from_secs(29)));
+    assert!(window.allows_another(100, now + Duration::from_secs(30)));
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -12,10 +12,10 @@
     policy::{
         cascade::{Estimates, StageOutlook, expected_cost, is_good_enough, start_stage},
         choice::{Pool, ServerLoad, choose, time_to_first_token},
-        concurrency_limit::AdaptiveLimit,
+        concurrency_limit::AdaptiveConcurrencyLimit,
         fair_queue::{FairQueue, Waiting},
         lifecycle::{self, LifecycleEvent, LifecycleState},
-        outlier::{Outlier, OutlierRules, respects_out},
+        outlier::{OutlierConfig, OutlierDetector, honors_ejection},
         retry::RetryBudget,
         roll_out::{
             Evidence, Finding, GuardStep, VersionTest, apply_step, guard_step, takes_new_version,
@@ -166,7 +166,7 @@
 
 #[test]
 fn the_limit_gives_way_to_slow_tokens_and_comes_back() {
-    let mut limit = AdaptiveLimit::new(32, Duration::from_millis(80));
+    let mut limit = AdaptiveConcurrencyLimit::new(32, Duration::from_millis(80));
     for _ in 0..20 {
         limit.observe(Duration::from_millis(200));
     }
@@ -180,7 +180,7 @@
 
 #[test]
 fn the_limit_never_reaches_zero() {
-    let mut limit = AdaptiveLimit::new(4, Duration::from_millis(80));
+    let mut limit = AdaptiveConcurrencyLimit::new(4, Duration::from_millis(80));
     for _ in 0..1_000 {
         limit.observe(Duration::from_secs(1));
     }
@@ -189,20 +189,20 @@
 
 #[test]
 fn a_failing_server_stays_out_longer_each_time_and_comes_back_on_trial() {
-    let rules = OutlierRules::default();
-    let mut server = Outlier::default();
+    let rules = OutlierConfig::default();
+    let mut server = OutlierDetector::default();
     let mut now = Duration::from_secs(1);
-    for _ in 0..rules.out_after {
+    for _ in 0..rules.consecutive_failures {
         server.note_failure(&rules, now);
     }
     assert!(server.is_out(now));
-    now += rules.first_out;
+    now += rules.base_ejection;
     assert!(!server.is_passed_over(now), "back for a trial");
     server.note_chosen(now);
     assert!(server.is_passed_over(now), "one request at a time");
     server.note_failure(&rules, now);
-    assert!(server.is_out(now + rules.first_out), "out for longer the second time");
-    now += rules.first_out * 2;
+    assert!(server.is_out(now + rules.base_ejection), "out for longer the second time");
+    now += rules.base_ejection * 2;
     server.note_chosen(now);
     server.note_answer(&rules);
     assert!(!server.is_passed_over(now));
@@ -210,11 +210,11 @@
 
 #[test]
 fn the_last_server_is_never_out() {
-    let rules = OutlierRules::default();
-    assert!(!respects_out(1, 1, &rules));
-    assert!(!respects_out(8, 8, &rules));
-    assert!(!respects_out(5, 8, &rules), "not more than the share that may be out");
-    assert!(respects_out(1, 8, &rules));
+    let rules = OutlierConfig::default();
+    assert!(!honors_ejection(1, 1, &rules));
+    assert!(!honors_ejection(8, 8, &rules));
+    assert!(!honors_ejection(5, 8, &rules), "not more than the share that may be out");
+    assert!(honors_ejection(1, 8, &rules));
 }
 
 /// Finding after one look at the evidence.
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -3,7 +3,7 @@
 use std::{collections::HashSet, time::Duration};
 
 use mintmoor::{
-    policy::quarantine::{LifeHash, Note, Quarantine, REFUSED_AFTER, Standing},
+    policy::quarantine::{IncarnationHash, Note, Quarantine, QuarantineStatus, REFUSED_AFTER},
     routing::Fingerprint,
 };
 use proptest::prelude::*;
@@ -17,7 +17,7 @@
     Duration::from_millis(ms)
 }
 
-fn end(fingerprint: Fingerprint, life: LifeHash, at_ms: u64) -> Note {
+fn end(fingerprint: Fingerprint, life: IncarnationHash, at_ms: u64) -> Note {
     Note::End { fingerprint, life, at: START + ms(at_ms) }
 }
 
@@ -31,15 +31,15 @@
 
 fn is_refused(quarantine: &Quarantine, fingerprint: Fingerprint) -> bool {
     let standing = quarantine.standing(&fingerprint, START + ms(60_000));
-    matches!(standing, Standing::Refused { .. })
+    matches!(standing, QuarantineStatus::Refused { .. })
 }
 
 #[test]
 fn a_request_is_refused_from_the_third_end_on() {
     let ends: Vec<Note> = (0..3).map(|i| end(GUILTY, i, i * 1_000)).collect();
 
-    assert_eq!(with([]).standing(&GUILTY, START), Standing::Free);
-    assert_eq!(with(ends[..2].to_vec()).standing(&GUILTY, START), Standing::Suspect);
+    assert_eq!(with([]).standing(&GUILTY, START), QuarantineStatus::Free);
+    assert_eq!(with(ends[..2].to_vec()).standing(&GUILTY, START), QuarantineStatus::Suspect);
     assert!(is_refused(&with(ends), GUILTY));
 }
 
@@ -47,23 +47,23 @@
 fn one_end_told_by_many_counts_once() {
     let ends = (0..20).map(|i| end(GUILTY, 7, i * 1_000));
 
-    assert_eq!(with(ends).standing(&GUILTY, START), Standing::Suspect);
+    assert_eq!(with(ends).standing(&GUILTY, START), QuarantineStatus::Suspect);
 }
 
 #[test]
 fn a_whole_answer_clears_it_for_good() {
     let mut quarantine = with((0..3).map(|i| end(GUILTY, i, i * 1_000)));
 
-    for note in quarantine.acquittal(GUILTY) {
+    for note in quarantine.clearing_notes(GUILTY) {
         assert!(quarantine.note(note, START));
     }
 
-    assert_eq!(quarantine.standing(&GUILTY, START), Standing::Free);
+    assert_eq!(quarantine.standing(&GUILTY, START), QuarantineStatus::Free);
     assert!(
         !quarantine.note(end(GUILTY, 2, 2_000), START),
         "told once more by one who has not heard"
     );
-    assert_eq!(quarantine.standing(&GUILTY, START), Standing::Free);
+    assert_eq!(quarantine.standing(&GUILTY, START), QuarantineStatus::Free);
 }
 
 /// A server was back and ended again before the list told of its next life; each end was seen by an entry that
@@ -96,7 +96,7 @@
 
     let quarantine = with(popular.chain([other]));
 
-    assert_eq!(quarantine.standing(&Fingerprint(2), START), Standing::Suspect);
+    assert_eq!(quarantine.standing(&Fingerprint(2), START), QuarantineStatus::Suspect);
 }
 
 /// The same request under way three times ends three servers at once, and no other server ends.
@@ -129,7 +129,7 @@
 fn trials_are_two_and_further_and_further_apart() {
     let mut quarantine = with((0..3).map(|i| end(GUILTY, i, i)));
     let trial_in = |quarantine: &Quarantine, now| match quarantine.standing(&GUILTY, now) {
-        Standing::Refused { trial_in } => trial_in,
+        QuarantineStatus::Refused { trial_in } => trial_in,
         standing => panic!("{standing:?}"),
     };
 
@@ -151,7 +151,7 @@
     let both = (0..3).flat_map(|i| [end(GUILTY, i, i * 400), end(popular, i, i * 400)]);
     let mut quarantine = with(both);
     let trial_in = |quarantine: &Quarantine, now| match quarantine.standing(&popular, now) {
-        Standing::Refused { trial_in } => trial_in.unwrap(),
+        QuarantineStatus::Refused { trial_in } => trial_in.unwrap(),
         standing => panic!("{standing:?}"),
     };
 
@@ -169,7 +169,7 @@
 fn so_is_one_that_servers_have_answered_whole() {
     let popular = Fingerprint(2);
     let mut quarantine = with([end(popular, 1, 0)]);
-    for note in quarantine.acquittal(popular) {
+    for note in quarantine.clearing_notes(popular) {
         quarantine.note(note, START + ms(500));
     }
 
@@ -178,7 +178,7 @@
     }
 
     let standing = quarantine.standing(&popular, START + ms(1_800));
-    let Standing::Refused { trial_in: Some(trial_in) } = standing else {
+    let QuarantineStatus::Refused { trial_in: Some(trial_in) } = standing else {
         panic!("{standing:?}");
     };
     assert!(trial_in <= ms(2_500), "{trial_in:?}");
@@ -224,11 +224,11 @@
     let about = (0u128..4, 0u64..8);
     prop_oneof![
         4 => about.clone().prop_map(|(f, life)| end(Fingerprint(f), life, life * 150)),
-        1 => about.prop_map(|(f, life)| Note::Annulled { fingerprint: Fingerprint(f), life }),
+        1 => about.prop_map(|(f, life)| Note::Cleared { fingerprint: Fingerprint(f), life }),
     ]
 }
 
-fn standings(quarantine: &Quarantine) -> Vec<Standing> {
+fn standings(quarantine: &Quarantine) -> Vec<QuarantineStatus> {
     (0..4).map(|f| quarantine.standing(&Fingerprint(f), START + ms(60_000))).collect()
 }
 
@@ -312,7 +312,7 @@
         }
         while fleet.exchange_notes(&mut rng) {}
         let clearing = rng.random_range(0..entries);
-        for note in fleet.entries[clearing].acquittal(Fingerprint(0)) {
+        for note in fleet.entries[clearing].clearing_notes(Fingerprint(0)) {
             fleet.see(clearing, note);
         }
 
@@ -322,7 +322,7 @@
             assert!(rounds < 5, "it never comes to rest");
         }
 
-        let free = |q: &Quarantine| q.standing(&Fingerprint(0), START) == Standing::Free;
+        let free = |q: &Quarantine| q.standing(&Fingerprint(0), START) == QuarantineStatus::Free;
         let refused = |q: &Quarantine| (1..3).all(|f| is_refused(q, Fingerprint(f)));
         assert!(fleet.entries.iter().all(|q| free(q) && refused(q)), "{entries} entries");
         // Each note crosses each link between a seed and an entry twice at most.
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -4,9 +4,12 @@
 use std::time::Duration;
 
 use mintmoor::policy::{
-    known_limit::{Change, LimitBelief, LimitNews},
+    known_limit::{KnownLimit, LimitChange, LimitReport},
     place::Place,
-    rate_limit::{AdvertisedLimit, Allowance, LEAST_NAMED, LimitedSends, allowance, stand_in},
+    rate_limit::{
+        AdvertisedLimit, Allowance, MIN_ADVERTISED_RATE, SlidingWindowLog, allowance,
+        probe_allowance,
+    },
 };
 
 fn ms(ms: u64) -> Duration {
@@ -18,8 +21,8 @@
 }
 
 /// A belief that heard this limit from the server itself at one second.
-fn heard(rate: f64) -> LimitBelief {
-    let mut belief = LimitBelief::default();
+fn heard(rate: f64) -> KnownLimit {
+    let mut belief = KnownLimit::default();
     belief.note(named(rate), ms(900), ms(1_000));
     belief
 }
@@ -32,19 +35,22 @@
     assert_eq!(belief.rate(), Some(1.9));
     assert_eq!(belief.note(AdvertisedLimit::Unreadable, ms(1_100), ms(1_200)), None);
     assert_eq!(belief.rate(), Some(1.9));
-    assert_eq!(belief.note(AdvertisedLimit::Nothing, ms(1_100), ms(1_200)), Some(Change::Calm));
+    assert_eq!(
+        belief.note(AdvertisedLimit::Nothing, ms(1_100), ms(1_200)),
+        Some(LimitChange::Deferrable)
+    );
     assert_eq!(belief.rate(), None);
 }
 
 #[test]
 fn a_limit_that_falls_is_told_at_once_and_one_that_wavers_or_rises_later() {
-    let mut belief = LimitBelief::default();
+    let mut belief = KnownLimit::default();
 
-    assert_eq!(belief.note(named(5.0), ms(0), ms(10)), Some(Change::Urgent));
-    assert_eq!(belief.note(named(4.9), ms(20), ms(30)), Some(Change::Calm));
-    assert_eq!(belief.note(named(3.5), ms(32), ms(34)), Some(Change::Calm));
-    assert_eq!(belief.note(named(1.0), ms(40), ms(50)), Some(Change::Urgent));
-    assert_eq!(belief.note(named(3.0), ms(60), ms(70)), Some(Change::Calm));
+    assert_eq!(belief.note(named(5.0), ms(0), ms(10)), Some(LimitChange::Urgent));
+    assert_eq!(belief.note(named(4.9), ms(20), ms(30)), Some(LimitChange::Deferrable));
+    assert_eq!(belief.note(named(3.5), ms(32), ms(34)), Some(LimitChange::Deferrable));
+    assert_eq!(belief.note(named(1.0), ms(40), ms(50)), Some(LimitChange::Urgent));
+    assert_eq!(belief.note(named(3.0), ms(60), ms(70)), Some(LimitChange::Deferrable));
     assert_eq!(belief.rate(), Some(3.0));
 }
 
@@ -60,7 +66,7 @@
 /// A server that takes nothing is asked now and then whether it still does.
 #[test]
 fn no_limit_rests_a_server_for_good() {
-    assert_eq!(heard(0.0).rate(), Some(LEAST_NAMED));
+    assert_eq!(heard(0.0).rate(), Some(MIN_ADVERTISED_RATE));
 }
 
 #[test]
@@ -71,7 +77,7 @@
     let news = [first.news().unwrap(), second.news().unwrap()];
 
     for order in [[0, 1], [1, 0]] {
-        let mut other = LimitBelief::default();
+        let mut other = KnownLimit::default();
         for i in order {
             other.take_update(news[i], ms(5_000));
         }
@@ -93,12 +99,12 @@
 /// Seeds pass on what they are told, also to each other.
 #[test]
 fn news_does_not_go_round() {
-    let mut beliefs = [heard(1.9), LimitBelief::default()];
+    let mut beliefs = [heard(1.9), KnownLimit::default()];
     let mut passed_on = 0;
 
     for turn in 0..20 {
         let (from, to) = (turn % 2, (turn + 1) % 2);
-        let news: LimitNews = beliefs[from].news().unwrap();
+        let news: LimitReport = beliefs[from].news().unwrap();
         let now = ms(2_000 + turn as u64);
         passed_on += usize::from(beliefs[to].take_update(news, now).is_some());
     }
@@ -120,7 +126,7 @@
             let lasts = Duration::from_secs_f64(30.0 + 10.0 / rate);
             let places = (0..entries).map(|rank| Place { rank, entries });
             let allowances: Vec<_> = places.filter_map(|p| allowance(rate, p, 1 << 60)).collect();
-            let mut logs = vec![LimitedSends::default(); allowances.len()];
+            let mut logs = vec![SlidingWindowLog::default(); allowances.len()];
             let mut sends = Vec::new();
 
             let mut now = Duration::ZERO;
@@ -152,7 +158,7 @@
         let mut stood_in = vec![false; places.len()];
         for tenth in 0..5_000 {
             let silent_for = ms(100 * tenth);
-            let stand_ins = |p: &Place| stand_in(rate, *p, server, silent_for).is_some();
+            let stand_ins = |p: &Place| probe_allowance(rate, *p, server, silent_for).is_some();
             let now: Vec<usize> = (0..places.len()).filter(|i| stand_ins(&places[*i])).collect();
             let is_quiet = silent_for >= ms(5_000);
             assert!(
@@ -171,7 +177,7 @@
 fn entries_that_do_not_know_their_places_send_no_more_together_than_a_server_takes() {
     for entries in [1, 4, 21, 360] {
         for rate in [0.05, 0.3, 1.9, 18.0] {
-            let least = Allowance::least(rate, entries);
+            let least = Allowance::minimum(rate, entries);
             let all = f64::from(entries * least.sends) / least.window.as_secs_f64();
             assert!(all <= rate * 1.001, "{entries} entries send {all} of {rate}");
             assert!(least.window >= Duration::from_secs(1));
--- a/tests/sharing.rs
+++ b/tests/sharing.rs
@@ -3,8 +3,8 @@
 use std::{collections::VecDeque, time::Duration};
 
 use mintmoor::policy::{
-    place::{Place, PlaceBelief, Sharer, place_among},
-    rate_limit::{LimitedSends, Rate, allowance},
+    place::{ObservedEntry, Place, PlaceTracker, place_among},
+    rate_limit::{Rate, SlidingWindowLog, allowance},
 };
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -30,8 +30,8 @@
     /// How late it hears who is there.
     lag: Duration,
     hears_at: Duration,
-    belief: PlaceBelief,
-    sends: LimitedSends,
+    belief: PlaceTracker,
+    sends: SlidingWindowLog,
 }
 
 impl Entry {
@@ -41,8 +41,8 @@
             is_up: true,
             lag: Duration::from_millis(rng.random_range(200..2_000)),
             hears_at: Duration::ZERO,
-            belief: PlaceBelief::default(),
-            sends: LimitedSends::default(),
+            belief: PlaceTracker::default(),
+            sends: SlidingWindowLog::default(),
         }
     }
 }
@@ -51,7 +51,8 @@
 type Seen = Vec<(String, bool)>;
 
 fn place_of(host: &str, seen: &Seen) -> Option<Place> {
-    let sharers = seen.iter().map(|(host, is_settled)| Sharer { host, is_settled: *is_settled });
+    let sharers =
+        seen.iter().map(|(host, is_settled)| ObservedEntry { host, is_settled: *is_settled });
     place_among(host, &sharers.collect::<Vec<_>>())
 }
 
@@ -218,7 +219,7 @@
 /// Half of the entries no longer hear of the other half.
 #[test]
 fn sides_that_lose_each_other_do_not_each_take_all() {
-    let mut belief = PlaceBelief::default();
+    let mut belief = PlaceTracker::default();
     belief.note(Place { rank: 2, entries: 21 }, true, Duration::ZERO);
     belief.note(Place { rank: 0, entries: 1 }, true, SECOND);
     belief.note(Place { rank: 0, entries: 1 }, true, SECOND * 50);
@@ -230,7 +231,7 @@
 
 #[test]
 fn fewer_count_once_most_of_all_have_been_told_of_for_a_second() {
-    let mut belief = PlaceBelief::default();
+    let mut belief = PlaceTracker::default();
     let all = Place { rank: 2, entries: 5 };
     belief.note(all, true, Duration::ZERO);
     let fewer = Place { rank: 1, entries: 4 };
@@ -247,7 +248,7 @@
 /// It hears from the entries one after the other, from the last of them after two seconds.
 #[test]
 fn a_seed_that_has_just_started_takes_nobody_away() {
-    let mut belief = PlaceBelief::default();
+    let mut belief = PlaceTracker::default();
     let all = Place { rank: 2, entries: 5 };
     belief.note(all, true, Duration::ZERO);
 
@@ -260,7 +261,7 @@
 
 #[test]
 fn an_entry_that_is_not_settled_has_no_turn_unless_many_are_not() {
-    let sharer = |host, is_settled| Sharer { host, is_settled };
+    let sharer = |host, is_settled| ObservedEntry { host, is_settled };
     let [a, d] = ["a", "d"].map(|host| sharer(host, true));
     let one_new = [a, sharer("b", false), sharer("c", true), d];
     let two_new = [a, sharer("b", false), sharer("c", false), d];
