--- a/src/entry/link.rs
+++ b/src/entry/link.rs
@@ -179,12 +179,12 @@
 
     /// Whether the server is out of the choice now.
     pub(crate) fn is_out(&self, now: Duration) -> bool {
-        self.lock().outlier.is_out(now)
+        self.lock().outlier.is_ejected(now)
     }
 
     /// Whether the server should be passed over: out, or on trial with a request under way.
     pub(crate) fn is_passed_over(&self, now: Duration) -> bool {
-        self.lock().outlier.is_passed_over(now)
+        self.lock().outlier.should_skip(now)
     }
 
     /// Notes that the server was chosen, which begins its trial if it is on one.
--- a/src/platform/documents.rs
+++ b/src/platform/documents.rs
@@ -69,9 +69,9 @@
 
 impl ServiceDoc {
     fn cold(&self) -> Option<ColdStartLimit> {
-        let lasts = milliseconds((self.cold_start_s * 1e3).min(MOST_COLD_MS));
+        let duration = milliseconds((self.cold_start_s * 1e3).min(MOST_COLD_MS));
         (self.cold_per_s > 0.0)
-            .then_some(ColdStartLimit { sends_per_second: self.cold_per_s, lasts })
+            .then_some(ColdStartLimit { sends_per_second: self.cold_per_s, duration })
     }
 }
 
--- a/src/policy/announcements.rs
+++ b/src/policy/announcements.rs
@@ -66,7 +66,7 @@
     }
 
     /// Answers since the last pause, so many of which may be waited for at once and one more.
-    pub fn answered(&self) -> u32 {
+    pub fn answers_since_pause(&self) -> u32 {
         self.answered
     }
 }
--- a/src/policy/availability.rs
+++ b/src/policy/availability.rs
@@ -112,7 +112,7 @@
     /// Requests of this entry that it has not begun to answer.
     pub unanswered: u32,
     /// Requests of this entry that it has.
-    pub at_server: u32,
+    pub in_flight: u32,
     /// How many it may have.
     pub window: SendWindow,
     /// Limit on the rate of sends.
@@ -139,10 +139,10 @@
     if announced.is_paused(now) {
         return closed(UnavailableCause::Paused, Some(announced.paused_until()));
     }
-    if announced.is_recovering(now) && signals.unanswered > announced.answered() {
+    if announced.is_recovering(now) && signals.unanswered > announced.answers_since_pause() {
         return closed(UnavailableCause::Recovering, None);
     }
-    if !signals.window.allows_another(signals.at_server, now) {
+    if !signals.window.allows_another(signals.in_flight, now) {
         return closed(UnavailableCause::Full, None);
     }
     match signals.rate {
--- a/src/policy/cold_start.rs
+++ b/src/policy/cold_start.rs
@@ -8,5 +8,5 @@
     /// Sends a second, over all entries.
     pub sends_per_second: f64,
     /// How long a server is cold after its start.
-    pub lasts: Duration,
+    pub duration: Duration,
 }
--- a/src/policy/extra_share.rs
+++ b/src/policy/extra_share.rs
@@ -51,7 +51,7 @@
     }
 
     /// The part of the extra that this entry may use, 0 to 1; `window` is what the extra is counted in.
-    pub fn part(&self, window: Duration, now: Duration) -> f64 {
+    pub fn fraction(&self, window: Duration, now: Duration) -> f64 {
         // An entry that lost touch before this process started uses its larger part for a while still.
         let is_new = now < self.started + window + REPORT_LASTS;
         let is_current = self.received_at.is_some_and(|at| now < at + REPORT_LASTS);
--- a/src/policy/known_limit.rs
+++ b/src/policy/known_limit.rs
@@ -20,9 +20,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitReport {
     /// Counts the changes.
-    pub change: u32,
+    pub changes: u32,
     /// Counts how often it was received again since the last change.
-    pub again: u32,
+    pub repeats: u32,
     /// Requests a second over all entries; none where it advertises no limit any more.
     pub rate: Option<Rate>,
 }
@@ -31,8 +31,8 @@
     /// Whether this is newer than what is known. Of two changes that were received at the same time the smaller limit
     /// holds: the server's next answer settles it, and until then it gets too little rather than too much.
     pub fn is_newer_than(&self, known: &Self) -> bool {
-        if self.change != known.change || self.rate == known.rate {
-            return (self.change, self.again) > (known.change, known.again);
+        if self.changes != known.changes || self.rate == known.rate {
+            return (self.changes, self.repeats) > (known.changes, known.repeats);
         }
         self.rate.unwrap_or(Rate::INFINITY) < known.rate.unwrap_or(Rate::INFINITY)
     }
@@ -65,7 +65,7 @@
     }
 
     /// What is known, as it is reported.
-    pub fn news(&self) -> Option<LimitReport> {
+    pub fn report(&self) -> Option<LimitReport> {
         self.news
     }
 
@@ -91,17 +91,17 @@
             }
             AdvertisedLimit::Nothing | AdvertisedLimit::Unreadable => return None,
         };
-        let known = self.news.unwrap_or(LimitReport { change: 0, again: 0, rate: None });
+        let known = self.news.unwrap_or(LimitReport { changes: 0, repeats: 0, rate: None });
         if rate != known.rate {
-            let news = LimitReport { change: known.change.saturating_add(1), again: 0, rate };
+            let news = LimitReport { changes: known.changes.saturating_add(1), repeats: 0, rate };
             return Some(self.put(news, now));
         }
         self.received_at = now;
         if now < self.reported_at + REPEATED_AFTER {
             return None;
         }
-        let again = known.again.saturating_add(1);
-        Some(self.put(LimitReport { again, ..known }, now))
+        let repeats = known.repeats.saturating_add(1);
+        Some(self.put(LimitReport { repeats, ..known }, now))
     }
 
     /// Takes in what another entry reports; gives what there is to pass on.
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -92,18 +92,18 @@
     }
 
     /// Whether the server is out now.
-    pub fn is_out(&self, now: Duration) -> bool {
+    pub fn is_ejected(&self, now: Duration) -> bool {
         now < self.out_until
     }
 
     /// Whether the server should be passed over: out, or on trial with a request under way.
-    pub fn is_passed_over(&self, now: Duration) -> bool {
-        self.is_out(now) || (self.is_on_trial() && self.trying)
+    pub fn should_skip(&self, now: Duration) -> bool {
+        self.is_ejected(now) || (self.is_on_trial() && self.trying)
     }
 
     /// Notes that the server was chosen, which begins its trial if it is on one.
     pub fn note_chosen(&mut self, now: Duration) {
-        if !self.is_out(now) && self.is_on_trial() {
+        if !self.is_ejected(now) && self.is_on_trial() {
             self.trying = true;
         }
     }
--- a/src/policy/quarantine.rs
+++ b/src/policy/quarantine.rs
@@ -18,7 +18,7 @@
 
 use crate::routing::Fingerprint;
 
-/// One life of one server, hashed.
+/// One incarnation of one server, hashed.
 pub type IncarnationHash = u64;
 
 /// Ends of servers at which a request has to have been at work to be refused. With two, a request beside
@@ -53,12 +53,12 @@
 /// What is known of one request, as entries report it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Note {
-    /// A server's life ended while the request was at work there.
+    /// A server's incarnation ended while the request was at work there.
     End {
         /// The request.
         fingerprint: Fingerprint,
-        /// The life that ended.
-        life: IncarnationHash,
+        /// The incarnation that ended.
+        incarnation: IncarnationHash,
         /// When, on the clock of whoever holds the note.
         at: Duration,
     },
@@ -68,8 +68,8 @@
     Cleared {
         /// The request.
         fingerprint: Fingerprint,
-        /// The life that ended.
-        life: IncarnationHash,
+        /// The incarnation that ended.
+        incarnation: IncarnationHash,
     },
 }
 
@@ -98,9 +98,9 @@
 /// The end of a server under a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct End {
-    life: IncarnationHash,
+    incarnation: IncarnationHash,
     at: Duration,
-    is_annulled: bool,
+    is_cleared: bool,
 }
 
 /// What is known of one request.
@@ -114,14 +114,14 @@
 
 impl Known {
     /// Takes an end in; whether that is new.
-    fn note(&mut self, life: IncarnationHash, at: Duration, is_annulled: bool) -> bool {
-        if let Some(end) = self.ends.iter_mut().find(|end| end.life == life) {
-            let is_new = is_annulled && !end.is_annulled;
-            end.is_annulled |= is_annulled;
+    fn note(&mut self, incarnation: IncarnationHash, at: Duration, is_cleared: bool) -> bool {
+        if let Some(end) = self.ends.iter_mut().find(|end| end.incarnation == incarnation) {
+            let is_new = is_cleared && !end.is_cleared;
+            end.is_cleared |= is_cleared;
             return is_new;
         }
-        let place = self.ends.partition_point(|end| (end.at, end.life) < (at, life));
-        self.ends.insert(place, End { life, at, is_annulled });
+        let place = self.ends.partition_point(|end| (end.at, end.incarnation) < (at, incarnation));
+        self.ends.insert(place, End { incarnation, at, is_cleared });
         if self.ends.len() > MOST_ENDS {
             self.ends.remove(0);
         }
@@ -130,20 +130,20 @@
 
     /// The ends that speak against it.
     fn counted(&self) -> impl Iterator<Item = (IncarnationHash, Duration)> {
-        self.ends.iter().filter(|end| !end.is_annulled).map(|end| (end.life, end.at))
+        self.ends.iter().filter(|end| !end.is_cleared).map(|end| (end.incarnation, end.at))
     }
 
     /// Whether an end was annulled: a server answered it whole, or an operator let it go.
     fn was_cleared(&self) -> bool {
-        self.ends.iter().any(|end| end.is_annulled)
+        self.ends.iter().any(|end| end.is_cleared)
     }
 
     fn last(&self) -> Duration {
         self.ends.last().map_or(Duration::ZERO, |end| end.at).max(self.tried_at)
     }
 
-    fn was_at(&self, life: IncarnationHash) -> bool {
-        self.ends.iter().any(|end| end.life == life)
+    fn was_at(&self, incarnation: IncarnationHash) -> bool {
+        self.ends.iter().any(|end| end.incarnation == incarnation)
     }
 
     /// Whether it may be refused; the least that is known decides what is forgotten.
@@ -152,7 +152,7 @@
     }
 }
 
-/// The name of the life after this one where the list shows neither.
+/// The name of the incarnation after this one where the list shows neither.
 fn next_name(name: IncarnationHash, listed: IncarnationHash) -> IncarnationHash {
     xxh3_64_with_seed(&name.to_le_bytes(), listed)
 }
@@ -174,8 +174,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     known: HashMap<Fingerprint, Known>,
-    /// When each life ended.
-    lives: HashMap<IncarnationHash, Duration>,
+    /// When each incarnation ended.
+    ended_at: HashMap<IncarnationHash, Duration>,
 }
 
 impl Quarantine {
@@ -187,36 +187,37 @@
     /// Takes a note in; whether it says something new.
     pub fn note(&mut self, note: Note, now: Duration) -> bool {
         match note {
-            Note::End { fingerprint, life, at } => {
+            Note::End { fingerprint, incarnation, at } => {
                 self.make_room(&fingerprint);
-                let is_new = self.known.entry(fingerprint).or_default().note(life, at, false);
-                let ended_at = self.lives.entry(life).or_insert(at);
+                let is_new =
+                    self.known.entry(fingerprint).or_default().note(incarnation, at, false);
+                let ended_at = self.ended_at.entry(incarnation).or_insert(at);
                 *ended_at = (*ended_at).min(at);
                 is_new
             }
-            Note::Cleared { fingerprint, life } => {
+            Note::Cleared { fingerprint, incarnation } => {
                 self.make_room(&fingerprint);
-                self.known.entry(fingerprint).or_default().note(life, now, true)
+                self.known.entry(fingerprint).or_default().note(incarnation, now, true)
             }
         }
     }
 
-    /// The name of a life that ended now. A server may be back, and end again, before the list shows its next
-    /// life: an end that comes later than the one known is that of another life.
+    /// The name of an incarnation that ended now. A server may be back, and end again, before the list shows its next
+    /// incarnation: an end that comes later than the one known is that of another incarnation.
     pub fn incarnation_of_end(&self, listed: IncarnationHash, now: Duration) -> IncarnationHash {
         let mut name = listed;
-        while self.lives.get(&name).is_some_and(|at| *at + SAME_END < now) {
+        while self.ended_at.get(&name).is_some_and(|at| *at + SAME_END < now) {
             name = next_name(name, listed);
         }
         name
     }
 
-    /// The name of a life that ended at a time under this listing. The earliest has the listed name, whoever
+    /// The name of an incarnation that ended at a time under this listing. The earliest has the listed name, whoever
     /// shows it first: those known that ended later move on to the next names.
     fn distinguish(&mut self, listed: IncarnationHash, at: Duration) -> IncarnationHash {
         let mut names = vec![listed];
         let mut times = Vec::new();
-        while let Some(ended_at) = self.lives.get(&names[times.len()]) {
+        while let Some(ended_at) = self.ended_at.get(&names[times.len()]) {
             times.push(*ended_at);
             names.push(next_name(names[names.len() - 1], listed));
         }
@@ -226,15 +227,17 @@
         let place = times.partition_point(|ended_at| *ended_at < at);
         for known in self.known.values_mut() {
             for end in &mut known.ends {
-                if let Some(i) = names[place..times.len()].iter().position(|n| *n == end.life) {
-                    end.life = names[place + i + 1];
+                if let Some(i) =
+                    names[place..times.len()].iter().position(|n| *n == end.incarnation)
+                {
+                    end.incarnation = names[place + i + 1];
                 }
             }
         }
         for i in (place..times.len()).rev() {
-            self.lives.insert(names[i + 1], times[i]);
+            self.ended_at.insert(names[i + 1], times[i]);
         }
-        self.lives.remove(&names[place]);
+        self.ended_at.remove(&names[place]);
         names[place]
     }
 
@@ -242,13 +245,13 @@
     pub fn ends(&self, request: &Fingerprint) -> Vec<Note> {
         let fingerprint = *request;
         let counted = self.known.get(request).into_iter().flat_map(Known::counted);
-        counted.map(|(life, at)| Note::End { fingerprint, life, at }).collect()
+        counted.map(|(incarnation, at)| Note::End { fingerprint, incarnation, at }).collect()
     }
 
     /// What annuls all that is known against a request.
     pub fn clearing_notes(&self, fingerprint: Fingerprint) -> Vec<Note> {
         let counted = self.known.get(&fingerprint).into_iter().flat_map(Known::counted);
-        counted.map(|(life, _)| Note::Cleared { fingerprint, life }).collect()
+        counted.map(|(incarnation, _)| Note::Cleared { fingerprint, incarnation }).collect()
     }
 
     /// Takes in what the store keeps of a request, its times `error` off at most; whether that says something
@@ -257,9 +260,13 @@
     pub fn take_case(&mut self, case: &Case, error: Duration, now: Duration) -> bool {
         let fingerprint = case.fingerprint;
         let mut is_new = false;
-        for (life, at) in &case.ends {
-            let life = if error < SAME_END / 2 { self.distinguish(*life, *at) } else { *life };
-            is_new |= self.note(Note::End { fingerprint, life, at: *at }, now);
+        for (incarnation, at) in &case.ends {
+            let incarnation = if error < SAME_END / 2 {
+                self.distinguish(*incarnation, *at)
+            } else {
+                *incarnation
+            };
+            is_new |= self.note(Note::End { fingerprint, incarnation, at: *at }, now);
         }
         let Some(known) = self.known.get_mut(&fingerprint) else {
             return false;
@@ -272,7 +279,7 @@
     }
 
     /// What may be done with a request.
-    pub fn standing(&self, fingerprint: &Fingerprint, now: Duration) -> QuarantineStatus {
+    pub fn status(&self, fingerprint: &Fingerprint, now: Duration) -> QuarantineStatus {
         let Some(known) = self.known.get(fingerprint) else {
             return QuarantineStatus::Free;
         };
@@ -302,7 +309,8 @@
         if known.was_cleared() {
             return true;
         }
-        let was_there = |other: &Known| known.counted().all(|(life, _)| other.was_at(life));
+        let was_there =
+            |other: &Known| known.counted().all(|(incarnation, _)| other.was_at(incarnation));
         self.known.iter().any(|(other, ends)| other != fingerprint && was_there(ends))
     }
 
@@ -325,8 +333,9 @@
     /// Whether a server ended about this time where the request was not at work.
     fn is_any_elsewhere(&self, known: &Known, from: Duration, to: Duration) -> bool {
         let (from, to) = (from.saturating_sub(SAME_EVENT), to + SAME_EVENT);
-        let mut lives = self.lives.iter();
-        lives.any(|(life, at)| from <= *at && *at <= to && !known.was_at(*life))
+        let mut incarnations = self.ended_at.iter();
+        incarnations
+            .any(|(incarnation, at)| from <= *at && *at <= to && !known.was_at(*incarnation))
     }
 
     /// Notes that a trial of a request begins; the case to be kept.
@@ -338,7 +347,7 @@
 
     /// Requests that are known and not cleared, the one with the latest end first.
     pub fn cases(&self, only_refused: bool, now: Duration) -> Vec<Case> {
-        let is_wanted = |fingerprint: &&Fingerprint| match self.standing(fingerprint, now) {
+        let is_wanted = |fingerprint: &&Fingerprint| match self.status(fingerprint, now) {
             QuarantineStatus::Free => false,
             QuarantineStatus::Suspect => !only_refused,
             QuarantineStatus::Refused { .. } => true,
@@ -390,7 +399,7 @@
 
     fn forget_lives(&mut self) {
         let ends = self.known.values().flat_map(|known| &known.ends);
-        let needed: HashSet<IncarnationHash> = ends.map(|end| end.life).collect();
-        self.lives.retain(|life, _| needed.contains(life));
+        let needed: HashSet<IncarnationHash> = ends.map(|end| end.incarnation).collect();
+        self.ended_at.retain(|incarnation, _| needed.contains(incarnation));
     }
 }
--- a/src/policy/windowed_retry_budget.rs
+++ b/src/policy/windowed_retry_budget.rs
@@ -48,7 +48,7 @@
 
     /// Takes one repeated send from the budget; false when it is used up.
     pub fn try_repeat(&mut self, terms: &RetryLimits, now: Duration) -> bool {
-        if self.left(terms, now) < 1.0 {
+        if self.remaining(terms, now) < 1.0 {
             return false;
         }
         self.current(terms, now).repeats += 1;
@@ -56,7 +56,7 @@
     }
 
     /// Repeats still allowed.
-    pub fn left(&mut self, terms: &RetryLimits, now: Duration) -> f64 {
+    pub fn remaining(&mut self, terms: &RetryLimits, now: Duration) -> f64 {
         self.current(terms, now);
         let requests: u32 = self.steps.iter().map(|step| step.requests).sum();
         let repeats: u32 = self.steps.iter().map(|step| step.repeats).sum();
--- a/src/router/availability.rs
+++ b/src/router/availability.rs
@@ -129,8 +129,10 @@
     fn is_cold(&self, member: &Member, terms: &ColdStartLimit) -> bool {
         let taken_back = self.router.evacuations.taken_back_at(&member.server.zone);
         self.now < member.cold_until()
-            || taken_back.is_some_and(|at| self.now < at + terms.lasts)
-            || member.unreachable_at().is_some_and(|at| self.now < at + terms.lasts + ASKED_AGAIN)
+            || taken_back.is_some_and(|at| self.now < at + terms.duration)
+            || member
+                .unreachable_at()
+                .is_some_and(|at| self.now < at + terms.duration + ASKED_AGAIN)
     }
 
     /// Entries that share, where this one does not know its place: as many as were reported, or as the settings name.
--- a/src/router/limit_board.rs
+++ b/src/router/limit_board.rs
@@ -38,13 +38,13 @@
 
 impl LimitUpdate {
     fn new(life: IncarnationHash, news: LimitReport) -> Self {
-        Self(life, news.change, news.again, news.rate)
+        Self(life, news.changes, news.repeats, news.rate)
     }
 
     fn read(self) -> (IncarnationHash, LimitReport) {
         let Self(life, change, again, rate) = self;
         let rate = rate.filter(|rate| rate.is_finite() && *rate > 0.0);
-        (life, LimitReport { change, again, rate })
+        (life, LimitReport { changes: change, repeats: again, rate })
     }
 }
 
@@ -205,7 +205,7 @@
         let next = news.get(MOST_REPORTED).map_or(inner.next, |(_, known)| known.number);
         news.truncate(MOST_REPORTED);
         let reported = |(life, known): (&IncarnationHash, &Known)| {
-            Some(LimitUpdate::new(*life, known.belief.news()?))
+            Some(LimitUpdate::new(*life, known.belief.report()?))
         };
         (news.into_iter().filter_map(reported).collect(), next)
     }
--- a/src/router/member.rs
+++ b/src/router/member.rs
@@ -310,9 +310,9 @@
             row_draining_since: self.draining_since,
             announced: record.announced,
             unanswered: record.unanswered,
-            at_server: record.load.own,
+            in_flight: record.load.own,
             window: record.window,
-            is_ejected: record.outlier.is_passed_over(now),
+            is_ejected: record.outlier.should_skip(now),
             ..Signals::default()
         }
     }
@@ -353,7 +353,7 @@
             "load": record.load.estimate(now),
             "cold_ms": self.cold_until.saturating_sub(now).as_millis() as u64,
             "failure_rate": record.failures.get(now),
-            "out": record.outlier.is_out(now),
+            "out": record.outlier.is_ejected(now),
             "draining_ms": record.announced.draining_since().map(|since| age_ms(since, now)),
             "paused_ms": record.announced.paused_until().saturating_sub(now).as_millis() as u64,
             "idle_connections": record.idle.len(),
--- a/src/router/observability.rs
+++ b/src/router/observability.rs
@@ -28,7 +28,10 @@
         let mut budgets = self.budgets.lock().expect("no panics under the lock");
         for (service, budget) in budgets.iter_mut() {
             let labels = ServiceLabels { service: service.to_string() };
-            self.metrics.repeats_left.get_or_create(&labels).set(budget.left(&terms, now) as i64);
+            self.metrics
+                .repeats_left
+                .get_or_create(&labels)
+                .set(budget.remaining(&terms, now) as i64);
         }
         let evacuated = self.evacuations.zones().len();
         self.metrics.evacuated_zones.set(i64::try_from(evacuated).unwrap_or(i64::MAX));
--- a/src/router/quarantine_board.rs
+++ b/src/router/quarantine_board.rs
@@ -42,8 +42,8 @@
             |at: &Duration| u32::try_from(now.saturating_sub(*at).as_millis()).unwrap_or(u32::MAX);
         let Fingerprint(fingerprint) = note.fingerprint();
         let (life, age_ms) = match note {
-            Note::End { life, at, .. } => (*life, Some(age_ms(at))),
-            Note::Cleared { life, .. } => (*life, None),
+            Note::End { incarnation: life, at, .. } => (*life, Some(age_ms(at))),
+            Note::Cleared { incarnation: life, .. } => (*life, None),
         };
         Self((fingerprint >> 64) as u64, fingerprint as u64, life, age_ms)
     }
@@ -52,8 +52,8 @@
         let Self(high, low, life, age_ms) = self;
         let fingerprint = Fingerprint(u128::from(high) << 64 | u128::from(low));
         match age_ms.map(u64::from).map(Duration::from_millis) {
-            Some(age) => Note::End { fingerprint, life, at: now.saturating_sub(age) },
-            None => Note::Cleared { fingerprint, life },
+            Some(age) => Note::End { fingerprint, incarnation: life, at: now.saturating_sub(age) },
+            None => Note::Cleared { fingerprint, incarnation: life },
         }
     }
 }
@@ -110,7 +110,7 @@
 
     /// What may be done with a request.
     pub(crate) fn standing(&self, fingerprint: &Fingerprint, now: Duration) -> QuarantineStatus {
-        self.lock().quarantine.standing(fingerprint, now)
+        self.lock().quarantine.status(fingerprint, now)
     }
 
     /// Notifies of each change from now on.
@@ -138,7 +138,7 @@
         life: IncarnationHash,
         at: Duration,
     ) {
-        let note = |f: &Fingerprint| Note::End { fingerprint: *f, life, at };
+        let note = |f: &Fingerprint| Note::End { fingerprint: *f, incarnation: life, at };
         self.take_in(all.iter().map(note), true, at);
     }
 
@@ -176,7 +176,7 @@
             is_new = true;
             let fingerprint = case.fingerprint;
             for (life, at) in &case.ends {
-                let note = Note::End { fingerprint, life: *life, at: *at };
+                let note = Note::End { fingerprint, incarnation: *life, at: *at };
                 inner.all.push(note, now);
                 // Whoever wrote it may not have informed the others.
                 inner.own.push(note, now);
@@ -239,7 +239,7 @@
     /// Notes that a refused request gets its trial; the case to be kept, if it is due.
     pub(crate) fn begin_trial(&self, fingerprint: &Fingerprint, now: Duration) -> Option<Case> {
         let mut inner = self.lock();
-        let standing = inner.quarantine.standing(fingerprint, now);
+        let standing = inner.quarantine.status(fingerprint, now);
         let is_due = standing == QuarantineStatus::Refused { trial_in: Some(Duration::ZERO) };
         if !is_due {
             return None;
@@ -334,12 +334,16 @@
         cases.sort_by_key(|case| !is_refused(&self.quarantine, &case.fingerprint, now));
         let notes = cases.iter().flat_map(|case| {
             let fingerprint = case.fingerprint;
-            case.ends.iter().map(move |(life, at)| Note::End { fingerprint, life: *life, at: *at })
+            case.ends.iter().map(move |(life, at)| Note::End {
+                fingerprint,
+                incarnation: *life,
+                at: *at,
+            })
         });
         notes.take(LIMITS.reported).collect()
     }
 }
 
 fn is_refused(quarantine: &Quarantine, fingerprint: &Fingerprint, now: Duration) -> bool {
-    matches!(quarantine.standing(fingerprint, now), QuarantineStatus::Refused { .. })
+    matches!(quarantine.status(fingerprint, now), QuarantineStatus::Refused { .. })
 }
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -337,7 +337,7 @@
     pub(crate) fn may_repeat(&self, service: &str) -> bool {
         let terms = self.send_terms();
         let mut budgets = self.budgets.lock().expect("no panics under the lock");
-        budgets.entry(service.into()).or_default().left(&terms, self.now()) >= 1.0
+        budgets.entry(service.into()).or_default().remaining(&terms, self.now()) >= 1.0
     }
 
     /// Takes in how many entries there are, as far as one knows that all report to. There are as many
@@ -358,7 +358,7 @@
         let settings = self.settings.load();
         let window = settings.retry_window;
         let share = self.extra_share.lock().expect("no panics under the lock");
-        let extra = settings.retry_extra * share.part(window, self.now());
+        let extra = settings.retry_extra * share.fraction(window, self.now());
         RetryLimits { ratio: settings.retry_ratio, extra, window }
     }
 }
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -30,7 +30,7 @@
     }
 
     fn terms(&self, now: Duration) -> RetryLimits {
-        RetryLimits { extra: TERMS.extra * self.share.part(TERMS.window, now), ..TERMS }
+        RetryLimits { extra: TERMS.extra * self.share.fraction(TERMS.window, now), ..TERMS }
     }
 
     fn note_request(&mut self, now: Duration) {
@@ -159,7 +159,7 @@
     for entries in [1, 3, 32, 360] {
         let share = heard(entries, SECOND * 20);
 
-        let all = share.part(TERMS.window, SECOND * 21) * f64::from(entries);
+        let all = share.fraction(TERMS.window, SECOND * 21) * f64::from(entries);
 
         assert!((all - 1.0).abs() < 1e-9, "{entries} entries use {all}");
     }
@@ -170,7 +170,7 @@
     let mut share = ExtraShare::started_at(SECOND * 5);
     let mut part_at = |now: Duration| {
         share.note(4, now);
-        share.part(TERMS.window, now)
+        share.fraction(TERMS.window, now)
     };
 
     assert_eq!(part_at(SECOND * 6), 0.0);
@@ -182,9 +182,9 @@
 fn an_entry_that_hears_of_nobody_has_no_part() {
     let share = heard(4, SECOND * 20);
 
-    assert!(share.part(TERMS.window, SECOND * 22) > 0.0);
-    assert_eq!(share.part(TERMS.window, SECOND * 24), 0.0);
-    assert_eq!(ExtraShare::started_at(Duration::ZERO).part(TERMS.window, SECOND * 20), 0.0);
+    assert!(share.fraction(TERMS.window, SECOND * 22) > 0.0);
+    assert_eq!(share.fraction(TERMS.window, SECOND * 24), 0.0);
+    assert_eq!(ExtraShare::started_at(Duration::ZERO).fraction(TERMS.window, SECOND * 20), 0.0);
 }
 
 /// Entries that lose each other see fewer than there are; with parts that grow meanwhile each side
@@ -192,12 +192,12 @@
 #[test]
 fn a_part_does_not_grow_while_entries_are_out_of_sight() {
     let mut share = heard(8, SECOND * 20);
-    let together = share.part(TERMS.window, SECOND * 20);
+    let together = share.fraction(TERMS.window, SECOND * 20);
 
     share.note(4, SECOND * 60);
-    let apart = share.part(TERMS.window, SECOND * 60);
+    let apart = share.fraction(TERMS.window, SECOND * 60);
     share.note(4, SECOND * 3_000);
-    let long_after = share.part(TERMS.window, SECOND * 3_000);
+    let long_after = share.fraction(TERMS.window, SECOND * 3_000);
 
     assert_eq!(apart, together);
     assert!(long_after > apart, "entries that were taken away for good are forgotten");
--- a/tests/model/quarantine.rs
+++ b/tests/model/quarantine.rs
@@ -29,23 +29,23 @@
     SendsBeforeItIsInformed,
 }
 
-type Lives = BTreeSet<IncarnationHash>;
+type Incarnations = BTreeSet<IncarnationHash>;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Entry {
     /// Ends that it knows of.
-    known: Lives,
+    known: Incarnations,
     /// What it has not told the other one yet.
-    untold: Lives,
+    untold: Incarnations,
     is_informed: bool,
     /// Whether it has been to the store since it learned something.
     has_kept: bool,
 }
 
 impl Entry {
-    fn learn(&mut self, lives: &Lives) {
+    fn learn(&mut self, incarnations: &Incarnations) {
         let before = self.known.len();
-        self.known.extend(lives);
+        self.known.extend(incarnations);
         self.has_kept &= self.known.len() == before;
     }
 }
@@ -54,7 +54,7 @@
 struct State {
     ends: IncarnationHash,
     entries: [Entry; ENTRIES],
-    row: Lives,
+    row: Incarnations,
     is_store_up: bool,
     kills: u8,
     link_losses: u8,
@@ -64,12 +64,16 @@
 }
 
 fn start() -> State {
-    let entry =
-        Entry { known: Lives::new(), untold: Lives::new(), is_informed: true, has_kept: true };
+    let entry = Entry {
+        known: Incarnations::new(),
+        untold: Incarnations::new(),
+        is_informed: true,
+        has_kept: true,
+    };
     State {
         ends: 0,
         entries: [entry.clone(), entry],
-        row: Lives::new(),
+        row: Incarnations::new(),
         is_store_up: true,
         kills: 0,
         link_losses: 0,
@@ -79,16 +83,17 @@
 }
 
 /// What production says of a request under which these lives ended, a second after one another.
-fn is_refused(lives: &Lives) -> bool {
+fn is_refused(incarnations: &Incarnations) -> bool {
     let mut quarantine = Quarantine::default();
-    for life in lives {
-        let note = Note::End { fingerprint: GUILTY, life: *life, at: Duration::from_secs(*life) };
-        quarantine.note(note, Duration::from_secs(*life));
-    }
-    matches!(
-        quarantine.standing(&GUILTY, Duration::from_secs(60)),
-        QuarantineStatus::Refused { .. }
-    )
+    for incarnation in incarnations {
+        let note = Note::End {
+            fingerprint: GUILTY,
+            incarnation: *incarnation,
+            at: Duration::from_secs(*incarnation),
+        };
+        quarantine.note(note, Duration::from_secs(*incarnation));
+    }
+    matches!(quarantine.status(&GUILTY, Duration::from_secs(60)), QuarantineStatus::Refused { .. })
 }
 
 /// Whether everything that can be told and kept has been, and three ends are known.
@@ -114,7 +119,7 @@
         for entry in &mut next.entries {
             // A new link begins with all that is known.
             let told = mutation != Mutation::NewLinkTellsNothing;
-            entry.untold = if told { entry.known.clone() } else { Lives::new() };
+            entry.untold = if told { entry.known.clone() } else { Incarnations::new() };
         }
         steps.push(("the link is lost", next));
     }
@@ -139,7 +144,7 @@
         next.wrong = Some("an entry sends what is known to end servers");
     }
     next.ends += 1;
-    next.entries[i].learn(&Lives::from([state.ends + 1]));
+    next.entries[i].learn(&Incarnations::from([state.ends + 1]));
     if mutation != Mutation::CountsOwnOnly {
         next.entries[i].untold.insert(next.ends);
     }
@@ -184,12 +189,16 @@
     }
     let mut next = state.clone();
     next.kills += 1;
-    next.entries[i] =
-        Entry { known: Lives::new(), untold: Lives::new(), is_informed: false, has_kept: true };
+    next.entries[i] = Entry {
+        known: Incarnations::new(),
+        untold: Incarnations::new(),
+        is_informed: false,
+        has_kept: true,
+    };
     // Both ends of the link are new.
     let told = mutation != Mutation::NewLinkTellsNothing;
     let other = &mut next.entries[1 - i];
-    other.untold = if told { other.known.clone() } else { Lives::new() };
+    other.untold = if told { other.known.clone() } else { Incarnations::new() };
     steps.push(("an entry starts again", next));
 }
 
--- a/tests/model/rate_limit.rs
+++ b/tests/model/rate_limit.rs
@@ -71,7 +71,7 @@
     let is_about = |of: u8| of == life || mutation == Mutation::LifeIsIgnored;
     for (of, change, rate) in &entry.known {
         if is_about(*of) {
-            let news = LimitReport { change: *change, again: 0, rate: rate.map(f64::from) };
+            let news = LimitReport { changes: *change, repeats: 0, rate: rate.map(f64::from) };
             belief.take_update(news, Duration::ZERO);
         }
     }
@@ -79,7 +79,7 @@
 }
 
 fn word(life: u8, news: LimitReport) -> Word {
-    (life, news.change, news.rate.map(|rate| rate as u8))
+    (life, news.changes, news.rate.map(|rate| rate as u8))
 }
 
 /// Puts what is known of a life in the place of what was.
@@ -94,7 +94,7 @@
         state.says.map_or(AdvertisedLimit::Nothing, |rate| AdvertisedLimit::Rate(f64::from(rate)));
     let mut belief = belief(&state.entries[i], state.life, mutation);
     let change = belief.note(said, Duration::ZERO, Duration::ZERO);
-    let (Some(_), Some(news)) = (change, belief.news()) else {
+    let (Some(_), Some(news)) = (change, belief.report()) else {
         return;
     };
     let word = word(state.life, news);
@@ -106,7 +106,7 @@
 
 /// News reaches an entry.
 fn learn(entry: &mut Entry, (life, change, rate): Word, mutation: Mutation) {
-    let news = LimitReport { change, again: 0, rate: rate.map(f64::from) };
+    let news = LimitReport { changes: change, repeats: 0, rate: rate.map(f64::from) };
     let mut known = belief(entry, life, Mutation::None);
     let is_new = known.take_update(news, Duration::ZERO).is_some();
     if is_new || mutation == Mutation::OldWordWins {
--- a/tests/play/crashing.rs
+++ b/tests/play/crashing.rs
@@ -75,7 +75,7 @@
         if !self.remembers {
             return QuarantineStatus::Free;
         }
-        self.quarantine.standing(&fingerprint, at(now))
+        self.quarantine.status(&fingerprint, at(now))
     }
 
     /// Sends a request to a server, if it is not refused and one is up.
@@ -108,7 +108,7 @@
             .partition::<Vec<_>, _>(|running| running.server == server);
         self.running = elsewhere;
         for Running { fingerprint, .. } in &here {
-            let note = Note::End { fingerprint: *fingerprint, life, at: at(now) };
+            let note = Note::End { fingerprint: *fingerprint, incarnation: life, at: at(now) };
             self.news.push((now + NEWS, note));
         }
         self.servers[server] = Server { life: life + 1_000, back_at: now + DOWN };
--- a/tests/play/pauses.rs
+++ b/tests/play/pauses.rs
@@ -66,11 +66,11 @@
         end_work(&mut self.own, now);
         let mut signals = Signals::default();
         match policy {
-            Policy::Ejection => signals.is_ejected = self.outlier.is_passed_over(now),
+            Policy::Ejection => signals.is_ejected = self.outlier.should_skip(now),
             Policy::Pauses => signals.announced = self.announced,
             Policy::Windows => {
                 signals.announced = self.announced;
-                signals.at_server = self.own.len() as u32;
+                signals.in_flight = self.own.len() as u32;
                 signals.window = self.window;
             }
         }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -195,17 +195,17 @@
     for _ in 0..rules.consecutive_failures {
         server.note_failure(&rules, now);
     }
-    assert!(server.is_out(now));
+    assert!(server.is_ejected(now));
     now += rules.base_ejection;
-    assert!(!server.is_passed_over(now), "back for a trial");
+    assert!(!server.should_skip(now), "back for a trial");
     server.note_chosen(now);
-    assert!(server.is_passed_over(now), "one request at a time");
+    assert!(server.should_skip(now), "one request at a time");
     server.note_failure(&rules, now);
-    assert!(server.is_out(now + rules.base_ejection), "out for longer the second time");
+    assert!(server.is_ejected(now + rules.base_ejection), "out for longer the second time");
     now += rules.base_ejection * 2;
     server.note_chosen(now);
     server.note_answer(&rules);
-    assert!(!server.is_passed_over(now));
+    assert!(!server.should_skip(now));
 }
 
 #[test]
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -17,8 +17,8 @@
     Duration::from_millis(ms)
 }
 
-fn end(fingerprint: Fingerprint, life: IncarnationHash, at_ms: u64) -> Note {
-    Note::End { fingerprint, life, at: START + ms(at_ms) }
+fn end(fingerprint: Fingerprint, incarnation: IncarnationHash, at_ms: u64) -> Note {
+    Note::End { fingerprint, incarnation, at: START + ms(at_ms) }
 }
 
 fn with(notes: impl IntoIterator<Item = Note>) -> Quarantine {
@@ -30,7 +30,7 @@
 }
 
 fn is_refused(quarantine: &Quarantine, fingerprint: Fingerprint) -> bool {
-    let standing = quarantine.standing(&fingerprint, START + ms(60_000));
+    let standing = quarantine.status(&fingerprint, START + ms(60_000));
     matches!(standing, QuarantineStatus::Refused { .. })
 }
 
@@ -38,8 +38,8 @@
 fn a_request_is_refused_from_the_third_end_on() {
     let ends: Vec<Note> = (0..3).map(|i| end(GUILTY, i, i * 1_000)).collect();
 
-    assert_eq!(with([]).standing(&GUILTY, START), QuarantineStatus::Free);
-    assert_eq!(with(ends[..2].to_vec()).standing(&GUILTY, START), QuarantineStatus::Suspect);
+    assert_eq!(with([]).status(&GUILTY, START), QuarantineStatus::Free);
+    assert_eq!(with(ends[..2].to_vec()).status(&GUILTY, START), QuarantineStatus::Suspect);
     assert!(is_refused(&with(ends), GUILTY));
 }
 
@@ -47,7 +47,7 @@
 fn one_end_told_by_many_counts_once() {
     let ends = (0..20).map(|i| end(GUILTY, 7, i * 1_000));
 
-    assert_eq!(with(ends).standing(&GUILTY, START), QuarantineStatus::Suspect);
+    assert_eq!(with(ends).status(&GUILTY, START), QuarantineStatus::Suspect);
 }
 
 #[test]
@@ -58,12 +58,12 @@
         assert!(quarantine.note(note, START));
     }
 
-    assert_eq!(quarantine.standing(&GUILTY, START), QuarantineStatus::Free);
+    assert_eq!(quarantine.status(&GUILTY, START), QuarantineStatus::Free);
     assert!(
         !quarantine.note(end(GUILTY, 2, 2_000), START),
         "told once more by one who has not heard"
     );
-    assert_eq!(quarantine.standing(&GUILTY, START), QuarantineStatus::Free);
+    assert_eq!(quarantine.status(&GUILTY, START), QuarantineStatus::Free);
 }
 
 /// A server was back and ended again before the list told of its next life; each end was seen by an entry that
@@ -72,7 +72,7 @@
 fn two_lives_under_one_listing_are_told_apart_whoever_tells_first() {
     let lives = |quarantine: &Quarantine| {
         let cases = quarantine.cases(false, START + ms(3_000));
-        cases[0].ends.iter().map(|(life, _)| *life).collect::<Vec<_>>()
+        cases[0].ends.iter().map(|(incarnation, _)| *incarnation).collect::<Vec<_>>()
     };
     let case = |quarantine: &Quarantine| quarantine.cases(false, START + ms(3_000))[0].clone();
     let mut first = with([end(GUILTY, 7, 0)]);
@@ -91,18 +91,18 @@
 /// Five servers of a rack end at once, and a request that many callers send ran on four of them.
 #[test]
 fn a_racks_loss_is_one_event_for_what_ran_on_some_of_it() {
-    let popular = (0..4).map(|life| end(Fingerprint(2), life, life * 20));
+    let popular = (0..4).map(|incarnation| end(Fingerprint(2), incarnation, incarnation * 20));
     let other = end(Fingerprint(3), 4, 50);
 
     let quarantine = with(popular.chain([other]));
 
-    assert_eq!(quarantine.standing(&Fingerprint(2), START), QuarantineStatus::Suspect);
+    assert_eq!(quarantine.status(&Fingerprint(2), START), QuarantineStatus::Suspect);
 }
 
 /// The same request under way three times ends three servers at once, and no other server ends.
 #[test]
 fn three_servers_that_end_at_once_under_one_request_alone_count_three() {
-    let quarantine = with((0..3).map(|life| end(GUILTY, life, life * 20)));
+    let quarantine = with((0..3).map(|incarnation| end(GUILTY, incarnation, incarnation * 20)));
 
     assert!(is_refused(&quarantine, GUILTY));
 }
@@ -112,14 +112,14 @@
 fn two_that_end_servers_meanwhile_are_both_found() {
     let mut quarantine = Quarantine::default();
     let mut ends = 0;
-    for life in 0.. {
-        let fingerprint = Fingerprint(u128::from(life % 2));
-        quarantine.note(end(fingerprint, life, life * 100), START);
+    for incarnation in 0.. {
+        let fingerprint = Fingerprint(u128::from(incarnation % 2));
+        quarantine.note(end(fingerprint, incarnation, incarnation * 100), START);
         ends += 1;
         if is_refused(&quarantine, Fingerprint(0)) && is_refused(&quarantine, Fingerprint(1)) {
             break;
         }
-        assert!(life < 20, "never");
+        assert!(incarnation < 20, "never");
     }
 
     assert!(ends <= 14, "{ends} ends, six at least");
@@ -128,7 +128,7 @@
 #[test]
 fn trials_are_two_and_further_and_further_apart() {
     let mut quarantine = with((0..3).map(|i| end(GUILTY, i, i)));
-    let trial_in = |quarantine: &Quarantine, now| match quarantine.standing(&GUILTY, now) {
+    let trial_in = |quarantine: &Quarantine, now| match quarantine.status(&GUILTY, now) {
         QuarantineStatus::Refused { trial_in } => trial_in,
         standing => panic!("{standing:?}"),
     };
@@ -150,7 +150,7 @@
     let popular = Fingerprint(2);
     let both = (0..3).flat_map(|i| [end(GUILTY, i, i * 400), end(popular, i, i * 400)]);
     let mut quarantine = with(both);
-    let trial_in = |quarantine: &Quarantine, now| match quarantine.standing(&popular, now) {
+    let trial_in = |quarantine: &Quarantine, now| match quarantine.status(&popular, now) {
         QuarantineStatus::Refused { trial_in } => trial_in.unwrap(),
         standing => panic!("{standing:?}"),
     };
@@ -173,11 +173,11 @@
         quarantine.note(note, START + ms(500));
     }
 
-    for (life, at_ms) in [(2, 1_000), (3, 1_400), (4, 1_800)] {
-        quarantine.note(end(popular, life, at_ms), START + ms(at_ms));
+    for (incarnation, at_ms) in [(2, 1_000), (3, 1_400), (4, 1_800)] {
+        quarantine.note(end(popular, incarnation, at_ms), START + ms(at_ms));
     }
 
-    let standing = quarantine.standing(&popular, START + ms(1_800));
+    let standing = quarantine.status(&popular, START + ms(1_800));
     let QuarantineStatus::Refused { trial_in: Some(trial_in) } = standing else {
         panic!("{standing:?}");
     };
@@ -194,7 +194,7 @@
     assert!(!there.take_case(&case, Duration::ZERO, START), "it is no news any more");
 
     let now = START + ms(400_000);
-    assert_eq!(here.standing(&GUILTY, now), there.standing(&GUILTY, now));
+    assert_eq!(here.status(&GUILTY, now), there.status(&GUILTY, now));
 }
 
 #[test]
@@ -223,13 +223,13 @@
     // A life ends once: its time follows from it.
     let about = (0u128..4, 0u64..8);
     prop_oneof![
-        4 => about.clone().prop_map(|(f, life)| end(Fingerprint(f), life, life * 150)),
-        1 => about.prop_map(|(f, life)| Note::Cleared { fingerprint: Fingerprint(f), life }),
+        4 => about.clone().prop_map(|(f, incarnation)| end(Fingerprint(f), incarnation, incarnation * 150)),
+        1 => about.prop_map(|(f, incarnation)| Note::Cleared { fingerprint: Fingerprint(f), incarnation }),
     ]
 }
 
 fn standings(quarantine: &Quarantine) -> Vec<QuarantineStatus> {
-    (0..4).map(|f| quarantine.standing(&Fingerprint(f), START + ms(60_000))).collect()
+    (0..4).map(|f| quarantine.status(&Fingerprint(f), START + ms(60_000))).collect()
 }
 
 proptest! {
@@ -294,7 +294,9 @@
 
 fn later(note: Note, by_ms: u64) -> Note {
     match note {
-        Note::End { fingerprint, life, at } => Note::End { fingerprint, life, at: at + ms(by_ms) },
+        Note::End { fingerprint, incarnation, at } => {
+            Note::End { fingerprint, incarnation, at: at + ms(by_ms) }
+        }
         annulled => annulled,
     }
 }
@@ -322,7 +324,7 @@
             assert!(rounds < 5, "it never comes to rest");
         }
 
-        let free = |q: &Quarantine| q.standing(&Fingerprint(0), START) == QuarantineStatus::Free;
+        let free = |q: &Quarantine| q.status(&Fingerprint(0), START) == QuarantineStatus::Free;
         let refused = |q: &Quarantine| (1..3).all(|f| is_refused(q, Fingerprint(f)));
         assert!(fleet.entries.iter().all(|q| free(q) && refused(q)), "{entries} entries");
         // Each note crosses each link between a seed and an entry twice at most.
@@ -336,17 +338,17 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut quarantine = Quarantine::default();
     let mut at: Vec<usize> = (0..beside * servers).map(|i| i % servers).collect();
-    let (mut life, mut sent, mut now) = (0, 0, 0);
+    let (mut incarnation, mut sent, mut now) = (0, 0, 0);
     while !is_refused(&quarantine, GUILTY) {
         let ends = rng.random_range(0..servers);
-        quarantine.note(end(GUILTY, life, now), START);
+        quarantine.note(end(GUILTY, incarnation, now), START);
         for (i, server) in at.iter_mut().enumerate().filter(|(_, server)| **server == ends) {
             let innocent = Fingerprint(100 + i as u128);
-            quarantine.note(end(innocent, life, now), START);
+            quarantine.note(end(innocent, incarnation, now), START);
             // Suspects are placed by a hash of their own.
             *server = (ends + rng.random_range(1..servers)) % servers;
         }
-        (life, sent, now) = (life + 1, sent + 1, now + 400);
+        (incarnation, sent, now) = (incarnation + 1, sent + 1, now + 400);
     }
     let innocents = 100..100 + at.len() as u128;
     let refused = innocents.filter(|f| is_refused(&quarantine, Fingerprint(*f))).count();
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -74,7 +74,7 @@
     let first = heard(1.9);
     let mut second = first;
     second.note(AdvertisedLimit::Nothing, ms(2_000), ms(2_100));
-    let news = [first.news().unwrap(), second.news().unwrap()];
+    let news = [first.report().unwrap(), second.report().unwrap()];
 
     for order in [[0, 1], [1, 0]] {
         let mut other = KnownLimit::default();
@@ -88,7 +88,7 @@
 #[test]
 fn of_two_limits_heard_at_once_the_smaller_holds_everywhere() {
     let (mut one, mut other) = (heard(1.9), heard(2.4));
-    let (from_one, from_other) = (one.news().unwrap(), other.news().unwrap());
+    let (from_one, from_other) = (one.report().unwrap(), other.report().unwrap());
 
     one.take_update(from_other, ms(1_100));
     other.take_update(from_one, ms(1_100));
@@ -104,7 +104,7 @@
 
     for turn in 0..20 {
         let (from, to) = (turn % 2, (turn + 1) % 2);
-        let news: LimitReport = beliefs[from].news().unwrap();
+        let news: LimitReport = beliefs[from].report().unwrap();
         let now = ms(2_000 + turn as u64);
         passed_on += usize::from(beliefs[to].take_update(news, now).is_some());
     }
