--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -9,7 +9,7 @@
         availability::{self, Availability},
         choice::Pool,
         place::Place,
-        placement::{PlacementTerms, Work, place},
+        placement::{PlacementConfig, PlacementRequest, place},
         rate_limit::{LimitedSends, allowance},
         roll_out::takes_new_version,
     },
@@ -63,13 +63,13 @@
     let members: Vec<Member> = (0..servers)
         .map(|i| Member::new(backend_server(i), Duration::ZERO, Duration::ZERO))
         .collect();
-    let terms = PlacementTerms::default();
-    let work = Work {
+    let terms = PlacementConfig::default();
+    let work = PlacementRequest {
         affinity: Some(7),
         shared_tokens: 5_000,
-        token_time: Duration::from_micros(3),
+        prefill_token_time: Duration::from_micros(3),
         bytes: 12_000,
-        draw: 0,
+        request_hash: 0,
     };
     let now = Duration::from_secs(60);
     bencher.bench(|| {
--- a/src/policy/kept.rs
+++ b/src/policy/kept.rs
@@ -31,7 +31,7 @@
 
 /// A prompt up to the end of one of its parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PromptMark {
+pub struct PromptPrefix {
     /// Hash of the model and of all parts up to this one: a part can be used again only behind the
     /// same parts and by the same model.
     pub hash: u32,
@@ -41,14 +41,14 @@
 
 /// The marks of a prompt that other requests may share: all parts but the last, which is the
 /// request's own.
-pub fn shared_marks(model: &str, parts: &[PromptPart]) -> Vec<PromptMark> {
+pub fn shared_prefixes(model: &str, parts: &[PromptPart]) -> Vec<PromptPrefix> {
     let shared = &parts[..parts.len().saturating_sub(1)];
     let mut hash = xxh3_64_with_seed(model.as_bytes(), 0);
     let mark = |part: &PromptPart| {
         hash = xxh3_64_with_seed(&part.id.to_le_bytes(), hash);
         // Cut to four bytes for the messages between entries; rarely two prompts share one, and then
         // a server is believed to keep what it doesn't.
-        PromptMark { hash: hash as u32, tokens: part.tokens }
+        PromptPrefix { hash: hash as u32, tokens: part.tokens }
     };
     shared.iter().map(mark).collect()
 }
@@ -64,7 +64,7 @@
 
 /// What one life of a server is believed to keep.
 #[derive(Clone, Debug)]
-pub struct KeptParts {
+pub struct CachedPrefixes {
     parts: HashMap<u32, KeptPart>,
     /// Tokens the server has read.
     read: u64,
@@ -72,22 +72,22 @@
     memory: u64,
 }
 
-impl Default for KeptParts {
+impl Default for CachedPrefixes {
     fn default() -> Self {
         Self { parts: HashMap::new(), read: 0, memory: MEMORY_ASSUMED }
     }
 }
 
-impl KeptParts {
+impl CachedPrefixes {
     /// How many of a prompt's parts the server keeps. One that is kept stands for all before it: it was
     /// read behind them, and they were used whenever it was.
-    pub fn kept_marks(&self, marks: &[PromptMark]) -> usize {
+    pub fn cached_prefix_count(&self, marks: &[PromptPrefix]) -> usize {
         marks.iter().rposition(|mark| self.is_kept(mark.hash)).map_or(0, |last| last + 1)
     }
 
     /// Tokens of a prompt that the server need not read: those of the parts it keeps.
-    pub fn kept_tokens(&self, marks: &[PromptMark]) -> u64 {
-        marks[..self.kept_marks(marks)].iter().map(|mark| mark.tokens).sum()
+    pub fn cached_tokens(&self, marks: &[PromptPrefix]) -> u64 {
+        marks[..self.cached_prefix_count(marks)].iter().map(|mark| mark.tokens).sum()
     }
 
     fn is_kept(&self, hash: u32) -> bool {
@@ -99,12 +99,12 @@
     }
 
     /// Takes in how many tokens the server has memory for.
-    pub fn set_memory(&mut self, tokens: u64) {
+    pub fn set_capacity(&mut self, tokens: u64) {
         self.memory = tokens;
     }
 
     /// Notes that a prompt was sent of which the server has to read so many tokens.
-    pub fn note_sent(&mut self, marks: &[PromptMark], unread_tokens: u64) {
+    pub fn record_sent(&mut self, marks: &[PromptPrefix], unread_tokens: u64) {
         self.read += unread_tokens;
         for mark in marks {
             let reported_at = self.parts.get(&mark.hash).and_then(|part| part.reported_at);
@@ -114,7 +114,7 @@
 
     /// What other entries should be informed of a prompt that was sent: its last shared part, which stands for
     /// those before it, with the tokens of all; nothing where they were informed lately or it is short.
-    pub fn to_report(&mut self, marks: &[PromptMark], now: Duration) -> Option<PromptMark> {
+    pub fn take_report(&mut self, marks: &[PromptPrefix], now: Duration) -> Option<PromptPrefix> {
         let tokens: u64 = marks.iter().map(|mark| mark.tokens).sum();
         let last = marks.last().filter(|_| tokens >= LEAST_TOLD)?;
         let part = self.parts.get_mut(&last.hash)?;
@@ -122,11 +122,11 @@
             return None;
         }
         part.reported_at = Some(now);
-        Some(PromptMark { hash: last.hash, tokens })
+        Some(PromptPrefix { hash: last.hash, tokens })
     }
 
     /// Takes in that another entry sent a part.
-    pub fn note_reported(&mut self, hash: u32, tokens: u64) {
+    pub fn record_peer_report(&mut self, hash: u32, tokens: u64) {
         if !self.is_kept(hash) {
             self.read += tokens;
         }
@@ -142,7 +142,7 @@
     }
 
     /// Forgets the parts of a prompt that was sent but not read after all.
-    pub fn forget(&mut self, marks: &[PromptMark]) {
+    pub fn forget(&mut self, marks: &[PromptPrefix]) {
         for mark in marks {
             self.parts.remove(&mark.hash);
         }
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -26,31 +26,31 @@
     /// Time the server needs for prompts that it was sent and has not answered yet.
     pub backlog: Duration,
     /// Shared tokens of the prompt that it need not read again.
-    pub kept_tokens: u64,
+    pub cached_tokens: u64,
     /// How often it failed of late, 0 to 1.
     pub failure_rate: f64,
     /// Whether it stands in the entry's own zone.
-    pub is_near: bool,
+    pub is_same_zone: bool,
 }
 
 /// What is to be placed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Work {
+pub struct PlacementRequest {
     /// Hash of the shared parts, if there are any worth keeping together.
     pub affinity: Option<u64>,
     /// Tokens of those parts.
     pub shared_tokens: u64,
     /// Time the model takes to read one token.
-    pub token_time: Duration,
+    pub prefill_token_time: Duration,
     /// Size of the request's body.
     pub bytes: usize,
     /// What draws the servers that are weighed where there are no shared parts: a hash of the request.
-    pub draw: u64,
+    pub request_hash: u64,
 }
 
 /// What a server costs besides its backlog; settings under `placement`.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PlacementTerms {
+pub struct PlacementConfig {
     /// For each request that runs at the server.
     pub running: Duration,
     /// For each request beyond its slots.
@@ -69,7 +69,7 @@
     pub choices: usize,
 }
 
-impl Default for PlacementTerms {
+impl Default for PlacementConfig {
     fn default() -> Self {
         Self {
             // Steps of the engines grow by 1.5 % for each running request: 6 ms in half a second.
@@ -105,25 +105,29 @@
 }
 
 /// Chooses among candidates.
-pub fn place(candidates: &[Candidate], work: &Work, terms: &PlacementTerms) -> Option<usize> {
+pub fn place(
+    candidates: &[Candidate],
+    work: &PlacementRequest,
+    terms: &PlacementConfig,
+) -> Option<usize> {
     let crowding = crowding(candidates, terms.spare_backlog);
-    let token = (terms.reread_token + work.token_time).as_secs_f64();
+    let token = (terms.reread_token + work.prefill_token_time).as_secs_f64();
     let kilobytes = work.bytes as f64 / 1024.0;
     let far = terms.far.as_secs_f64() + kilobytes * terms.far_kilobyte.as_secs_f64();
     let far = far / (1.0 + crowding);
-    let reading = work.shared_tokens as f64 * work.token_time.as_secs_f64();
-    let key = work.affinity.unwrap_or(work.draw);
+    let reading = work.shared_tokens as f64 * work.prefill_token_time.as_secs_f64();
+    let key = work.affinity.unwrap_or(work.request_hash);
     // Rendezvous hashing: the highest rank is the key's home.
     let rank = |c: &Candidate| xxh3_64_with_seed(&key.to_le_bytes(), c.id_hash);
     let ranks: Vec<u64> = candidates.iter().map(rank).collect();
-    let is_known = candidates.iter().any(|c| c.kept_tokens > 0);
+    let is_known = candidates.iter().any(|c| c.cached_tokens > 0);
     let has_home = work.affinity.is_some() && !is_known;
     let home = if has_home { home(candidates, &ranks, reading < far) } else { None };
     let cost = |i: usize| {
         let candidate = &candidates[i];
-        let kept = if home == Some(i) { work.shared_tokens } else { candidate.kept_tokens };
+        let kept = if home == Some(i) { work.shared_tokens } else { candidate.cached_tokens };
         let reread = work.shared_tokens.saturating_sub(kept) as f64 * token;
-        let far = if candidate.is_near { 0.0 } else { far };
+        let far = if candidate.is_same_zone { 0.0 } else { far };
         wait(candidate, terms) + reread + far
     };
     // Servers as free as each other differ by rank; by their ids, one of them would get everything.
@@ -136,8 +140,8 @@
 /// the shared parts.
 fn choices(candidates: &[Candidate], ranks: &[u64], most: usize) -> Vec<usize> {
     let (mut near, mut far): (Vec<usize>, Vec<usize>) =
-        (0..candidates.len()).partition(|i| candidates[*i].is_near);
-    let keepers = near.iter().chain(&far).filter(|i| candidates[**i].kept_tokens > 0);
+        (0..candidates.len()).partition(|i| candidates[*i].is_same_zone);
+    let keepers = near.iter().chain(&far).filter(|i| candidates[**i].cached_tokens > 0);
     let mut chosen: Vec<usize> = keepers.copied().collect();
     for side in [&mut near, &mut far] {
         if side.len() > most {
@@ -161,11 +165,13 @@
 /// The server that keeps the shared parts: one for all zones where reading them takes longer than
 /// leaving the zone costs, one in each zone otherwise.
 fn home(candidates: &[Candidate], ranks: &[u64], is_cheap: bool) -> Option<usize> {
-    let is_zonal = is_cheap && candidates.iter().any(|c| c.is_near);
-    (0..candidates.len()).filter(|i| !is_zonal || candidates[*i].is_near).max_by_key(|i| ranks[*i])
+    let is_zonal = is_cheap && candidates.iter().any(|c| c.is_same_zone);
+    (0..candidates.len())
+        .filter(|i| !is_zonal || candidates[*i].is_same_zone)
+        .max_by_key(|i| ranks[*i])
 }
 
-fn wait(candidate: &Candidate, terms: &PlacementTerms) -> f64 {
+fn wait(candidate: &Candidate, terms: &PlacementConfig) -> f64 {
     let slots = f64::from(candidate.slots.max(1));
     let waiting = (candidate.load + 1.0 - slots).max(0.0);
     let running = candidate.load.min(slots);
--- a/src/policy/reading.rs
+++ b/src/policy/reading.rs
@@ -34,7 +34,7 @@
 /// What was learned about one model, or about a service without models.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReadingBelief {
-    token_time: f64,
+    prefill_token_time: f64,
     /// How many times longer heads take than the prompts before them and their own need for
     /// reading: running streams take their part of each step.
     stretch: f64,
@@ -45,7 +45,12 @@
 
 impl Default for ReadingBelief {
     fn default() -> Self {
-        Self { token_time: FIRST_GUESS, stretch: FIRST_STRETCH, head_time: None, pace: None }
+        Self {
+            prefill_token_time: FIRST_GUESS,
+            stretch: FIRST_STRETCH,
+            head_time: None,
+            pace: None,
+        }
     }
 }
 
@@ -53,7 +58,7 @@
     /// Notes the time from a request to its answer's head. The server had to read so many tokens of
     /// its prompt, after other prompts that took so long.
     pub fn note(&mut self, prompt_tokens: u64, ahead: Duration, took: Duration) {
-        let needed = ahead.as_secs_f64() + self.token_time * prompt_tokens as f64;
+        let needed = ahead.as_secs_f64() + self.prefill_token_time * prompt_tokens as f64;
         if needed > FIXED {
             let stretch = (took.as_secs_f64() - FIXED).max(0.0) / needed;
             let (least, most) = STRETCH_RANGE;
@@ -66,8 +71,8 @@
             return;
         }
         let reading = (took - FIXED).max(0.0) / prompt_tokens as f64;
-        let step = if reading < self.token_time { FASTER } else { SLOWER };
-        self.token_time += (reading - self.token_time) * step;
+        let step = if reading < self.prefill_token_time { FASTER } else { SLOWER };
+        self.prefill_token_time += (reading - self.prefill_token_time) * step;
     }
 
     /// Whether an answer's head took several times longer than such heads do.
@@ -76,7 +81,7 @@
             return false;
         };
         let has_prompt = prompt_tokens > 0;
-        let reading = self.token_time * prompt_tokens as f64;
+        let reading = self.prefill_token_time * prompt_tokens as f64;
         let reading = if has_prompt { FIXED + reading } else { 0.0 };
         took.as_secs_f64() > (mean.max(reading) * SLOW_FACTOR).max(SLOW_LEAST)
     }
@@ -98,18 +103,18 @@
     }
 
     /// Time for one prompt token on an engine with nothing else to read.
-    pub fn token_time(&self) -> Duration {
-        Duration::from_secs_f64(self.token_time)
+    pub fn prefill_token_time(&self) -> Duration {
+        Duration::from_secs_f64(self.prefill_token_time)
     }
 
     /// Time to read a prompt on an engine with nothing else to read.
     pub fn reading_time(&self, prompt_tokens: u64) -> Duration {
-        Duration::from_secs_f64(self.token_time * prompt_tokens as f64)
+        Duration::from_secs_f64(self.prefill_token_time * prompt_tokens as f64)
     }
 
     /// Time until the head of an answer that is asked for now, after prompts that take so long.
     pub fn expected_head(&self, prompt_tokens: u64, ahead: Duration) -> Duration {
-        let needed = ahead.as_secs_f64() + self.token_time * prompt_tokens as f64;
+        let needed = ahead.as_secs_f64() + self.prefill_token_time * prompt_tokens as f64;
         Duration::from_secs_f64(FIXED + needed * self.stretch)
     }
 
--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -13,7 +13,7 @@
         answers::read_answer,
         headers::{AttemptHeaders, write_attempt},
     },
-    policy::{availability::Cause, kept::PromptMark, patience::Patience},
+    policy::{availability::Cause, kept::PromptPrefix, patience::Patience},
     router::{
         Member, Router,
         connection::{self, Checkout, ConnectError, Connection},
@@ -133,7 +133,7 @@
     /// What head times are learned by: the model, or the service where there is none.
     pub(crate) reading_key: &'a str,
     /// Parts of the prompt that other requests may share.
-    pub(crate) marks: &'a [PromptMark],
+    pub(crate) marks: &'a [PromptPrefix],
     /// How many of these the server kept before.
     pub(crate) kept_marks: usize,
     /// Tokens of the prompt that the server has to read.
@@ -146,7 +146,7 @@
 
 impl Plan<'_> {
     /// Parts that the server did not keep before this attempt.
-    fn new_marks(&self) -> &[PromptMark] {
+    fn new_marks(&self) -> &[PromptPrefix] {
         &self.marks[self.kept_marks..]
     }
 }
@@ -197,8 +197,8 @@
 fn note_sent(router: &Router, plan: &Plan<'_>) {
     let now = router.now();
     let mut record = plan.member.record();
-    record.kept.note_sent(plan.marks, plan.unread_tokens);
-    let to_report = record.kept.to_report(plan.marks, now);
+    record.kept.record_sent(plan.marks, plan.unread_tokens);
+    let to_report = record.kept.take_report(plan.marks, now);
     drop(record);
     if let Some(mark) = to_report {
         let tokens = u32::try_from(mark.tokens).unwrap_or(u32::MAX);
--- a/src/router/choice.rs
+++ b/src/router/choice.rs
@@ -7,8 +7,8 @@
 use crate::{
     policy::{
         availability::{Availability, Cause, retain_first_tier},
-        kept::{PromptMark, shared_marks},
-        placement::{Work, hash_id, place},
+        kept::{PromptPrefix, shared_prefixes},
+        placement::{PlacementRequest, hash_id, place},
         quarantine::Standing,
     },
     router::{
@@ -126,7 +126,7 @@
     let prompt_tokens = job.req.head.prompt_tokens;
     let (ahead, kept) = match pick(router, job, ask, |_| true) {
         Some(member) => {
-            let kept = member.record().kept.kept_tokens(&marks(job, ask));
+            let kept = member.record().kept.cached_tokens(&marks(job, ask));
             (member.backlog(router.now()), kept)
         }
         None => (Duration::ZERO, 0),
@@ -139,29 +139,34 @@
 }
 
 /// The parts of the prompt that other requests may share.
-pub(crate) fn marks(job: &Job, ask: Ask<'_>) -> Vec<PromptMark> {
+pub(crate) fn marks(job: &Job, ask: Ask<'_>) -> Vec<PromptPrefix> {
     if !job.route.is_sticky {
         return Vec::new();
     }
-    shared_marks(reading_key(job, ask), &job.req.head.parts)
+    shared_prefixes(reading_key(job, ask), &job.req.head.parts)
 }
 
 /// What is to be placed. Requests for one model that share their prompt's parts belong together.
-fn work(router: &Router, job: &Job, ask: Ask<'_>) -> Work {
+fn work(router: &Router, job: &Job, ask: Ask<'_>) -> PlacementRequest {
     let key = reading_key(job, ask);
-    let token_time = router.readings.get(key).token_time();
+    let prefill_token_time = router.readings.get(key).prefill_token_time();
     let bytes = job.req.body.len();
     let parts = &job.req.head.parts;
-    let draw = hash_id(&job.req.head.id);
+    let request_hash = hash_id(&job.req.head.id);
     let Some(last_shared) = job.req.head.shared_part().filter(|_| job.route.is_sticky) else {
-        return Work { token_time, bytes, draw, ..Work::default() };
+        return PlacementRequest {
+            prefill_token_time,
+            bytes,
+            request_hash,
+            ..PlacementRequest::default()
+        };
     };
-    Work {
+    PlacementRequest {
         affinity: Some(xxh3_64_with_seed(key.as_bytes(), last_shared.id)),
         shared_tokens: parts[..parts.len() - 1].iter().map(|part| part.tokens).sum(),
-        token_time,
+        prefill_token_time,
         bytes,
-        draw,
+        request_hash,
     }
 }
 
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -127,9 +127,9 @@
     let belief = router.readings.get(key);
     let marks = marks(job, ask);
     let prompt_tokens = job.req.head.prompt_tokens;
-    let kept_marks = member.record().kept.kept_marks(&marks);
-    let kept_tokens: u64 = marks[..kept_marks].iter().map(|mark| mark.tokens).sum();
-    let unread_tokens = prompt_tokens.saturating_sub(kept_tokens);
+    let kept_marks = member.record().kept.cached_prefix_count(&marks);
+    let cached_tokens: u64 = marks[..kept_marks].iter().map(|mark| mark.tokens).sum();
+    let unread_tokens = prompt_tokens.saturating_sub(cached_tokens);
     // What is believed to be kept may be gone: the time for the whole prompt is allowed.
     let reading = belief.reading_time(prompt_tokens);
     let (kind, objective) = (job.route.kind, job.route.objective);
--- a/src/router/fleet.rs
+++ b/src/router/fleet.rs
@@ -115,7 +115,7 @@
     pub(crate) fn set_memories(&self, memories: &HashMap<Box<str>, u64>) {
         for member in self.members.values() {
             if let Some(tokens) = memories.get(&member.server.service) {
-                member.record().kept.set_memory(*tokens);
+                member.record().kept.set_capacity(*tokens);
             }
         }
     }
--- a/src/router/member.rs
+++ b/src/router/member.rs
@@ -14,7 +14,7 @@
         announced::Announced,
         availability::Signals,
         failure_rate::FailureRate,
-        kept::{KeptParts, PromptMark},
+        kept::{CachedPrefixes, PromptPrefix},
         load::LoadBelief,
         outlier::{Outlier, OutlierRules},
         placement::{Candidate, hash_id},
@@ -68,7 +68,7 @@
     /// Time for the prompts it was sent and has not answered yet.
     pub(crate) backlog: Duration,
     /// Prompt parts it is believed to keep.
-    pub(crate) kept: KeptParts,
+    pub(crate) kept: CachedPrefixes,
     /// When anything last came from it, on the entry's clock.
     pub(crate) received_at: Duration,
     /// Whether another server answered at its address.
@@ -208,7 +208,7 @@
     pub(super) fn release_memory(&self) {
         let mut record = self.record();
         record.idle = Vec::new();
-        record.kept = KeptParts::default();
+        record.kept = CachedPrefixes::default();
     }
 
     /// Notes an answer that shows the server as healthy; whether it is the first one after a pause.
@@ -323,16 +323,16 @@
     }
 
     /// The server as the choice sees it for a prompt with these shared parts.
-    pub fn candidate(&self, zone: &str, marks: &[PromptMark], now: Duration) -> Candidate {
+    pub fn candidate(&self, zone: &str, marks: &[PromptPrefix], now: Duration) -> Candidate {
         let record = self.record();
         Candidate {
             id_hash: self.id_hash,
             load: record.load.estimate(now),
             slots: self.server.slots,
             backlog: record.backlog + record.load.others_backlog_for_choice(now),
-            kept_tokens: record.kept.kept_tokens(marks),
+            cached_tokens: record.kept.cached_tokens(marks),
             failure_rate: record.failures.get(now),
-            is_near: &*self.server.zone == zone,
+            is_same_zone: &*self.server.zone == zone,
         }
     }
 
--- a/src/settings/route.rs
+++ b/src/settings/route.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::{
-    policy::{escalation::EscalationTerms, exposure::ExposureTerms, placement::PlacementTerms},
+    policy::{escalation::EscalationTerms, exposure::ExposureTerms, placement::PlacementConfig},
     settings::{SettingsError, reader::Reader},
     telemetry::log::LogLevel,
 };
@@ -17,7 +17,7 @@
     /// How a roll-out's share grows.
     pub exposure: ExposureTerms,
     /// What a server costs besides its backlog.
-    pub placement: PlacementTerms,
+    pub placement: PlacementConfig,
     /// Port on the Host's address where metrics and the state dump are served, besides the
     /// readiness address.
     pub metrics_port: Option<u16>,
@@ -59,7 +59,7 @@
         complete_from: number(&mut r, "roll_out.complete_from", shares.complete_from, 1.0),
     };
     let costs = given.placement;
-    let placement = PlacementTerms {
+    let placement = PlacementConfig {
         running: micros(&mut r, "placement.running_us", costs.running),
         waiting: micros(&mut r, "placement.waiting_us", costs.waiting),
         failure: micros(&mut r, "placement.failure_us", costs.failure),
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -7,10 +7,10 @@
         escalation::{EscalationTerms, StageAnswer, escalate, threshold, time_to_begin},
         exposure::{ExposureTerms, request_share_at, session_share_at, takes_new},
         failure_rate::FailureRate,
-        kept::{KeptParts, PromptMark, shared_marks},
+        kept::{CachedPrefixes, PromptPrefix, shared_prefixes},
         load::{LoadBelief, ReportedLoad},
         patience::{event_patience, head_patience},
-        placement::{Candidate, PlacementTerms, Work, hash_id, place},
+        placement::{Candidate, PlacementConfig, PlacementRequest, hash_id, place},
         reading::ReadingBelief,
         roll_out::{Evidence, Finding, VersionTest},
         send_budget::{SendBudget, SendTerms},
@@ -24,15 +24,15 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-fn candidate(id: &str, is_near: bool) -> Candidate {
+fn candidate(id: &str, is_same_zone: bool) -> Candidate {
     Candidate {
         id_hash: hash_id(id),
         load: 0.0,
         slots: 32,
         backlog: Duration::ZERO,
-        kept_tokens: 0,
+        cached_tokens: 0,
         failure_rate: 0.0,
-        is_near,
+        is_same_zone,
     }
 }
 
@@ -42,18 +42,18 @@
 }
 
 /// Work for the largest model, which reads slowly.
-fn work(affinity: u64, shared_tokens: u64) -> Work {
-    Work {
+fn work(affinity: u64, shared_tokens: u64) -> PlacementRequest {
+    PlacementRequest {
         affinity: Some(affinity),
         shared_tokens,
-        token_time: Duration::from_micros(27),
+        prefill_token_time: Duration::from_micros(27),
         bytes: 1_024,
-        draw: 0,
+        request_hash: 0,
     }
 }
 
-fn chosen(candidates: &[Candidate], work: &Work) -> Option<usize> {
-    place(candidates, work, &PlacementTerms::default())
+fn chosen(candidates: &[Candidate], work: &PlacementRequest) -> Option<usize> {
+    place(candidates, work, &PlacementConfig::default())
 }
 
 /// News of the load is old; the server that was free then would get all that comes meanwhile.
@@ -61,11 +61,14 @@
 fn requests_that_come_at_once_are_spread_over_servers_as_free_as_each_other() {
     let mut servers: Vec<Candidate> = (0..40).map(|i| candidate(&format!("i-{i}"), true)).collect();
     servers.iter_mut().skip(1).for_each(|c| c.load = 4.0);
-    let terms = PlacementTerms::default();
+    let terms = PlacementConfig::default();
     let mut sent = [0; 40];
 
     for draw in 0..4_000 {
-        let work = Work { draw: hash_id(&draw.to_string()), ..Work::default() };
+        let work = PlacementRequest {
+            request_hash: hash_id(&draw.to_string()),
+            ..PlacementRequest::default()
+        };
         sent[place(&servers, &work, &terms).unwrap()] += 1;
     }
 
@@ -76,10 +79,10 @@
 
 #[test]
 fn a_server_that_keeps_the_parts_is_weighed_wherever_its_hash_is() {
-    let terms = PlacementTerms { choices: 1, ..PlacementTerms::default() };
+    let terms = PlacementConfig { choices: 1, ..PlacementConfig::default() };
     for keeper in 0..6 {
         let mut servers = pool();
-        servers[keeper].kept_tokens = 20_000;
+        servers[keeper].cached_tokens = 20_000;
 
         assert_eq!(place(&servers, &work(7, 20_000), &terms), Some(keeper));
     }
@@ -90,7 +93,7 @@
     for key in 0..50 {
         let here = pool();
         let mut there = pool();
-        there.iter_mut().for_each(|c| c.is_near = !c.is_near);
+        there.iter_mut().for_each(|c| c.is_same_zone = !c.is_same_zone);
 
         assert_eq!(chosen(&here, &work(key, 5_000)), chosen(&there, &work(key, 5_000)));
     }
@@ -108,49 +111,50 @@
 #[test]
 fn a_model_that_reads_fast_keeps_long_parts_in_each_zone() {
     for key in 0..50 {
-        let fast = Work { token_time: Duration::from_micros(3), ..work(key, 5_000) };
+        let fast =
+            PlacementRequest { prefill_token_time: Duration::from_micros(3), ..work(key, 5_000) };
         assert!(chosen(&pool(), &fast).unwrap() < 3);
     }
 }
 
-fn marks(ids: &[u64]) -> Vec<PromptMark> {
+fn marks(ids: &[u64]) -> Vec<PromptPrefix> {
     let part = |id: &u64| PromptPart { id: *id, tokens: 1_000 };
     let own = PromptPart { id: 99, tokens: 10 };
     let parts: Vec<_> = ids.iter().map(part).chain([own]).collect();
-    shared_marks("large", &parts)
+    shared_prefixes("large", &parts)
 }
 
 #[test]
 fn parts_are_kept_behind_the_same_parts_only() {
-    let mut kept = KeptParts::default();
-    kept.note_sent(&marks(&[1, 2]), 2_010);
+    let mut kept = CachedPrefixes::default();
+    kept.record_sent(&marks(&[1, 2]), 2_010);
 
-    assert_eq!(kept.kept_tokens(&marks(&[1, 2, 3])), 2_000);
-    assert_eq!(kept.kept_tokens(&marks(&[1, 3])), 1_000);
-    assert_eq!(kept.kept_tokens(&marks(&[2])), 0);
+    assert_eq!(kept.cached_tokens(&marks(&[1, 2, 3])), 2_000);
+    assert_eq!(kept.cached_tokens(&marks(&[1, 3])), 1_000);
+    assert_eq!(kept.cached_tokens(&marks(&[2])), 0);
 }
 
 #[test]
 fn a_part_is_gone_once_the_server_has_read_enough_since() {
-    let mut kept = KeptParts::default();
-    kept.set_memory(400_000);
-    kept.note_sent(&marks(&[1]), 1_010);
-    kept.note_sent(&marks(&[2]), 230_000);
-    assert_eq!(kept.kept_tokens(&marks(&[1])), 1_000);
+    let mut kept = CachedPrefixes::default();
+    kept.set_capacity(400_000);
+    kept.record_sent(&marks(&[1]), 1_010);
+    kept.record_sent(&marks(&[2]), 230_000);
+    assert_eq!(kept.cached_tokens(&marks(&[1])), 1_000);
 
-    kept.note_sent(&marks(&[3]), 10_000);
+    kept.record_sent(&marks(&[3]), 10_000);
 
-    assert_eq!(kept.kept_tokens(&marks(&[1])), 0);
-    assert_eq!(kept.kept_tokens(&marks(&[2])), 1_000);
+    assert_eq!(kept.cached_tokens(&marks(&[1])), 0);
+    assert_eq!(kept.cached_tokens(&marks(&[2])), 1_000);
 }
 
 #[test]
 fn other_entries_are_told_of_a_part_once_and_again_after_a_while() {
-    let mut kept = KeptParts::default();
+    let mut kept = CachedPrefixes::default();
     let parts = marks(&[1]);
     let mut tell_at = |now: Duration| {
-        kept.note_sent(&parts, 10);
-        kept.to_report(&parts, now)
+        kept.record_sent(&parts, 10);
+        kept.take_report(&parts, now)
     };
 
     assert_eq!(tell_at(MS), Some(parts[0]));
@@ -160,31 +164,31 @@
 
 #[test]
 fn a_note_of_the_last_part_stands_for_all_before_it_and_short_ones_are_not_told() {
-    let (mut sender, mut told) = (KeptParts::default(), KeptParts::default());
+    let (mut sender, mut told) = (CachedPrefixes::default(), CachedPrefixes::default());
     let long = marks(&[1, 2]);
-    let short = [PromptMark { hash: 7, tokens: 500 }];
-    sender.note_sent(&long, 2_010);
-    sender.note_sent(&short, 510);
+    let short = [PromptPrefix { hash: 7, tokens: 500 }];
+    sender.record_sent(&long, 2_010);
+    sender.record_sent(&short, 510);
 
-    let note = sender.to_report(&long, MS).unwrap();
-    told.note_reported(note.hash, note.tokens);
+    let note = sender.take_report(&long, MS).unwrap();
+    told.record_peer_report(note.hash, note.tokens);
 
     assert_eq!(note.tokens, 2_000);
-    assert_eq!(told.kept_tokens(&long), 2_000);
-    assert_eq!(told.kept_tokens(&marks(&[1, 2, 3])), 2_000);
-    assert_eq!(sender.to_report(&short, MS), None);
+    assert_eq!(told.cached_tokens(&long), 2_000);
+    assert_eq!(told.cached_tokens(&marks(&[1, 2, 3])), 2_000);
+    assert_eq!(sender.take_report(&short, MS), None);
 }
 
 #[test]
 fn the_record_of_a_server_is_bounded() {
-    let mut kept = KeptParts::default();
+    let mut kept = CachedPrefixes::default();
 
     for id in 0..10_000 {
-        kept.note_reported(id, 100);
+        kept.record_peer_report(id, 100);
     }
 
     assert!(kept.len() <= 512);
-    assert_eq!(kept.kept_tokens(&[PromptMark { hash: 9_999, tokens: 100 }]), 100);
+    assert_eq!(kept.cached_tokens(&[PromptPrefix { hash: 9_999, tokens: 100 }]), 100);
 }
 
 #[test]
@@ -192,7 +196,7 @@
     let mut pool = pool();
     let home = chosen(&pool, &work(7, 5_000)).unwrap();
     let other = (home + 1) % pool.len();
-    pool[other].kept_tokens = 5_000;
+    pool[other].cached_tokens = 5_000;
     assert_eq!(chosen(&pool, &work(7, 5_000)), Some(other));
 
     pool[other].backlog = Duration::from_secs(2);
@@ -210,8 +214,8 @@
 
 #[test]
 fn nothing_is_chosen_where_there_is_no_server() {
-    assert!(chosen(&pool(), &Work::default()).is_some());
-    assert_eq!(chosen(&[], &Work::default()), None);
+    assert!(chosen(&pool(), &PlacementRequest::default()).is_some());
+    assert_eq!(chosen(&[], &PlacementRequest::default()), None);
 }
 
 #[test]
@@ -236,7 +240,7 @@
     let mut pool = pool();
     pool[..3].iter_mut().for_each(|c| c.load = 40.0);
 
-    assert!(chosen(&pool, &Work::default()).unwrap() >= 3);
+    assert!(chosen(&pool, &PlacementRequest::default()).unwrap() >= 3);
 }
 
 #[test]
@@ -436,12 +440,12 @@
     for _ in 0..50 {
         belief.note(10_000, Duration::ZERO, Duration::from_millis(150));
     }
-    let alone = belief.token_time();
+    let alone = belief.prefill_token_time();
     for _ in 0..10 {
         belief.note(10_000, Duration::ZERO, Duration::from_millis(2_000));
     }
 
-    assert!(belief.token_time() < alone * 2);
+    assert!(belief.prefill_token_time() < alone * 2);
     assert!(belief.head_time().unwrap() > Duration::from_millis(500));
 }
 
--- a/tests/play/engine.rs
+++ b/tests/play/engine.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use mintmoor::policy::kept::PromptMark;
+use mintmoor::policy::kept::PromptPrefix;
 
 /// Speed and size of an engine.
 #[derive(Clone, Copy, Debug)]
@@ -89,7 +89,7 @@
     }
 
     /// Begins a request; its own tokens are always read, the parts it keeps are not.
-    pub fn begin(&mut self, id: usize, pace: f64, marks: &[PromptMark], own: u64, answer: u64) {
+    pub fn begin(&mut self, id: usize, pace: f64, marks: &[PromptPrefix], own: u64, answer: u64) {
         let kept = marks.iter().take_while(|m| self.kept.contains_key(&m.hash)).count();
         let shared: u64 = marks[kept..].iter().map(|m| m.tokens).sum();
         self.shared_read += shared;
--- a/tests/play/fleet.rs
+++ b/tests/play/fleet.rs
@@ -1,6 +1,6 @@
 //! Entries that share one pool, few and many: what old news of the load does to the choice of a server.
 
-use mintmoor::policy::placement::PlacementTerms;
+use mintmoor::policy::placement::PlacementConfig;
 
 use crate::{
     engine::Speed,
@@ -19,7 +19,7 @@
         entries,
         zones: 5.min(entries),
         escalation: Escalation::ExpectedWait,
-        terms: PlacementTerms { choices, ..PlacementTerms::default() },
+        terms: PlacementConfig { choices, ..PlacementConfig::default() },
         lost: None,
     };
     let all = arrivals(&setup.kinds, entries, 8.0, 1, |_| times);
@@ -39,7 +39,7 @@
     for (entries, engines) in [(3, 9), (17, 40), (103, ENGINES)] {
         for times in [1.0, 2.5] {
             let all = play_pool(entries, engines, times, usize::MAX);
-            let few = play_pool(entries, engines, times, PlacementTerms::default().choices);
+            let few = play_pool(entries, engines, times, PlacementConfig::default().choices);
 
             println!("{entries} entries, {times} times: all {}; few {}", told(&all), told(&few));
             assert!(few.worth > all.worth * 0.985, "{entries} entries, {times} times");
--- a/tests/play/mix.rs
+++ b/tests/play/mix.rs
@@ -1,6 +1,6 @@
 //! Kinds of request and their arrivals, drawn from a seed.
 
-use mintmoor::{policy::kept::PromptMark, policy::kept::shared_marks, routing::PromptPart};
+use mintmoor::{policy::kept::PromptPrefix, policy::kept::shared_prefixes, routing::PromptPart};
 use rand::{Rng, RngExt, SeedableRng, rngs::StdRng};
 
 /// One kind of request.
@@ -47,8 +47,8 @@
 
 impl Arrival {
     /// Parts of its prompt that others share, for a model.
-    pub fn marks(&self, model: &Model) -> Vec<PromptMark> {
-        shared_marks(model.name, &self.parts)
+    pub fn marks(&self, model: &Model) -> Vec<PromptPrefix> {
+        shared_prefixes(model.name, &self.parts)
     }
 
     /// Tokens of the prompt.
--- a/tests/play/overload.rs
+++ b/tests/play/overload.rs
@@ -1,6 +1,6 @@
 //! Sustained overload: what the largest model is asked, and what that leaves for the others.
 
-use mintmoor::policy::placement::PlacementTerms;
+use mintmoor::policy::placement::PlacementConfig;
 
 use crate::{
     engine::Speed,
@@ -25,7 +25,7 @@
 struct Policy {
     memory: Memory,
     escalation: Escalation,
-    terms: PlacementTerms,
+    terms: PlacementConfig,
 }
 
 fn former() -> Policy {
@@ -35,7 +35,7 @@
 
 fn current() -> Policy {
     let (memory, escalation) = (Memory::Kept, Escalation::ExpectedWait);
-    Policy { memory, escalation, terms: PlacementTerms::default() }
+    Policy { memory, escalation, terms: PlacementConfig::default() }
 }
 
 /// Mean part of the answers in time, and mean worth, over the seeds.
--- a/tests/play/placing.rs
+++ b/tests/play/placing.rs
@@ -1,6 +1,6 @@
 //! Placing by what servers keep, against placing by a hash of the shared parts alone.
 
-use mintmoor::policy::placement::PlacementTerms;
+use mintmoor::policy::placement::PlacementConfig;
 
 use crate::{
     engine::Speed,
@@ -12,7 +12,7 @@
 const SECONDS: f64 = 30.0;
 
 fn setup(kinds: Vec<Kind>, speeds: Vec<Speed>) -> Setup {
-    let (escalation, terms) = (Escalation::MeanWait, PlacementTerms::default());
+    let (escalation, terms) = (Escalation::MeanWait, PlacementConfig::default());
     Setup { kinds, speeds, entries: 3, zones: 3, escalation, terms, lost: None }
 }
 
--- a/tests/play/system.rs
+++ b/tests/play/system.rs
@@ -4,9 +4,9 @@
 
 use mintmoor::policy::{
     escalation::{EscalationTerms, StageAnswer, escalate},
-    kept::{KeptParts, PromptMark},
+    kept::{CachedPrefixes, PromptPrefix},
     load::LoadBelief,
-    placement::{Candidate, PlacementTerms, Work, hash_id, place},
+    placement::{Candidate, PlacementConfig, PlacementRequest, hash_id, place},
 };
 
 use crate::{
@@ -47,18 +47,18 @@
     /// AvailabilityZones that entries and engines stand in by turns.
     pub zones: usize,
     pub escalation: Escalation,
-    pub terms: PlacementTerms,
+    pub terms: PlacementConfig,
     /// An engine that is lost, and when.
     pub lost: Option<(usize, f64)>,
 }
 
 /// The charges before bodies counted by their size and crowding counted at all.
-pub fn flat_terms() -> PlacementTerms {
-    PlacementTerms {
+pub fn flat_terms() -> PlacementConfig {
+    PlacementConfig {
         far: Duration::from_millis(30),
         far_kilobyte: Duration::ZERO,
         spare_backlog: Duration::from_secs(1_000),
-        ..PlacementTerms::default()
+        ..PlacementConfig::default()
     }
 }
 
@@ -120,7 +120,7 @@
 /// One entry's knowledge of one engine.
 #[derive(Clone, Debug, Default)]
 struct View {
-    kept: KeptParts,
+    kept: CachedPrefixes,
     load: LoadBelief,
     backlog: f64,
 }
@@ -129,7 +129,7 @@
     /// Knows of an engine's memory, as the configuration tells it.
     fn of(speed: &Speed) -> Self {
         let mut view = Self::default();
-        view.kept.set_memory(speed.memory);
+        view.kept.set_capacity(speed.memory);
         view
     }
 
@@ -158,7 +158,7 @@
     at: f64,
     from: usize,
     engine: usize,
-    mark: PromptMark,
+    mark: PromptPrefix,
 }
 
 struct System<'a> {
@@ -261,7 +261,9 @@
 
     fn pass_on(&mut self, note: &Note) {
         for entry in (0..self.setup.entries).filter(|entry| *entry != note.from) {
-            self.views[entry][note.engine].kept.note_reported(note.mark.hash, note.mark.tokens);
+            self.views[entry][note.engine]
+                .kept
+                .record_peer_report(note.mark.hash, note.mark.tokens);
         }
     }
 
@@ -346,28 +348,28 @@
     /// The engine that is chosen, and the tokens that it is believed to have to read.
     fn choose(&self, arrival: &Arrival, model: &Model, now: f64) -> (usize, u64) {
         let marks = arrival.marks(model);
-        let work = Work {
+        let work = PlacementRequest {
             affinity: marks.last().map(|mark| u64::from(mark.hash)),
             shared_tokens: marks.iter().map(|mark| mark.tokens).sum(),
-            token_time: Duration::from_secs_f64(self.token_time(model)),
+            prefill_token_time: Duration::from_secs_f64(self.token_time(model)),
             // A byte for each token, as prompts come.
             bytes: arrival.prompt_tokens() as usize,
-            draw: 0,
+            request_hash: 0,
         };
         let views = &self.views[arrival.entry];
         let at = Duration::from_secs_f64(now);
         let known = |view: &View| match self.memory {
             Memory::HashOnly => 0,
-            Memory::Kept => view.kept.kept_tokens(&marks),
+            Memory::Kept => view.kept.cached_tokens(&marks),
         };
         let candidate = |engine: usize| Candidate {
             id_hash: hash_id(&format!("engine-{engine}")),
             load: views[engine].load.estimate(at),
             slots: 64,
             backlog: views[engine].own_backlog() + views[engine].load.others_backlog_for_choice(at),
-            kept_tokens: known(&views[engine]),
+            cached_tokens: known(&views[engine]),
             failure_rate: 0.0,
-            is_near: self.is_near(engine, arrival.entry),
+            is_same_zone: self.is_near(engine, arrival.entry),
         };
         let engines: Vec<usize> =
             (0..self.engines.len()).filter(|engine| !self.is_lost(*engine, now)).collect();
@@ -389,8 +391,8 @@
         let view = &mut self.views[arrival.entry][engine];
         view.load.own += 1;
         view.backlog += sent.reading;
-        view.kept.note_sent(&marks, unread);
-        if let Some(mark) = view.kept.to_report(&marks, Duration::from_secs_f64(now)) {
+        view.kept.record_sent(&marks, unread);
+        if let Some(mark) = view.kept.take_report(&marks, Duration::from_secs_f64(now)) {
             self.notes.push(Note { at: now, from: arrival.entry, engine, mark });
         }
         let id = self.sent.len();
