--- a/src/policy/patience.rs
+++ b/src/policy/patience.rs
@@ -29,9 +29,9 @@
 
 /// The two waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
+pub struct AnswerTimeouts {
     /// With a server that is silent on all its connections.
-    pub dark: Duration,
+    pub silent: Duration,
     /// With a server that answers others.
     pub slow: Duration,
 }
@@ -43,25 +43,25 @@
 
 /// Wait for an answer's head where another server may be tried after; `awaited` counts the answers that
 /// are awaited at the server.
-pub fn head_patience(
+pub fn head_timeouts(
     kind: RouteKind,
     objective: Duration,
     mean: Option<Duration>,
     reading: Duration,
     awaited: u32,
-) -> Patience {
+) -> AnswerTimeouts {
     let by_mean = mean.unwrap_or(objective) * MEAN_WAITS;
     let least = objective.mul_f64(OBJECTIVE_PART);
     let slow = by_mean.max(least) + reading;
     if kind != RouteKind::Stream {
-        return Patience { dark: slow, slow };
+        return AnswerTimeouts { silent: slow, slow };
     }
     let dark = dark_after(awaited);
-    Patience { dark: dark + reading, slow: slow.max(dark) }
+    AnswerTimeouts { silent: dark + reading, slow: slow.max(dark) }
 }
 
 /// Wait for a stream's next event where the stream may go on at another server.
-pub fn event_patience(allowed_pause: Option<Duration>, awaited: u32) -> Patience {
+pub fn event_timeouts(allowed_pause: Option<Duration>, awaited: u32) -> AnswerTimeouts {
     let slow = allowed_pause.unwrap_or(DEFAULT_PAUSE).mul_f64(PAUSES);
-    Patience { dark: dark_after(awaited), slow }
+    AnswerTimeouts { silent: dark_after(awaited), slow }
 }
--- a/src/policy/reading.rs
+++ b/src/policy/reading.rs
@@ -33,7 +33,7 @@
 
 /// What was learned about one model, or about a service without models.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ReadingBelief {
+pub struct TimingEstimate {
     prefill_token_time: f64,
     /// How many times longer heads take than the prompts before them and their own need for
     /// reading: running streams take their part of each step.
@@ -43,7 +43,7 @@
     pace: Option<f64>,
 }
 
-impl Default for ReadingBelief {
+impl Default for TimingEstimate {
     fn default() -> Self {
         Self {
             prefill_token_time: FIRST_GUESS,
@@ -54,10 +54,10 @@
     }
 }
 
-impl ReadingBelief {
+impl TimingEstimate {
     /// Notes the time from a request to its answer's head. The server had to read so many tokens of
     /// its prompt, after other prompts that took so long.
-    pub fn note(&mut self, prompt_tokens: u64, ahead: Duration, took: Duration) {
+    pub fn record_head(&mut self, prompt_tokens: u64, ahead: Duration, took: Duration) {
         let needed = ahead.as_secs_f64() + self.prefill_token_time * prompt_tokens as f64;
         if needed > FIXED {
             let stretch = (took.as_secs_f64() - FIXED).max(0.0) / needed;
@@ -76,7 +76,7 @@
     }
 
     /// Whether an answer's head took several times longer than such heads do.
-    pub fn is_slow(&self, prompt_tokens: u64, took: Duration) -> bool {
+    pub fn is_slow_head(&self, prompt_tokens: u64, took: Duration) -> bool {
         let Some(mean) = self.head_time else {
             return false;
         };
@@ -87,14 +87,14 @@
     }
 
     /// Notes a stream's mean time between two events.
-    pub fn note_pace(&mut self, pace: Duration) {
+    pub fn record_event_interval(&mut self, pace: Duration) {
         let pace = pace.as_secs_f64();
         let mean = self.pace.get_or_insert(pace);
         *mean += (pace - *mean) * MEAN_STEP;
     }
 
     /// Whether so many pauses between events took several times longer than they do.
-    pub fn is_trickle(&self, pauses: u32, took: Duration) -> bool {
+    pub fn is_slow_stream(&self, pauses: u32, took: Duration) -> bool {
         let Some(pace) = self.pace else {
             return false;
         };
@@ -108,18 +108,18 @@
     }
 
     /// Time to read a prompt on an engine with nothing else to read.
-    pub fn reading_time(&self, prompt_tokens: u64) -> Duration {
+    pub fn prefill_time(&self, prompt_tokens: u64) -> Duration {
         Duration::from_secs_f64(self.prefill_token_time * prompt_tokens as f64)
     }
 
     /// Time until the head of an answer that is asked for now, after prompts that take so long.
-    pub fn expected_head(&self, prompt_tokens: u64, ahead: Duration) -> Duration {
+    pub fn expected_head_time(&self, prompt_tokens: u64, ahead: Duration) -> Duration {
         let needed = ahead.as_secs_f64() + self.prefill_token_time * prompt_tokens as f64;
         Duration::from_secs_f64(FIXED + needed * self.stretch)
     }
 
     /// Mean time to an answer's head; none before the first answer.
-    pub fn head_time(&self) -> Option<Duration> {
+    pub fn mean_head_time(&self) -> Option<Duration> {
         self.head_time.map(Duration::from_secs_f64)
     }
 }
--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -13,7 +13,7 @@
         answers::read_answer,
         headers::{AttemptHeaders, write_attempt},
     },
-    policy::{availability::Cause, kept::PromptPrefix, patience::Patience},
+    policy::{availability::Cause, kept::PromptPrefix, patience::AnswerTimeouts},
     router::{
         Member, Router,
         connection::{self, Checkout, ConnectError, Connection},
@@ -37,7 +37,7 @@
 impl AtServer {
     fn enter(member: &Arc<Member>, reading: Duration) -> Self {
         let mut record = member.record();
-        record.load.own += 1;
+        record.load.own_requests += 1;
         record.unanswered += 1;
         record.backlog += reading;
         drop(record);
@@ -58,7 +58,7 @@
 impl Drop for AtServer {
     fn drop(&mut self) {
         self.note_begun();
-        self.member.record().load.own -= 1;
+        self.member.record().load.own_requests -= 1;
     }
 }
 
@@ -139,7 +139,7 @@
     /// Tokens of the prompt that the server has to read.
     pub(crate) unread_tokens: u64,
     /// How long its silence is tolerated; none where no other server may be tried after.
-    pub(crate) patience: Option<Patience>,
+    pub(crate) patience: Option<AnswerTimeouts>,
     /// When the request is given up in any case.
     pub(crate) deadline: Duration,
 }
@@ -158,7 +158,7 @@
     plan: &Plan<'_>,
     may_leave: impl FnMut() -> bool,
 ) -> Result<OpenAnswer, AttemptError> {
-    let reading = router.readings.get(plan.reading_key).reading_time(plan.unread_tokens);
+    let reading = router.readings.get(plan.reading_key).prefill_time(plan.unread_tokens);
     let ahead = plan.member.backlog(router.now());
     let mut at_server = AtServer::enter(plan.member, reading);
     let sent_at = router.now();
@@ -178,12 +178,12 @@
     let head = read_answer(parts.status, &parts.headers, &job.req.head.id);
     note_head(router, plan.member, &head, &job.req.head.id, sent_at);
     let (tokens, took) = (plan.unread_tokens, began.elapsed());
-    let is_slow = router.readings.get(plan.reading_key).is_slow(tokens, took);
+    let is_slow = router.readings.get(plan.reading_key).is_slow_head(tokens, took);
     if head.kind == AnswerKind::Success {
         router.readings.note_head_time(plan.reading_key, tokens, ahead, took);
     }
     if let Some(load) = head.load {
-        plan.member.record().load.note_report(load, router.now());
+        plan.member.record().load.record_report(load, router.now());
     }
     let member = plan.member.clone();
     if !matches!(head.kind, AnswerKind::Success) {
--- a/src/router/choice.rs
+++ b/src/router/choice.rs
@@ -133,8 +133,8 @@
     };
     let unread = prompt_tokens.saturating_sub(kept);
     Expected {
-        head: belief.expected_head(unread, ahead),
-        head_alone: belief.expected_head(unread, Duration::ZERO),
+        head: belief.expected_head_time(unread, ahead),
+        head_alone: belief.expected_head_time(unread, Duration::ZERO),
     }
 }
 
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -7,7 +7,7 @@
     policy::{
         attempt::{self, AttemptEvent, AttemptState, Verdict, judge, may_send_again},
         availability::Cause,
-        patience::head_patience,
+        patience::head_timeouts,
     },
     router::{
         Member, Router,
@@ -131,11 +131,11 @@
     let cached_tokens: u64 = marks[..kept_marks].iter().map(|mark| mark.tokens).sum();
     let unread_tokens = prompt_tokens.saturating_sub(cached_tokens);
     // What is believed to be kept may be gone: the time for the whole prompt is allowed.
-    let reading = belief.reading_time(prompt_tokens);
+    let reading = belief.prefill_time(prompt_tokens);
     let (kind, objective) = (job.route.kind, job.route.objective);
     // This one is awaited there, too.
     let awaited = member.awaited() + 1;
-    let patience = head_patience(kind, objective, belief.head_time(), reading, awaited);
+    let patience = head_timeouts(kind, objective, belief.mean_head_time(), reading, awaited);
     let plan = Plan {
         member,
         headers: AttemptHeaders {
--- a/src/router/member.rs
+++ b/src/router/member.rs
@@ -15,7 +15,7 @@
         availability::Signals,
         failure_rate::FailureRate,
         kept::{CachedPrefixes, PromptPrefix},
-        load::LoadBelief,
+        load::LoadEstimate,
         outlier::{Outlier, OutlierRules},
         placement::{Candidate, hash_id},
         quarantine::LifeHash,
@@ -56,7 +56,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Record {
     /// Belief about its load.
-    pub(crate) load: LoadBelief,
+    pub(crate) load: LoadEstimate,
     /// Its failures in a row.
     pub(crate) outlier: Outlier,
     /// Its failures of late.
@@ -243,13 +243,13 @@
     /// Time for prompts sent to it that are not read yet, of all entries.
     pub(crate) fn backlog(&self, now: Duration) -> Duration {
         let record = self.record();
-        record.backlog + record.load.others_backlog(now)
+        record.backlog + record.load.peer_backlog(now)
     }
 
     /// The same as far as it counts in the choice of a server.
     pub(crate) fn backlog_for_choice(&self, now: Duration) -> Duration {
         let record = self.record();
-        record.backlog + record.load.others_backlog_for_choice(now)
+        record.backlog + record.load.peer_backlog_for_placement(now)
     }
 
     /// Hash of the server's life, cut to four bytes for the messages between entries: rarely two
@@ -274,7 +274,7 @@
 
     /// Answers of this entry that are awaited there.
     pub(crate) fn awaited(&self) -> u32 {
-        self.record().load.own
+        self.record().load.own_requests
     }
 
     /// When anything last came from it.
@@ -290,7 +290,7 @@
     /// Notes a pause that it asked for as it rejected a request; whether none was under way.
     pub(super) fn note_pause(&self, pause: Duration, now: Duration) -> bool {
         let mut record = self.record();
-        let others = record.load.own.saturating_sub(1);
+        let others = record.load.own_requests.saturating_sub(1);
         record.window.note_rejection(others, now);
         record.announced.note_pause(pause, now)
     }
@@ -310,7 +310,7 @@
             row_draining_since: self.draining_since,
             announced: record.announced,
             unanswered: record.unanswered,
-            at_server: record.load.own,
+            at_server: record.load.own_requests,
             window: record.window,
             is_ejected: record.outlier.is_passed_over(now),
             ..Signals::default()
@@ -327,9 +327,9 @@
         let record = self.record();
         Candidate {
             id_hash: self.id_hash,
-            load: record.load.estimate(now),
+            load: record.load.estimated_requests(now),
             slots: self.server.slots,
-            backlog: record.backlog + record.load.others_backlog_for_choice(now),
+            backlog: record.backlog + record.load.peer_backlog_for_placement(now),
             cached_tokens: record.kept.cached_tokens(marks),
             failure_rate: record.failures.get(now),
             is_same_zone: &*self.server.zone == zone,
@@ -350,7 +350,7 @@
             "version": self.server.version,
             "zone": self.server.zone,
             "draining_row": self.server.is_draining,
-            "load": record.load.estimate(now),
+            "load": record.load.estimated_requests(now),
             "cold_ms": self.cold_until.saturating_sub(now).as_millis() as u64,
             "failure_rate": record.failures.get(now),
             "out": record.outlier.is_out(now),
--- a/src/router/readings.rs
+++ b/src/router/readings.rs
@@ -6,21 +6,21 @@
     time::Duration,
 };
 
-use crate::policy::reading::ReadingBelief;
+use crate::policy::reading::TimingEstimate;
 
 /// Beliefs by model, or by service where there is no model.
 #[derive(Debug, Default)]
 pub(crate) struct Readings {
-    by_key: Mutex<HashMap<Box<str>, ReadingBelief>>,
+    by_key: Mutex<HashMap<Box<str>, TimingEstimate>>,
 }
 
 impl Readings {
-    fn lock(&self) -> MutexGuard<'_, HashMap<Box<str>, ReadingBelief>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<Box<str>, TimingEstimate>> {
         self.by_key.lock().expect("no panics under the lock")
     }
 
     /// What was learned so far.
-    pub(crate) fn get(&self, key: &str) -> ReadingBelief {
+    pub(crate) fn get(&self, key: &str) -> TimingEstimate {
         self.lock().get(key).copied().unwrap_or_default()
     }
 
@@ -32,11 +32,11 @@
         ahead: Duration,
         took: Duration,
     ) {
-        self.lock().entry(key.into()).or_default().note(unread_tokens, ahead, took);
+        self.lock().entry(key.into()).or_default().record_head(unread_tokens, ahead, took);
     }
 
     /// Learns from a stream's mean time between two events.
     pub(crate) fn note_pace(&self, key: &str, pace: Duration) {
-        self.lock().entry(key.into()).or_default().note_pace(pace);
+        self.lock().entry(key.into()).or_default().record_event_interval(pace);
     }
 }
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -8,8 +8,8 @@
 
 use crate::{
     policy::{
-        patience::{Patience, event_patience},
-        reading::ReadingBelief,
+        patience::{AnswerTimeouts, event_timeouts},
+        reading::TimingEstimate,
     },
     router::{
         EventSplitter, Member, Router,
@@ -315,7 +315,7 @@
     /// Counts a run against its version as soon as its events come far too slowly.
     fn judge_event(&self, answer: &OpenAnswer, run: &mut RunTiming) {
         run.note_event(Instant::now());
-        if run.is_judged || !self.reading().is_trickle(run.pauses, run.took()) {
+        if run.is_judged || !self.reading().is_slow_stream(run.pauses, run.took()) {
             return;
         }
         run.is_judged = true;
@@ -335,7 +335,7 @@
         }
     }
 
-    fn reading(&self) -> ReadingBelief {
+    fn reading(&self) -> TimingEstimate {
         self.router.readings.get(self.reading_key())
     }
 
@@ -375,8 +375,8 @@
     }
 
     /// How long the server's silence is tolerated; without end where nothing else could be done.
-    fn patience(&self, server: &Member) -> Option<Patience> {
+    fn patience(&self, server: &Member) -> Option<AnswerTimeouts> {
         let may_resume = self.job.route.is_resumable && self.job.runs_left() > 0;
-        may_resume.then(|| event_patience(self.job.route.event_gap, server.awaited()))
+        may_resume.then(|| event_timeouts(self.job.route.event_gap, server.awaited()))
     }
 }
--- a/src/router/silence.rs
+++ b/src/router/silence.rs
@@ -3,7 +3,7 @@
 use std::{future::Future, pin::Pin, time::Duration};
 
 use crate::{
-    policy::patience::Patience,
+    policy::patience::AnswerTimeouts,
     router::{Member, Router, job::Job},
 };
 
@@ -16,7 +16,7 @@
     pub(crate) job: &'a Job,
     pub(crate) member: &'a Member,
     /// How long silence is tolerated; none where nothing else could be done.
-    pub(crate) patience: Option<Patience>,
+    pub(crate) patience: Option<AnswerTimeouts>,
     /// On the entry's clock.
     pub(crate) deadline: Duration,
     /// Whether something of the answer is here: the server runs the request and lives.
@@ -61,7 +61,7 @@
     };
     let began = router.now();
     let slow_at = began + patience.slow;
-    let mut look = slow_at.min(began + patience.dark);
+    let mut look = slow_at.min(began + patience.silent);
     loop {
         if let Some(output) = router.clock.until(deadline.min(look), work.as_mut()).await {
             return Some(output);
@@ -72,7 +72,7 @@
         }
         let silent_since = member.received_at().max(began);
         // A server that reads a long prompt says nothing meanwhile.
-        let dark_at = silent_since + patience.dark + member.backlog_for_choice(now);
+        let dark_at = silent_since + patience.silent + member.backlog_for_choice(now);
         if (now >= slow_at || now >= dark_at) && may_leave() {
             return None;
         }
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -8,10 +8,10 @@
         exposure::{ExposureTerms, request_share_at, session_share_at, takes_new},
         failure_rate::FailureRate,
         kept::{CachedPrefixes, PromptPrefix, shared_prefixes},
-        load::{LoadBelief, ReportedLoad},
-        patience::{event_patience, head_patience},
+        load::{LoadEstimate, ReportedLoad},
+        patience::{event_timeouts, head_timeouts},
         placement::{Candidate, PlacementConfig, PlacementRequest, hash_id, place},
-        reading::ReadingBelief,
+        reading::TimingEstimate,
         roll_out::{Evidence, Finding, VersionTest},
         send_budget::{SendBudget, SendTerms},
         stopping::still_fits,
@@ -245,27 +245,30 @@
 
 #[test]
 fn a_report_fades_and_own_requests_do_not() {
-    let mut belief = LoadBelief::default();
-    belief.own = 2;
-    belief.note_report(ReportedLoad { running: 9, waiting: 1, slots: 32 }, MS);
+    let mut belief = LoadEstimate::default();
+    belief.own_requests = 2;
+    belief.record_report(ReportedLoad { running: 9, waiting: 1, slots: 32 }, MS);
 
-    assert!((belief.estimate(MS) - 10.0).abs() < 1e-9);
-    let later = belief.estimate(Duration::from_secs(30));
+    assert!((belief.estimated_requests(MS) - 10.0).abs() < 1e-9);
+    let later = belief.estimated_requests(Duration::from_secs(30));
     assert!((2.0..2.01).contains(&later));
 }
 
 #[test]
 fn what_others_have_at_a_server_counts_until_it_is_read() {
-    let mut belief = LoadBelief::default();
-    belief.own = 1;
-    belief.note_others(7, Duration::from_millis(200), MS);
+    let mut belief = LoadEstimate::default();
+    belief.own_requests = 1;
+    belief.record_peer_load(7, Duration::from_millis(200), MS);
 
-    assert!((belief.estimate(MS) - 8.0).abs() < 1e-9);
-    assert_eq!(belief.others_backlog(MS * 51), Duration::from_millis(150));
-    assert_eq!(belief.others_backlog(MS * 2_000), Duration::ZERO);
-    belief.note_others(7, Duration::from_secs(9), MS);
-    assert_eq!(belief.others_backlog(MS), Duration::from_secs(9));
-    assert!(belief.others_backlog_for_choice(MS) < Duration::from_secs(1), "bounded in the choice");
+    assert!((belief.estimated_requests(MS) - 8.0).abs() < 1e-9);
+    assert_eq!(belief.peer_backlog(MS * 51), Duration::from_millis(150));
+    assert_eq!(belief.peer_backlog(MS * 2_000), Duration::ZERO);
+    belief.record_peer_load(7, Duration::from_secs(9), MS);
+    assert_eq!(belief.peer_backlog(MS), Duration::from_secs(9));
+    assert!(
+        belief.peer_backlog_for_placement(MS) < Duration::from_secs(1),
+        "bounded in the choice"
+    );
 }
 
 /// What all entries together may send beyond the ratio, and how many they are.
@@ -436,39 +439,39 @@
 
 #[test]
 fn waiting_makes_readings_slower_but_not_the_belief_in_the_best_one() {
-    let mut belief = ReadingBelief::default();
+    let mut belief = TimingEstimate::default();
     for _ in 0..50 {
-        belief.note(10_000, Duration::ZERO, Duration::from_millis(150));
+        belief.record_head(10_000, Duration::ZERO, Duration::from_millis(150));
     }
     let alone = belief.prefill_token_time();
     for _ in 0..10 {
-        belief.note(10_000, Duration::ZERO, Duration::from_millis(2_000));
+        belief.record_head(10_000, Duration::ZERO, Duration::from_millis(2_000));
     }
 
     assert!(belief.prefill_token_time() < alone * 2);
-    assert!(belief.head_time().unwrap() > Duration::from_millis(500));
+    assert!(belief.mean_head_time().unwrap() > Duration::from_millis(500));
 }
 
 #[test]
 fn a_silent_server_is_left_sooner_than_a_slow_one() {
     let objective = Duration::from_secs(2);
     let mean = Some(Duration::from_millis(900));
-    let patience = head_patience(RouteKind::Stream, objective, mean, Duration::ZERO, 1);
+    let patience = head_timeouts(RouteKind::Stream, objective, mean, Duration::ZERO, 1);
 
-    assert!(patience.dark < patience.slow);
+    assert!(patience.silent < patience.slow);
     assert!(patience.slow >= Duration::from_millis(3_600), "four times the mean");
 }
 
 #[test]
 fn the_silence_of_one_stream_is_borne_longer_than_that_of_many() {
     let gap = Some(1_200 * MS);
-    let dark = |awaited| event_patience(gap, awaited).dark;
+    let dark = |awaited| event_timeouts(gap, awaited).silent;
 
     // An engine that reads a prompt of 60,000 tokens makes an event in 1.8 s.
     assert!(dark(1) > 1_800 * MS);
     assert!(dark(2) < dark(1) && dark(16) < 1_200 * MS);
     assert_eq!(dark(0), dark(1));
-    assert!(event_patience(gap, 16).slow > 3_000 * MS, "a server that answers others is only slow");
+    assert!(event_timeouts(gap, 16).slow > 3_000 * MS, "a server that answers others is only slow");
 }
 
 fn route(kind: RouteKind) -> Route {
--- a/tests/play/system.rs
+++ b/tests/play/system.rs
@@ -5,7 +5,7 @@
 use mintmoor::policy::{
     escalation::{EscalationTerms, StageAnswer, escalate},
     kept::{CachedPrefixes, PromptPrefix},
-    load::LoadBelief,
+    load::LoadEstimate,
     placement::{Candidate, PlacementConfig, PlacementRequest, hash_id, place},
 };
 
@@ -121,7 +121,7 @@
 #[derive(Clone, Debug, Default)]
 struct View {
     kept: CachedPrefixes,
-    load: LoadBelief,
+    load: LoadEstimate,
     backlog: f64,
 }
 
@@ -139,7 +139,7 @@
 
     /// Time for the prompts of all entries that are not read yet.
     fn backlog(&self, now: Duration) -> Duration {
-        self.own_backlog() + self.load.others_backlog(now)
+        self.own_backlog() + self.load.peer_backlog(now)
     }
 }
 
@@ -248,13 +248,13 @@
     /// Lets each entry know what the others have at the engines.
     fn share_loads(&mut self, now: Duration) {
         for engine in 0..self.engines.len() {
-            let of = |view: &View| (view.load.own, view.own_backlog());
+            let of = |view: &View| (view.load.own_requests, view.own_backlog());
             let told: Vec<_> = self.views.iter().map(|views| of(&views[engine])).collect();
             let requests: u32 = told.iter().map(|(requests, _)| requests).sum();
             let backlog: Duration = told.iter().map(|(_, backlog)| backlog).sum();
             for (entry, (own, own_backlog)) in told.iter().enumerate() {
                 let load = &mut self.views[entry][engine].load;
-                load.note_others(requests - own, backlog - *own_backlog, now);
+                load.record_peer_load(requests - own, backlog - *own_backlog, now);
             }
         }
     }
@@ -292,7 +292,7 @@
     fn take_end(&mut self, id: usize, arrivals: &[Arrival]) {
         let sent = &self.sent[id];
         let arrival = &arrivals[sent.arrival];
-        self.views[arrival.entry][sent.engine].load.own -= 1;
+        self.views[arrival.entry][sent.engine].load.own_requests -= 1;
         if sent.is_asked_again {
             return;
         }
@@ -364,9 +364,10 @@
         };
         let candidate = |engine: usize| Candidate {
             id_hash: hash_id(&format!("engine-{engine}")),
-            load: views[engine].load.estimate(at),
+            load: views[engine].load.estimated_requests(at),
             slots: 64,
-            backlog: views[engine].own_backlog() + views[engine].load.others_backlog_for_choice(at),
+            backlog: views[engine].own_backlog()
+                + views[engine].load.peer_backlog_for_placement(at),
             cached_tokens: known(&views[engine]),
             failure_rate: 0.0,
             is_same_zone: self.is_near(engine, arrival.entry),
@@ -389,7 +390,7 @@
             self.outcome.far_bytes += arrival.prompt_tokens();
         }
         let view = &mut self.views[arrival.entry][engine];
-        view.load.own += 1;
+        view.load.own_requests += 1;
         view.backlog += sent.reading;
         view.kept.record_sent(&marks, unread);
         if let Some(mark) = view.kept.take_report(&marks, Duration::from_secs_f64(now)) {
