--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -206,7 +206,7 @@
         let prior = spec.map_or(0.5, |v| v.quality);
         let key = self.estimate_key(target, stage);
         let estimates = self.entry.estimates.lock().expect("no panics under the lock");
-        StageOutlook { cost: cost as f64, pass: estimates.pass(&key, prior) }
+        StageOutlook { cost: cost as f64, pass: estimates.pass_probability(&key, prior) }
     }
 
     /// Whether the time left holds the first stage and another after it.
@@ -346,17 +346,17 @@
         let mut estimates = self.entry.estimates.lock().expect("no panics under the lock");
         let Some(rating) = rating else {
             // Without ratings the last estimate decides, and it drifts to the safe side.
-            estimates.note_unrated(&key);
-            return estimates.pass(&key, 0.0) >= quality_target;
+            estimates.record_unrated(&key);
+            return estimates.pass_probability(&key, 0.0) >= quality_target;
         };
-        let steering = estimates.steering(&target.name, quality_target);
+        let steering = estimates.quality_balance(&target.name, quality_target);
         let good = match self.entry.policy.cascade {
             CascadePolicy::Fixed => rating >= quality_target,
             _ => is_good_enough(rating, quality_target, steering),
         };
-        estimates.note_pass(key, rating >= POOR_BELOW);
+        estimates.record_pass(key, rating >= POOR_BELOW);
         if good {
-            estimates.note_delivered(&target.name, quality_target, rating);
+            estimates.record_delivered(&target.name, quality_target, rating);
         }
         good
     }
@@ -377,8 +377,8 @@
                 return;
             };
             let mut estimates = entry.estimates.lock().expect("no panics under the lock");
-            estimates.note_pass(key, rating >= POOR_BELOW);
-            estimates.note_delivered(&name, quality, rating);
+            estimates.record_pass(key, rating >= POOR_BELOW);
+            estimates.record_delivered(&name, quality, rating);
         });
     }
 
--- a/src/entry/state.rs
+++ b/src/entry/state.rs
@@ -35,7 +35,7 @@
         Host, HostState, HttpClient, InsertOutcome, ObjectsClient, RatingsClient, Role, TableClient,
     },
     policy::{
-        cascade::Estimates,
+        cascade::CascadeEstimates,
         lifecycle::{self, Lifecycle, LifecycleEvent, LifecycleState},
         outlier::OutlierRules,
         retry::RetryBudget,
@@ -133,7 +133,7 @@
     pub(crate) relay: Mutex<Option<Box<str>>>,
     pub(crate) hosts: Mutex<Vec<Host>>,
     pub(crate) pulling: PullTurn,
-    pub(crate) estimates: Mutex<Estimates>,
+    pub(crate) estimates: Mutex<CascadeEstimates>,
     pub(crate) stage_times: Mutex<HashMap<VersionId, Duration>>,
     pub(crate) budgets: Mutex<HashMap<OrganisationId, RetryBudget>>,
     pub(crate) running_by_organisation: Mutex<HashMap<OrganisationId, u32>>,
@@ -354,10 +354,10 @@
         let estimates = self.estimates.lock().expect("no panics under the lock");
         let mut dump = BTreeMap::new();
         for (id, spec) in &snapshot.cascades {
-            let steering = estimates.steering(id, spec.quality_target);
+            let steering = estimates.quality_balance(id, spec.quality_target);
             let state = json!({
                 "credit": steering.credit,
-                "reached": steering.reached,
+                "reached": steering.mean_rating,
                 "target": spec.quality_target,
             });
             dump.insert(id.clone(), state);
--- a/src/policy/cascade.rs
+++ b/src/policy/cascade.rs
@@ -40,9 +40,9 @@
 
 /// Running estimates of one entry.
 #[derive(Clone, Debug, Default)]
-pub struct Estimates {
+pub struct CascadeEstimates {
     pass: HashMap<EstimateKey, Estimate>,
-    quality: HashMap<ObjectId, Steering>,
+    quality: HashMap<ObjectId, QualityBalance>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -53,16 +53,16 @@
 
 /// Quality one cascade has reached and what it has saved up.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Steering {
+pub struct QualityBalance {
     /// Sum of delivered ratings less the target, bounded; what may be spent on poor answers.
     pub credit: f64,
     /// Running mean of delivered ratings.
-    pub reached: f64,
+    pub mean_rating: f64,
 }
 
-impl Estimates {
+impl CascadeEstimates {
     /// Chance that a stage's answer passes; `prior` is the version's declared quality.
-    pub fn pass(&self, key: &EstimateKey, prior: f64) -> f64 {
+    pub fn pass_probability(&self, key: &EstimateKey, prior: f64) -> f64 {
         let Some(estimate) = self.pass.get(key) else {
             return prior;
         };
@@ -71,7 +71,7 @@
     }
 
     /// Notes whether a stage's answer passed.
-    pub fn note_pass(&mut self, key: EstimateKey, passed: bool) {
+    pub fn record_pass(&mut self, key: EstimateKey, passed: bool) {
         let value = if passed { 1.0 } else { 0.0 };
         let fresh = Estimate { mean: value, ratings: 0.0 };
         let estimate = self.pass.entry(key).or_insert(fresh);
@@ -81,22 +81,22 @@
     }
 
     /// Notes that an answer could not be rated: trust in its estimate fades.
-    pub fn note_unrated(&mut self, key: &EstimateKey) {
+    pub fn record_unrated(&mut self, key: &EstimateKey) {
         if let Some(estimate) = self.pass.get_mut(key) {
             estimate.mean *= 1.0 - DRIFT;
         }
     }
 
     /// Quality of a cascade so far.
-    pub fn steering(&self, cascade: &str, target: f64) -> Steering {
-        let start = Steering { credit: 0.0, reached: target };
+    pub fn quality_balance(&self, cascade: &str, target: f64) -> QualityBalance {
+        let start = QualityBalance { credit: 0.0, mean_rating: target };
         self.quality.get(cascade).copied().unwrap_or(start)
     }
 
     /// Notes that an answer with this rating was delivered.
-    pub fn note_delivered(&mut self, cascade: &ObjectId, target: f64, rating: f64) {
-        let mut steering = self.steering(cascade, target);
-        steering.reached += (rating - steering.reached) * STEP;
+    pub fn record_delivered(&mut self, cascade: &ObjectId, target: f64, rating: f64) {
+        let mut steering = self.quality_balance(cascade, target);
+        steering.mean_rating += (rating - steering.mean_rating) * STEP;
         steering.credit = (steering.credit + rating - target).clamp(-MAX_CREDIT, MAX_CREDIT);
         self.quality.insert(cascade.clone(), steering);
     }
@@ -142,6 +142,6 @@
 ///
 /// Below the target it is passed on only as far as better answers before it have paid for it, so
 /// the mean stays at the target and nothing is spent on reaching more.
-pub fn is_good_enough(rating: f64, target: f64, steering: Steering) -> bool {
+pub fn is_good_enough(rating: f64, target: f64, steering: QualityBalance) -> bool {
     rating >= target || steering.credit + rating - target >= 0.0
 }
--- a/src/policy/escalation.rs
+++ b/src/policy/escalation.rs
@@ -10,7 +10,7 @@
 
 /// When an answer is good enough; settings under `cascade`.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct EscalationTerms {
+pub struct EscalationConfig {
     /// Confidence, 0 to 100, from which an answer is passed on.
     pub confident: f64,
     /// The same under full pressure.
@@ -23,7 +23,7 @@
     pub pressure_full: f64,
 }
 
-impl Default for EscalationTerms {
+impl Default for EscalationConfig {
     fn default() -> Self {
         Self {
             // Of 45, 52, 60 and 75 the best in trials on both first sites (docs/decisions/0008).
@@ -67,15 +67,15 @@
     /// The model's opinion of its answer; none if it gave none.
     pub confidence: Option<u8>,
     /// Runs that the request may still cause.
-    pub runs_left: u32,
+    pub attempts_left: u32,
     /// Time until the caller's deadline.
     pub time_left: Duration,
     /// Time to the first event that the operator aims at.
     pub objective: Duration,
     /// Time until the largest model's first event, if it is asked now at the best server.
-    pub expected: Duration,
+    pub expected_first_event: Duration,
     /// The same if nothing else were to be read there before.
-    pub expected_alone: Duration,
+    pub expected_idle_first_event: Duration,
     /// Time since the request arrived.
     pub elapsed: Duration,
     /// Rank of the request, 0 the most urgent.
@@ -83,31 +83,33 @@
 }
 
 /// The stage to ask instead, or none to pass the answer on.
-pub fn escalate(answer: &StageAnswer, terms: &EscalationTerms) -> Option<usize> {
+pub fn escalate(answer: &StageAnswer, terms: &EscalationConfig) -> Option<usize> {
     let largest = answer.stages.checked_sub(1)?;
     let confidence = f64::from(answer.confidence?);
-    let may = answer.runs_left > 0 && answer.time_left >= LEAST_TIME;
+    let may = answer.attempts_left > 0 && answer.time_left >= LEAST_TIME;
     (answer.stage < largest && confidence < threshold(answer, terms) && may).then_some(largest)
 }
 
 /// How long the larger model may take to begin while this answer is kept in hand. Without an end to
 /// that wait, a caller whose deadline passes meanwhile gets nothing though an answer was there.
-pub fn time_to_begin(answer: &StageAnswer) -> Duration {
+pub fn escalation_timeout(answer: &StageAnswer) -> Duration {
     let by_objective = answer.objective.mul_f64(BEGIN_OBJECTIVES).saturating_sub(answer.elapsed);
     by_objective.min(answer.time_left.mul_f64(BEGIN_PART))
 }
 
 /// Confidence from which the answer is passed on.
-pub fn threshold(answer: &StageAnswer, terms: &EscalationTerms) -> f64 {
+pub fn threshold(answer: &StageAnswer, terms: &EscalationConfig) -> f64 {
     let objective = answer.objective.as_secs_f64().max(1e-3);
-    let behind = answer.expected.saturating_sub(answer.expected_alone).as_secs_f64() / objective;
-    if answer.elapsed + answer.expected > answer.objective {
+    let behind =
+        answer.expected_first_event.saturating_sub(answer.expected_idle_first_event).as_secs_f64()
+            / objective;
+    if answer.elapsed + answer.expected_first_event > answer.objective {
         // Where others wait, an answer that comes late takes from them what they could have in time. On
         // two days of three times the load for 12 s, with a third of the servers away, 0.60 and 0.62 of
         // the worth was earned instead of 0.35 and 0.40 (docs/decisions/0012).
         return if behind < BUSY { terms.confident_if_late.min(terms.confident) } else { 0.0 };
     }
-    let reading = answer.expected_alone.as_secs_f64() / objective;
+    let reading = answer.expected_idle_first_event.as_secs_f64() / objective;
     // Reading takes from others only where others wait.
     let wait = behind + reading * (behind / BUSY).min(1.0);
     let pressure = ((wait - terms.pressure_from)
--- a/src/policy/exposure.rs
+++ b/src/policy/exposure.rs
@@ -12,7 +12,7 @@
 
 /// How a roll-out's share grows; settings under `roll_out`.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ExposureTerms {
+pub struct ExposureConfig {
     /// Share of the requests without a session until it begins to grow.
     pub trial_share: f64,
     /// Part of the time from which sessions are on trial.
@@ -25,7 +25,7 @@
     pub complete_from: f64,
 }
 
-impl Default for ExposureTerms {
+impl Default for ExposureConfig {
     fn default() -> Self {
         Self {
             // A version may be bad without showing it on a trial, so the trial and the end together
@@ -43,7 +43,7 @@
     }
 }
 
-impl ExposureTerms {
+impl ExposureConfig {
     /// Share of the sessions that are on trial at a part of the time. In its shorter time the trial
     /// gets as many requests as with [`Self::trial_share`] from the begin on, so that it shows as
     /// much and exposes no more; it begins with few, for what a large fleet sends to a bad version
@@ -65,7 +65,7 @@
 }
 
 /// Share of the requests without a session that run on the new version.
-pub fn request_share_at(elapsed: Duration, within: Duration, terms: &ExposureTerms) -> f64 {
+pub fn request_share(elapsed: Duration, within: Duration, terms: &ExposureConfig) -> f64 {
     terms.share_at(part_of(elapsed, within), terms.trial_share)
 }
 
@@ -76,28 +76,28 @@
 /// the begin on, three to four running sessions were moved in the first half of a good roll-out (32
 /// entries, 300 requests of sessions a second); 217 of 218 requests that went to the new version met
 /// an entry without a note of their session.
-pub fn session_share_at(elapsed: Duration, within: Duration, terms: &ExposureTerms) -> f64 {
+pub fn session_share(elapsed: Duration, within: Duration, terms: &ExposureConfig) -> f64 {
     let part = part_of(elapsed, within);
     terms.share_at(part, terms.session_trial_share(part))
 }
 
 /// Whether the roll-out may be completed now.
-pub fn may_complete(elapsed: Duration, within: Duration, terms: &ExposureTerms) -> bool {
+pub fn may_complete(elapsed: Duration, within: Duration, terms: &ExposureConfig) -> bool {
     part_of(elapsed, within) >= terms.complete_from
 }
 
 /// Whether all requests may run on the new version by now.
-pub fn is_beyond_trial(elapsed: Duration, within: Duration, terms: &ExposureTerms) -> bool {
+pub fn is_past_trial(elapsed: Duration, within: Duration, terms: &ExposureConfig) -> bool {
     part_of(elapsed, within) >= terms.grows_from
 }
 
 /// Whether a session runs on the new version at this share.
-pub fn takes_new(session: &str, version: &str, share: f64) -> bool {
-    draw(session, version) < share
+pub fn is_in_share(session: &str, version: &str, share: f64) -> bool {
+    hash_fraction(session, version) < share
 }
 
 /// A number from 0 up to 1 that is always the same for a session and a purpose.
-pub fn draw(session: &str, purpose: &str) -> f64 {
+pub fn hash_fraction(session: &str, purpose: &str) -> f64 {
     let salt = xxh3_64_with_seed(purpose.as_bytes(), 0);
     let hash = xxh3_64_with_seed(session.as_bytes(), salt);
     (hash >> 11) as f64 / (1u64 << 53) as f64
--- a/src/policy/roll_out.rs
+++ b/src/policy/roll_out.rs
@@ -1,7 +1,7 @@
 //! Roll-outs: which version a new session gets, and when a version is held or moved on.
 
 use crate::{
-    policy::exposure::takes_new,
+    policy::exposure::is_in_share,
     resources::{Guard, RollOut, RollOutState},
 };
 use serde::{Deserialize, Serialize};
@@ -187,5 +187,5 @@
     if held {
         return false;
     }
-    takes_new(session, &roll_out.to, roll_out.share())
+    is_in_share(session, &roll_out.to, roll_out.share())
 }
--- a/src/router/roll_out.rs
+++ b/src/router/roll_out.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     ids::StoreVersion,
-    policy::exposure::ExposureTerms,
+    policy::exposure::ExposureConfig,
     router::{
         trial::{RollOut, Verdict, VersionEvidence},
         version_rule::VersionRule,
@@ -54,13 +54,13 @@
 #[derive(Debug)]
 pub struct RollOuts {
     inner: Arc<Mutex<Inner>>,
-    terms: ExposureTerms,
+    terms: ExposureConfig,
     found: Notify,
 }
 
 impl RollOuts {
     /// No roll-outs yet; their shares will grow by these terms.
-    pub fn new(terms: ExposureTerms) -> Self {
+    pub fn new(terms: ExposureConfig) -> Self {
         Self { inner: Arc::default(), terms, found: Notify::new() }
     }
 
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     platform::headers::{read_request, request_id},
-    policy::exposure::draw,
+    policy::exposure::hash_fraction,
     router::{Router, body::AnswerBody, job::Job, refusal::Refusal, relay},
     routing::{CallerLimits, Organisation, Request, RequestHead, Route, RoutingTable},
     telemetry::event,
@@ -127,7 +127,7 @@
 /// The service that runs a request: by weight, the same one for a whole session.
 fn choose_service(route: &Route, head: &RequestHead) -> Box<str> {
     let all: f64 = route.targets.iter().map(|target| target.weight).sum();
-    let mut left = draw(head.session_key(), &route.name) * all;
+    let mut left = hash_fraction(head.session_key(), &route.name) * all;
     for target in &route.targets {
         left -= target.weight;
         if left < 0.0 {
--- a/src/router/stages.rs
+++ b/src/router/stages.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::{
-    policy::escalation::{StageAnswer, escalate, time_to_begin},
+    policy::escalation::{StageAnswer, escalate, escalation_timeout},
     router::{
         Router,
         attempt::OpenAnswer,
@@ -47,7 +47,7 @@
             return Ok(StageEnd { answer, model });
         };
         router.metrics.count_stage(model.as_deref().unwrap_or("-"), "escalated");
-        job.begin_by = Some(router.now() + time_to_begin(&known));
+        job.begin_by = Some(router.now() + escalation_timeout(&known));
         in_hand = Some(StageEnd { answer, model });
         stage = next;
     }
@@ -68,11 +68,11 @@
         stage,
         stages: if ask.model.is_some() { cascade.len() } else { 0 },
         confidence: answer.head.confidence,
-        runs_left: job.runs_left(),
+        attempts_left: job.runs_left(),
         time_left: job.time_left(router),
         objective: job.route.objective,
-        expected: largest.head,
-        expected_alone: largest.head_alone,
+        expected_first_event: largest.head,
+        expected_idle_first_event: largest.head_alone,
         elapsed: router.now().saturating_sub(job.arrived),
         priority: job.priority(),
     }
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -20,7 +20,7 @@
     platform::host_settings::HostSettings,
     policy::{
         comeback::{Overload, retry_after},
-        exposure::draw,
+        exposure::hash_fraction,
         extra_share::ExtraShare,
         lifecycle::{self, Lifecycle, LifecycleEvent, LifecycleState},
         send_budget::{SendBudget, SendTerms},
@@ -330,7 +330,7 @@
     pub(crate) fn note_refusal(&self, service: &str, request_id: &str) -> Duration {
         let mut overloads = self.overloads.lock().expect("no panics under the lock");
         let lasted = overloads.entry(service.into()).or_default().note_refusal(self.now());
-        retry_after(lasted, draw(request_id, service))
+        retry_after(lasted, hash_fraction(request_id, service))
     }
 
     /// Whether the budget still holds a repeated send to a service.
--- a/src/router/trial.rs
+++ b/src/router/trial.rs
@@ -9,8 +9,7 @@
     platform::store::is_first,
     policy::{
         exposure::{
-            ExposureTerms, is_beyond_trial, may_complete, request_share_at, session_share_at,
-            takes_new,
+            ExposureConfig, is_in_share, is_past_trial, may_complete, request_share, session_share,
         },
         roll_out::{Evidence, Finding, VersionTest},
     },
@@ -103,7 +102,7 @@
         &self,
         head: &RequestHead,
         now: Duration,
-        terms: &ExposureTerms,
+        terms: &ExposureConfig,
     ) -> VersionRule {
         let new = VersionRule::Only(self.order.to.clone());
         let old = VersionRule::Not(self.order.to.clone());
@@ -115,10 +114,10 @@
         }
         let (elapsed, within) = (self.age(now), self.order.within);
         let share = match head.session {
-            Some(_) => session_share_at(elapsed, within, terms),
-            None => request_share_at(elapsed, within, terms),
+            Some(_) => session_share(elapsed, within, terms),
+            None => request_share(elapsed, within, terms),
         };
-        if takes_new(head.session_key(), &self.order.to, share) { new } else { old }
+        if is_in_share(head.session_key(), &self.order.to, share) { new } else { old }
     }
 
     /// Whether it is not known yet how far it got; an end that is known stands.
@@ -132,9 +131,9 @@
     }
 
     /// Whether only a trial's share of the requests runs on the new version.
-    pub(super) fn is_on_trial(&self, now: Duration, terms: &ExposureTerms) -> bool {
+    pub(super) fn is_on_trial(&self, now: Duration, terms: &ExposureConfig) -> bool {
         let is_running = self.progress == Progress::Running;
-        is_running && !is_beyond_trial(self.age(now), self.order.within, terms)
+        is_running && !is_past_trial(self.age(now), self.order.within, terms)
     }
 
     pub(super) fn judge(&mut self) {
@@ -195,7 +194,7 @@
         new.answers >= LEAST_ANSWERS && !tests.iter().any(|t| t.is_suspicious(&GUARD))
     }
 
-    pub(super) fn verdict(&self, now: Duration, terms: &ExposureTerms) -> Option<Verdict> {
+    pub(super) fn verdict(&self, now: Duration, terms: &ExposureConfig) -> Option<Verdict> {
         if self.progress != Progress::Running {
             return None;
         }
--- a/src/settings/route.rs
+++ b/src/settings/route.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::{
-    policy::{escalation::EscalationTerms, exposure::ExposureTerms, placement::PlacementConfig},
+    policy::{escalation::EscalationConfig, exposure::ExposureConfig, placement::PlacementConfig},
     settings::{SettingsError, reader::Reader},
     telemetry::log::LogLevel,
 };
@@ -13,9 +13,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RouteSettings {
     /// When a cascade's answer is good enough.
-    pub escalation: EscalationTerms,
+    pub escalation: EscalationConfig,
     /// How a roll-out's share grows.
-    pub exposure: ExposureTerms,
+    pub exposure: ExposureConfig,
     /// What a server costs besides its backlog.
     pub placement: PlacementConfig,
     /// Port on the Host's address where metrics and the state dump are served, besides the
@@ -33,7 +33,7 @@
     let mut r = Reader::parse(file, text)?;
     let given = RouteSettings::default();
     let cascade = given.escalation;
-    let escalation = EscalationTerms {
+    let escalation = EscalationConfig {
         confident: number(&mut r, "cascade.confident", cascade.confident, 100.0),
         confident_under_pressure: number(
             &mut r,
@@ -51,7 +51,7 @@
         pressure_full: number(&mut r, "cascade.pressure_full", cascade.pressure_full, 10.0),
     };
     let shares = given.exposure;
-    let exposure = ExposureTerms {
+    let exposure = ExposureConfig {
         trial_share: number(&mut r, "roll_out.trial_share", shares.trial_share, 1.0),
         sessions_from: number(&mut r, "roll_out.sessions_from", shares.sessions_from, 1.0),
         grows_from: number(&mut r, "roll_out.grows_from", shares.grows_from, 1.0),
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -4,8 +4,8 @@
 
 use mintmoor::{
     policy::{
-        escalation::{EscalationTerms, StageAnswer, escalate, threshold, time_to_begin},
-        exposure::{ExposureTerms, request_share_at, session_share_at, takes_new},
+        escalation::{EscalationConfig, StageAnswer, escalate, escalation_timeout, threshold},
+        exposure::{ExposureConfig, is_in_share, request_share, session_share},
         failure_rate::FailureRate,
         kept::{CachedPrefixes, PromptPrefix, shared_prefixes},
         load::{LoadEstimate, ReportedLoad},
@@ -335,31 +335,31 @@
     fn a_session_never_moves_back(session in "[a-z0-9]{1,12}", a in 0u64..30_000, b in 0u64..30_000) {
         let within = Duration::from_secs(24);
         let (early, late) = (Duration::from_millis(a.min(b)), Duration::from_millis(a.max(b)));
-        let share = |at| session_share_at(at, within, &ExposureTerms::default());
-        let on_new = |at| takes_new(&session, "v2", share(at));
+        let share = |at| session_share(at, within, &ExposureConfig::default());
+        let on_new = |at| is_in_share(&session, "v2", share(at));
         prop_assert!(!on_new(early) || on_new(late));
     }
 }
 
 #[test]
 fn no_session_is_on_trial_in_the_first_half() {
-    let terms = ExposureTerms::default();
+    let terms = ExposureConfig::default();
     let within = Duration::from_secs(20);
 
-    assert_eq!(session_share_at(Duration::ZERO, within, &terms), 0.0);
-    assert_eq!(session_share_at(within / 2 + MS, within, &terms), 0.0);
-    assert!(session_share_at(within * 6 / 10, within, &terms) > 0.0);
-    assert!((session_share_at(within, within, &terms) - 1.0).abs() < 1e-9);
+    assert_eq!(session_share(Duration::ZERO, within, &terms), 0.0);
+    assert_eq!(session_share(within / 2 + MS, within, &terms), 0.0);
+    assert!(session_share(within * 6 / 10, within, &terms) > 0.0);
+    assert!((session_share(within, within, &terms) - 1.0).abs() < 1e-9);
 }
 
 #[test]
 fn the_share_of_requests_without_a_session_is_small_until_it_grows() {
-    let terms = ExposureTerms::default();
+    let terms = ExposureConfig::default();
     let within = Duration::from_secs(20);
 
-    assert!(request_share_at(Duration::ZERO, within, &terms) > 0.0);
-    assert!(request_share_at(within / 2, within, &terms) < 0.15);
-    assert!((request_share_at(within, within, &terms) - 1.0).abs() < 1e-9);
+    assert!(request_share(Duration::ZERO, within, &terms) > 0.0);
+    assert!(request_share(within / 2, within, &terms) < 0.15);
+    assert!((request_share(within, within, &terms) - 1.0).abs() < 1e-9);
 }
 
 fn answer(confidence: u8) -> StageAnswer {
@@ -367,11 +367,11 @@
         stage: 0,
         stages: 3,
         confidence: Some(confidence),
-        runs_left: 2,
+        attempts_left: 2,
         time_left: Duration::from_secs(5),
         objective: Duration::from_secs(2),
-        expected: Duration::from_millis(300),
-        expected_alone: Duration::from_millis(100),
+        expected_first_event: Duration::from_millis(300),
+        expected_idle_first_event: Duration::from_millis(100),
         elapsed: Duration::from_millis(60),
         priority: 1,
     }
@@ -379,11 +379,11 @@
 
 #[test]
 fn only_an_unsure_answer_goes_to_the_largest_model_and_only_if_it_may() {
-    let terms = EscalationTerms::default();
+    let terms = EscalationConfig::default();
 
     assert_eq!(escalate(&answer(20), &terms), Some(2));
     assert_eq!(escalate(&answer(80), &terms), None);
-    assert_eq!(escalate(&StageAnswer { runs_left: 0, ..answer(20) }, &terms), None);
+    assert_eq!(escalate(&StageAnswer { attempts_left: 0, ..answer(20) }, &terms), None);
     assert_eq!(escalate(&StageAnswer { stage: 2, ..answer(20) }, &terms), None);
     assert_eq!(escalate(&StageAnswer { time_left: MS, ..answer(20) }, &terms), None);
     assert_eq!(escalate(&StageAnswer { confidence: None, ..answer(20) }, &terms), None);
@@ -395,17 +395,17 @@
     let hurried = StageAnswer { time_left: 3_000 * MS, ..patient };
     let late = StageAnswer { elapsed: 5_000 * MS, ..patient };
 
-    assert_eq!(time_to_begin(&patient), 3_900 * MS);
-    assert_eq!(time_to_begin(&hurried), 1_500 * MS);
-    assert_eq!(time_to_begin(&late), Duration::ZERO);
+    assert_eq!(escalation_timeout(&patient), 3_900 * MS);
+    assert_eq!(escalation_timeout(&hurried), 1_500 * MS);
+    assert_eq!(escalation_timeout(&late), Duration::ZERO);
 }
 
 #[test]
 fn the_threshold_falls_with_the_wait_and_least_for_the_most_urgent() {
-    let terms = EscalationTerms::default();
+    let terms = EscalationConfig::default();
     let at = |wait_ms: u64, priority: u8| {
         let expected = Duration::from_millis(wait_ms);
-        threshold(&StageAnswer { expected, priority, ..answer(50) }, &terms)
+        threshold(&StageAnswer { expected_first_event: expected, priority, ..answer(50) }, &terms)
     };
 
     assert!((at(100, 0) - terms.confident).abs() < 1e-9);
@@ -417,9 +417,10 @@
 
 #[test]
 fn a_prompt_too_long_for_the_largest_model_takes_a_fair_answer_now() {
-    let terms = EscalationTerms::default();
+    let terms = EscalationConfig::default();
     let alone = Duration::from_secs(4);
-    let giant = StageAnswer { expected: alone, expected_alone: alone, ..answer(40) };
+    let giant =
+        StageAnswer { expected_first_event: alone, expected_idle_first_event: alone, ..answer(40) };
 
     assert_eq!(escalate(&giant, &terms), None);
     assert_eq!(escalate(&StageAnswer { confidence: Some(10), ..giant }, &terms), Some(2));
@@ -427,9 +428,9 @@
 
 #[test]
 fn an_answer_that_would_come_late_is_not_asked_again_where_others_wait() {
-    let terms = EscalationTerms::default();
+    let terms = EscalationConfig::default();
     let late = StageAnswer { elapsed: Duration::from_millis(1_950), ..answer(5) };
-    let alone = StageAnswer { expected_alone: late.expected, ..late };
+    let alone = StageAnswer { expected_idle_first_event: late.expected_first_event, ..late };
 
     assert_eq!(escalate(&late, &terms), None);
     assert_eq!(escalate(&alone, &terms), Some(2), "nobody waits there");
@@ -504,11 +505,11 @@
 
 #[test]
 fn a_version_that_never_shows_that_it_is_bad_gets_less_than_it_may() {
-    let terms = ExposureTerms::default();
+    let terms = ExposureConfig::default();
     for seconds in [5, 12, 24, 60] {
         let within = Duration::from_secs(seconds);
         let steps = 10_000;
-        for share_at in [request_share_at, session_share_at] {
+        for share_at in [request_share, session_share] {
             let share = |i: u32| share_at(within * i / steps, within, &terms);
             let exposed: f64 = (0..steps).map(share).sum::<f64>() / f64::from(steps);
 
--- a/tests/play/system.rs
+++ b/tests/play/system.rs
@@ -3,7 +3,7 @@
 use std::{collections::HashMap, time::Duration};
 
 use mintmoor::policy::{
-    escalation::{EscalationTerms, StageAnswer, escalate},
+    escalation::{EscalationConfig, StageAnswer, escalate},
     kept::{CachedPrefixes, PromptPrefix},
     load::LoadEstimate,
     placement::{Candidate, PlacementConfig, PlacementRequest, hash_id, place},
@@ -321,15 +321,15 @@
             stage: 0,
             stages: 2,
             confidence: Some(arrival.confidence),
-            runs_left: 2,
+            attempts_left: 2,
             time_left: Duration::from_secs(5),
             objective: Duration::from_secs_f64(kind.objective),
-            expected: Duration::from_secs_f64(reading + backlog),
-            expected_alone: Duration::from_secs_f64(reading),
+            expected_first_event: Duration::from_secs_f64(reading + backlog),
+            expected_idle_first_event: Duration::from_secs_f64(reading),
             elapsed: Duration::from_secs_f64(now - arrival.at),
             priority: 1,
         };
-        escalate(&answer, &EscalationTerms::default()).is_some()
+        escalate(&answer, &EscalationConfig::default()).is_some()
     }
 
     fn token_time(&self, model: &Model) -> f64 {
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -10,7 +10,7 @@
     control::membership::{Scope, has_duty, select_links},
     platform::{Host, HostState, Role},
     policy::{
-        cascade::{Estimates, StageOutlook, expected_cost, is_good_enough, start_stage},
+        cascade::{CascadeEstimates, StageOutlook, expected_cost, is_good_enough, start_stage},
         choice::{Pool, ServerLoad, choose, time_to_first_token},
         fair_queue::{FairQueue, Waiting},
         lifecycle::{self, LifecycleEvent, LifecycleState},
@@ -308,17 +308,17 @@
 #[test]
 fn the_mean_stays_at_the_target_and_no_more_is_spent_on_quality() {
     let cascade: Box<str> = "p/c".into();
-    let mut estimates = Estimates::default();
+    let mut estimates = CascadeEstimates::default();
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let (mut sum, mut escalated) = (0.0, 0);
     let answers = 4_000;
     for _ in 0..answers {
         let mut rating = if rng.random_bool(0.75) { 1.0 } else { 0.0 };
-        if !is_good_enough(rating, 0.9, estimates.steering(&cascade, 0.9)) {
+        if !is_good_enough(rating, 0.9, estimates.quality_balance(&cascade, 0.9)) {
             escalated += 1;
             rating = if rng.random_bool(0.97) { 1.0 } else { 0.0 };
         }
-        estimates.note_delivered(&cascade, 0.9, rating);
+        estimates.record_delivered(&cascade, 0.9, rating);
         sum += rating;
     }
     let mean = sum / f64::from(answers);
@@ -330,13 +330,13 @@
 #[test]
 fn saved_up_quality_pays_for_few_poor_answers_in_a_row() {
     let cascade: Box<str> = "p/c".into();
-    let mut estimates = Estimates::default();
+    let mut estimates = CascadeEstimates::default();
     for _ in 0..10_000 {
-        estimates.note_delivered(&cascade, 0.9, 1.0);
+        estimates.record_delivered(&cascade, 0.9, 1.0);
     }
     let mut passed = 0;
-    while is_good_enough(0.0, 0.9, estimates.steering(&cascade, 0.9)) {
-        estimates.note_delivered(&cascade, 0.9, 0.0);
+    while is_good_enough(0.0, 0.9, estimates.quality_balance(&cascade, 0.9)) {
+        estimates.record_delivered(&cascade, 0.9, 0.0);
         passed += 1;
     }
     assert!((1..=3).contains(&passed), "{passed}");
