--- a/src/agent/dispatch.rs
+++ b/src/agent/dispatch.rs
@@ -12,8 +12,8 @@
     ids::partner_of,
     policy::{
         attempt::AttemptKey,
-        fair_queue::Waiting,
-        gate::{GateDecision, GateView, RefuseReason, in_time},
+        fair_queue::QueuedAttempt,
+        gate::{GateDecision, GateView, RefuseReason, is_before_deadline},
         lifecycle::LifecycleEvent,
     },
     protocol::{Start, StartCall, ToEntry},
@@ -65,7 +65,7 @@
 
 /// What stands against an attempt besides the configuration.
 fn objection(agent: &Agent, pending: &Pending) -> Option<RefuseReason> {
-    if !in_time(pending.received.elapsed(), pending.start.deadline) {
+    if !is_before_deadline(pending.received.elapsed(), pending.start.deadline) {
         return Some(RefuseReason::DeadlinePassed);
     }
     let StartCall::Chat { version, .. } = &pending.start.call else {
@@ -98,7 +98,7 @@
 fn enqueue(snapshot: &Snapshot, work: &mut Work, pending: Pending, outbox: &mut Outbox) {
     let organisation = pending.start.organisation.clone();
     let weight = snapshot.organisations.get(&organisation).map_or(1, |o| o.weight);
-    let waiting = Waiting {
+    let waiting = QueuedAttempt {
         organisation,
         priority: pending.start.priority,
         cost: pending.start.work.max(1) as f64,
@@ -129,7 +129,8 @@
         let (key, link) = (pending.start.key, pending.link);
         // What could not end in time any more is not begun: the refusal is true, and its place
         // goes to one that can.
-        let is_late = !in_time(pending.received.elapsed() + work.service, pending.start.deadline);
+        let is_late =
+            !is_before_deadline(pending.received.elapsed() + work.service, pending.start.deadline);
         let reason = objection(agent, &pending);
         if let Some(reason) = reason.or(is_late.then_some(RefuseReason::DeadlinePassed)) {
             let decision = work.gate.refuse(key, reason);
@@ -156,7 +157,7 @@
     let (outbox, taken_back) = {
         let snapshot = agent.config.snapshot();
         let mut work = agent.lock_work();
-        let taken_back = !was_reached && work.gate.not_reached(key) != GateDecision::Ignore;
+        let taken_back = !was_reached && work.gate.revert_start(key) != GateDecision::Ignore;
         work.gate.end(key);
         if work.running.remove(&key).is_some() {
             work.started -= 1;
--- a/src/control/lease.rs
+++ b/src/control/lease.rs
@@ -8,7 +8,7 @@
     control::store_health::StoreHealth,
     ids::{Incarnation, format_id},
     platform::{Error, Result, TableClient, Transaction},
-    policy::lease::{LeaseAction, LeaseRow, LeaseTerms, LeaseView},
+    policy::lease::{LeaseAction, LeaseRow, LeaseTiming, LeaseView},
     telemetry::event,
 };
 
@@ -17,7 +17,7 @@
 pub struct Lease {
     name: Box<str>,
     me: Box<str>,
-    terms: LeaseTerms,
+    terms: LeaseTiming,
     view: LeaseView,
     started: Instant,
     version: u64,
@@ -43,7 +43,7 @@
 
 impl Lease {
     /// A lease not yet looked at.
-    pub fn new(name: &str, me: Incarnation, terms: LeaseTerms) -> Self {
+    pub fn new(name: &str, me: Incarnation, terms: LeaseTiming) -> Self {
         Self {
             name: name.into(),
             me: format_id(me),
@@ -64,7 +64,7 @@
 
     /// Permission to act now, if this process holds the lease.
     pub fn permit(&self) -> Option<Permit> {
-        let fencing = self.view.fencing(self.now())?;
+        let fencing = self.view.fencing_token(self.now())?;
         Some(Permit { key: self.key(), version: self.version, fencing })
     }
 
@@ -90,14 +90,14 @@
             Ok(Ok(version)) => {
                 let fencing = row.fencing;
                 self.version = version;
-                self.view.committed(row, version, sent, self.terms);
+                self.view.record_commit(row, version, sent, self.terms);
                 if !held_before {
                     event::LEASE_TAKEN.log(format_args!("lease={} fencing={fencing}", self.name));
                 }
                 Ok(())
             }
             Ok(Err(_)) => {
-                self.view.lost();
+                self.view.record_conflict();
                 if held_before {
                     event::LEASE_LOST.log(format_args!("lease={}", self.name));
                 }
--- a/src/entry/failure.rs
+++ b/src/entry/failure.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     entry::{ApiError, link::Link},
-    policy::attempt::Verdict,
+    policy::attempt::RequestOutcome,
 };
 
 /// Why a stage gave no whole answer.
@@ -29,12 +29,12 @@
 }
 
 /// What a caller is told when a stage fails, by what is true of the attempts.
-pub(crate) fn describe_failure(e: &StageError, verdict: Verdict, model: &str) -> ApiError {
+pub(crate) fn describe_failure(e: &StageError, verdict: RequestOutcome, model: &str) -> ApiError {
     match (e, verdict) {
         (StageError::Rejected(status), _) => {
             ApiError::bad_request("body", format!("the backend answered {status}"))
         }
-        (_, Verdict::Unknown | Verdict::Done) => {
+        (_, RequestOutcome::Unknown | RequestOutcome::Done) => {
             ApiError::outcome_unknown("the answer was lost on the way")
         }
         (StageError::Withdrawn, _) => ApiError::withdrawn(model),
--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -14,7 +14,7 @@
     ids::new_request_id,
     ledger::Settler,
     platform::{Result, Transaction},
-    policy::{charge::window_of, lease::LeaseTerms},
+    policy::{charge::settlement_window, lease::LeaseTiming},
     telemetry::event,
 };
 
@@ -35,7 +35,7 @@
 
 impl Duty {
     fn new(entry: &Entry, name: &'static str) -> Self {
-        let lease = Lease::new(name, entry.incarnation, LeaseTerms::default());
+        let lease = Lease::new(name, entry.incarnation, LeaseTiming::default());
         Self { name, lease, looked: None }
     }
 
@@ -80,7 +80,7 @@
         objects: entry.objects.clone(),
         health: entry.health.clone(),
     };
-    let now_window = window_of(new_request_id(SystemTime::now()));
+    let now_window = settlement_window(new_request_id(SystemTime::now()));
     if let Err(e) = settler.pass(permit, now_window).await {
         event::STORE_UNREACHABLE.log(format_args!("cause=settle problem={e}"));
     }
--- a/src/entry/link.rs
+++ b/src/entry/link.rs
@@ -136,12 +136,12 @@
         ServerLoad {
             running: beat.running.saturating_sub(state.ended_since_beat),
             queued: beat.queued,
-            sent_since: u32::try_from(sent_since).unwrap_or(u32::MAX),
+            sent_since_report: u32::try_from(sent_since).unwrap_or(u32::MAX),
             limit: beat.limit,
             service_time: Duration::from_micros(beat.service_us),
             token_time: Duration::from_micros(beat.token_us),
             prefill_rate: f64::from(beat.prefill_rate),
-            distance: self.distance,
+            one_way_latency: self.distance,
             cached_tokens: (known * CHAIN_WORDS) as u64,
         }
     }
--- a/src/entry/pick.rs
+++ b/src/entry/pick.rs
@@ -12,7 +12,7 @@
     },
     ids::partner_of,
     policy::{
-        choice::{choose, time_to_first_token},
+        choice::{choose_server, time_to_first_token},
         outlier::respects_out,
     },
 };
@@ -55,7 +55,7 @@
         time_to_first_token(&load, job.prompt_tokens),
         load.running,
         load.queued,
-        load.sent_since,
+        load.sent_since_report,
         load.cached_tokens
     ));
     Some(link)
@@ -89,9 +89,9 @@
 ) -> Option<u32> {
     let link_of = |server: u32| route.links.get(server as usize).filter(|link| usable(link));
     match policy.server {
-        ServerPolicy::Estimate => {
-            choose(candidates, job.prompt_tokens, |server| Some(link_of(server)?.load(job.chain)))
-        }
+        ServerPolicy::Estimate => choose_server(candidates, job.prompt_tokens, |server| {
+            Some(link_of(server)?.load(job.chain))
+        }),
         ServerPolicy::LeastReported => candidates
             .iter()
             .filter_map(|server| Some((link_of(*server)?.reported_load(), *server)))
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -31,7 +31,7 @@
     ids::{ObjectId, VersionId, format_id},
     platform::RatingRequest,
     policy::{
-        attempt::Verdict,
+        attempt::RequestOutcome,
         cascade::{EstimateKey, StageOutlook, is_good_enough, start_stage},
         charge::{ChargeRecord, ChargedAttempt, Delivery},
         claim::{ClaimState, SavedAnswer},
@@ -125,7 +125,7 @@
                 let body = completion.to_string().into();
                 ClaimState::Done(SavedAnswer { status: 200, body })
             }
-            (Err(_), Verdict::NotRun) => ClaimState::NotRun,
+            (Err(_), RequestOutcome::NotRun) => ClaimState::NotRun,
             (Err(_), _) => ClaimState::Unknown,
         };
         let entry = self.entry.clone();
@@ -166,7 +166,7 @@
     }
 
     fn may_spill(&self) -> bool {
-        self.req.head.repeatable || self.attempts.verdict() == Verdict::NotRun
+        self.req.head.repeatable || self.attempts.verdict() == RequestOutcome::NotRun
     }
 
     fn stops_at_first(&self) -> bool {
--- a/src/entry/service.rs
+++ b/src/entry/service.rs
@@ -24,7 +24,7 @@
     },
     ids::{ObjectId, format_id, partner_of, qualify},
     policy::{
-        attempt::Verdict,
+        attempt::RequestOutcome,
         charge::{ChargeRecord, ChargedAttempt, Delivery},
         claim::{ClaimState, SavedAnswer},
     },
@@ -111,7 +111,7 @@
     let res = call(entry, req, service, attempts).await;
     let state = match (&res, attempts.verdict()) {
         (Ok(saved), _) => ClaimState::Done(saved.clone()),
-        (Err(_), Verdict::NotRun) => ClaimState::NotRun,
+        (Err(_), RequestOutcome::NotRun) => ClaimState::NotRun,
         (Err(_), _) => ClaimState::Unknown,
     };
     let finishing = entry.clone();
--- a/src/entry/stage.rs
+++ b/src/entry/stage.rs
@@ -20,9 +20,10 @@
     ids::{ObjectId, VersionId, format_id},
     policy::{
         attempt::{
-            AttemptEvent, AttemptKey, AttemptState, Verdict, advance, fresh, judge, may_send_again,
+            AttemptEvent, AttemptKey, AttemptState, RequestOutcome, advance, initial_state,
+            may_retry, request_outcome,
         },
-        choice::PREFERRED,
+        choice::RING_CANDIDATES,
         gate::RefuseReason,
     },
     protocol::{Start, StartCall, ToAgent, Usage},
@@ -60,7 +61,7 @@
     pub(crate) body: &'a Bytes,
     pub(crate) prompt_tokens: u64,
     pub(crate) answer_tokens: u64,
-    pub(crate) ring_keys: [u64; PREFERRED],
+    pub(crate) ring_keys: [u64; RING_CANDIDATES],
     pub(crate) chain: &'a [u64],
 }
 
@@ -74,7 +75,7 @@
 impl Attempts {
     fn begin(&mut self, request: u128) -> AttemptKey {
         let number = self.states.len() as u32;
-        self.states.push(fresh());
+        self.states.push(initial_state());
         AttemptKey { request, number }
     }
 
@@ -84,8 +85,8 @@
     }
 
     /// What is true of the request so far.
-    pub(crate) fn verdict(&self) -> Verdict {
-        judge(&self.states)
+    pub(crate) fn verdict(&self) -> RequestOutcome {
+        request_outcome(&self.states)
     }
 
     /// Adds a line to the request's explanation.
@@ -145,7 +146,7 @@
                 if (400..500).contains(&status) && status != TOO_MANY_REQUESTS {
                     return Err(StageError::Rejected(status));
                 }
-                let again = may_send_again(&attempts.states, job.head.repeatable);
+                let again = may_retry(&attempts.states, job.head.repeatable);
                 if !again || !collector.can_go_on() {
                     return Err(StageError::Failed(Some(link)));
                 }
@@ -198,12 +199,12 @@
 
 fn earn_budget(entry: &Entry, job: &Job<'_>) {
     let mut budgets = entry.budgets.lock().expect("no panics under the lock");
-    budgets.entry(job.head.organisation.clone()).or_default().earn();
+    budgets.entry(job.head.organisation.clone()).or_default().deposit();
 }
 
 fn spend_budget(entry: &Entry, job: &Job<'_>) -> bool {
     let mut budgets = entry.budgets.lock().expect("no panics under the lock");
-    budgets.entry(job.head.organisation.clone()).or_default().spend()
+    budgets.entry(job.head.organisation.clone()).or_default().try_withdraw()
 }
 
 fn note_end(
--- a/src/ledger/batch.rs
+++ b/src/ledger/batch.rs
@@ -5,7 +5,7 @@
 use crate::{
     ids::{Incarnation, RequestId, format_id},
     platform::{Error, ObjectsClient, Result},
-    policy::charge::{ChargeRecord, window_of},
+    policy::charge::{ChargeRecord, settlement_window},
     protocol::{decode, encode},
 };
 
@@ -59,7 +59,7 @@
     pub fn take_batches(&mut self, writer: Incarnation) -> Vec<Batch> {
         let mut windows: BTreeMap<u64, Vec<ChargeRecord>> = BTreeMap::new();
         for record in self.waiting.drain(..) {
-            windows.entry(window_of(record.request)).or_default().push(record);
+            windows.entry(settlement_window(record.request)).or_default().push(record);
         }
         let mut batches = Vec::new();
         for (window, records) in windows {
--- a/src/load/slopes/compute.rs
+++ b/src/load/slopes/compute.rs
@@ -17,7 +17,7 @@
     platform::{Host, HostState, Role},
     policy::{
         charge::{ChargeRecord, ChargedAttempt, Delivery},
-        choice::{Pool, ServerLoad, choose},
+        choice::{Pool, ServerLoad, choose_server},
         roll_out::Evidence,
     },
     protocol::{AgentBeat, ConfigUpdate, EntryBeat, ToAgent, ToEntry, VersionEvidence, encode},
@@ -242,7 +242,7 @@
 /// One routing decision, mean of many, with every server equally loaded.
 pub fn decide_once(pool: &Pool, rng: &mut ChaCha8Rng, key: u64) -> Option<u32> {
     let candidates = pool.candidates(&[key, key.rotate_left(32)], rng);
-    choose(&candidates, 200, |server| {
+    choose_server(&candidates, 200, |server| {
         Some(ServerLoad {
             running: server % 16,
             limit: 16,
--- a/src/policy/attempt.rs
+++ b/src/policy/attempt.rs
@@ -96,7 +96,7 @@
 }
 
 /// State of an attempt that has only been decided on.
-pub fn fresh() -> AttemptState {
+pub fn initial_state() -> AttemptState {
     State::not_sent()
 }
 
@@ -124,7 +124,7 @@
 
 /// What is true of a request, from the states of all its attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Verdict {
+pub enum RequestOutcome {
     /// No attempt ran, and none can run any more.
     NotRun,
     /// An attempt ended whole.
@@ -134,21 +134,21 @@
 }
 
 /// Sums the attempts of a request up.
-pub fn judge(attempts: &[AttemptState]) -> Verdict {
+pub fn request_outcome(attempts: &[AttemptState]) -> RequestOutcome {
     if attempts.contains(&State::Done {}) {
-        return Verdict::Done;
+        return RequestOutcome::Done;
     }
     let never_ran = |state: &AttemptState| matches!(state, State::NotSent {} | State::Refused {});
-    if attempts.iter().all(never_ran) { Verdict::NotRun } else { Verdict::Unknown }
+    if attempts.iter().all(never_ran) { RequestOutcome::NotRun } else { RequestOutcome::Unknown }
 }
 
 /// Whether another attempt may be sent.
 ///
 /// A request that may run only once is sent again only when no earlier attempt can have run.
-pub fn may_send_again(attempts: &[AttemptState], repeatable: bool) -> bool {
-    match judge(attempts) {
-        Verdict::NotRun => true,
-        Verdict::Unknown => repeatable,
-        Verdict::Done => false,
+pub fn may_retry(attempts: &[AttemptState], repeatable: bool) -> bool {
+    match request_outcome(attempts) {
+        RequestOutcome::NotRun => true,
+        RequestOutcome::Unknown => repeatable,
+        RequestOutcome::Done => false,
     }
 }
--- a/src/policy/choice.rs
+++ b/src/policy/choice.rs
@@ -11,10 +11,10 @@
 /// Points of each server on the ring.
 const POINTS: u64 = 16;
 /// Servers the ring prefers: one for the session, one for the prefix.
-pub const PREFERRED: usize = 2;
+pub const RING_CANDIDATES: usize = 2;
 const RANDOM: usize = 2;
 /// Servers compared at most.
-pub const CANDIDATES: usize = PREFERRED + RANDOM;
+pub const CANDIDATES: usize = RING_CANDIDATES + RANDOM;
 
 /// Servers that can run one version, as a ring; servers are known by their index.
 #[derive(Clone, Debug, Default)]
@@ -47,7 +47,7 @@
     }
 
     /// Candidates for a session and a prefix, in this order and without repeats.
-    pub fn candidates(&self, keys: &[u64; PREFERRED], rng: &mut impl Rng) -> Vec<u32> {
+    pub fn candidates(&self, keys: &[u64; RING_CANDIDATES], rng: &mut impl Rng) -> Vec<u32> {
         let mut found = Vec::with_capacity(CANDIDATES);
         if self.len == 0 {
             return found;
@@ -77,7 +77,7 @@
     /// Attempts in the agent's queue.
     pub queued: u32,
     /// Attempts this entry has sent since that count.
-    pub sent_since: u32,
+    pub sent_since_report: u32,
     /// Attempts the agent lets run at a time.
     pub limit: u32,
     /// Mean time an attempt occupies a place.
@@ -87,14 +87,14 @@
     /// Prompt tokens prefilled a second.
     pub prefill_rate: f64,
     /// One-way distance.
-    pub distance: Duration,
+    pub one_way_latency: Duration,
     /// Prompt tokens believed to be in the engine's prefix cache.
     pub cached_tokens: u64,
 }
 
 /// Expected time until the first token of a prompt.
 pub fn time_to_first_token(load: &ServerLoad, prompt_tokens: u64) -> Duration {
-    let ahead = load.running + load.queued + load.sent_since;
+    let ahead = load.running + load.queued + load.sent_since_report;
     let limit = load.limit.max(1);
     let wait = if ahead < limit {
         // A joining attempt shares each step with those already running.
@@ -104,11 +104,11 @@
     };
     let uncached = prompt_tokens.saturating_sub(load.cached_tokens);
     let prefill = Duration::from_secs_f64(uncached as f64 / load.prefill_rate.max(1.0));
-    wait + prefill + load.distance * 2
+    wait + prefill + load.one_way_latency * 2
 }
 
 /// The candidate with the smallest estimate; ties go to the first, which the ring prefers.
-pub fn choose(
+pub fn choose_server(
     candidates: &[u32],
     prompt_tokens: u64,
     load_of: impl Fn(u32) -> Option<ServerLoad>,
--- a/src/policy/fair_queue.rs
+++ b/src/policy/fair_queue.rs
@@ -10,7 +10,7 @@
 
 /// One waiting attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Waiting<T> {
+pub struct QueuedAttempt<T> {
     /// Whom it counts against.
     pub organisation: OrganisationId,
     /// Higher goes first within an organisation.
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 struct Line<T> {
     finish: f64,
-    waiting: VecDeque<Waiting<T>>,
+    waiting: VecDeque<QueuedAttempt<T>>,
 }
 
 /// The queue.
@@ -55,7 +55,7 @@
     }
 
     /// Adds an attempt; when full, returns the one that has to go instead.
-    pub fn push(&mut self, waiting: Waiting<T>) -> Option<T> {
+    pub fn push(&mut self, waiting: QueuedAttempt<T>) -> Option<T> {
         let line = self
             .lines
             .entry(waiting.organisation.clone())
@@ -63,7 +63,7 @@
         if line.waiting.is_empty() {
             line.finish = line.finish.max(self.virtual_time);
         }
-        let behind = |other: &Waiting<T>| other.priority < waiting.priority;
+        let behind = |other: &QueuedAttempt<T>| other.priority < waiting.priority;
         let at = line.waiting.iter().position(behind).unwrap_or(line.waiting.len());
         line.waiting.insert(at, waiting);
         self.len += 1;
--- a/src/policy/gate.rs
+++ b/src/policy/gate.rs
@@ -160,7 +160,7 @@
     }
 
     /// Takes a start back: the BackendServer was not reached, so nothing ran.
-    pub fn not_reached(&mut self, key: AttemptKey) -> GateDecision {
+    pub fn revert_start(&mut self, key: AttemptKey) -> GateDecision {
         if self.attempts.get(&key) != Some(&GateState::Started) {
             return GateDecision::Ignore;
         }
@@ -198,6 +198,6 @@
 }
 
 /// Whether an attempt that has waited this long can still answer in time.
-pub fn in_time(waited: Duration, deadline: Duration) -> bool {
+pub fn is_before_deadline(waited: Duration, deadline: Duration) -> bool {
     waited < deadline
 }
--- a/src/policy/lease.rs
+++ b/src/policy/lease.rs
@@ -21,16 +21,16 @@
 
 /// Time of a lease and what the holder leaves unused of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct LeaseTerms {
+pub struct LeaseTiming {
     /// Time a watcher waits before it takes over.
-    pub time: Duration,
+    pub duration: Duration,
     /// Part of it the holder does not use.
     pub margin: Duration,
 }
 
-impl Default for LeaseTerms {
+impl Default for LeaseTiming {
     fn default() -> Self {
-        Self { time: Duration::from_secs(6), margin: Duration::from_secs(2) }
+        Self { duration: Duration::from_secs(6), margin: Duration::from_secs(2) }
     }
 }
 
@@ -82,7 +82,7 @@
     }
 
     /// Decides whether to take or renew the lease.
-    pub fn plan(&self, me: &str, now: Duration, terms: LeaseTerms) -> LeaseAction {
+    pub fn plan(&self, me: &str, now: Duration, terms: LeaseTiming) -> LeaseAction {
         let Some(seen) = &self.seen else {
             let row = LeaseRow { holder: me.into(), fencing: 1, renewals: 0 };
             return LeaseAction::Write { row, expected: None };
@@ -93,7 +93,7 @@
             row.renewals += 1;
             return LeaseAction::Write { row, expected };
         }
-        if now < seen.since + terms.time {
+        if now < seen.since + terms.duration {
             return LeaseAction::Wait;
         }
         let fencing = seen.row.fencing + 1;
@@ -102,18 +102,25 @@
     }
 
     /// Notes that our write committed; `sent` is the time just before it was sent.
-    pub fn committed(&mut self, row: LeaseRow, version: u64, sent: Duration, terms: LeaseTerms) {
-        self.held = Some(Held { fencing: row.fencing, until: sent + terms.time - terms.margin });
+    pub fn record_commit(
+        &mut self,
+        row: LeaseRow,
+        version: u64,
+        sent: Duration,
+        terms: LeaseTiming,
+    ) {
+        self.held =
+            Some(Held { fencing: row.fencing, until: sent + terms.duration - terms.margin });
         self.seen = Some(Seen { row, version, since: sent });
     }
 
     /// Notes that our write failed its condition: what we thought we held is gone.
-    pub fn lost(&mut self) {
+    pub fn record_conflict(&mut self) {
         self.held = None;
     }
 
     /// Fencing number under which this process may act now.
-    pub fn fencing(&self, now: Duration) -> Option<u64> {
+    pub fn fencing_token(&self, now: Duration) -> Option<u64> {
         self.held.as_ref().filter(|held| now < held.until).map(|held| held.fencing)
     }
 }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -19,12 +19,12 @@
 
 impl RetryBudget {
     /// Notes a first try.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.tokens = (self.tokens + SHARE).min(CAPACITY);
     }
 
     /// Takes one retry from the budget; false when it is used up.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
         }
--- a/src/policy/stopping.rs
+++ b/src/policy/stopping.rs
@@ -13,7 +13,7 @@
 const STREAM_NEEDS: Duration = Duration::from_millis(4_900);
 
 /// Whether a request on this route can be finished with so much time left.
-pub fn still_fits(route: &Route, left: Duration) -> bool {
+pub fn can_finish(route: &Route, left: Duration) -> bool {
     let needs = match route.kind {
         RouteKind::Stream => STREAM_NEEDS,
         RouteKind::Idempotent | RouteKind::OnceOnly => route.timeout,
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -5,7 +5,7 @@
 use crate::{
     platform::headers::AttemptHeaders,
     policy::{
-        attempt::{self, AttemptEvent, AttemptState, Verdict, judge, may_send_again},
+        attempt::{self, AttemptEvent, AttemptState, RequestOutcome, may_retry, request_outcome},
         availability::Cause,
         patience::head_timeouts,
     },
@@ -72,11 +72,11 @@
 
 /// What the caller gets when nothing more is tried.
 fn refusal(router: &Router, job: &Job, ask: Ask<'_>) -> Refusal {
-    match judge(&job.attempts) {
-        Verdict::NotRun if router.is_refused(job) => {
+    match request_outcome(&job.attempts) {
+        RequestOutcome::NotRun if router.is_refused(job) => {
             Refusal::EndsServers { retry_after: router.refused_for(job) }
         }
-        Verdict::NotRun => {
+        RequestOutcome::NotRun => {
             let retry_after = router.note_refusal(&job.service, &job.req.head.id);
             let Some((cause, wait)) = unavailable_for(router, job, ask) else {
                 return Refusal::NotRun { retry_after };
@@ -95,7 +95,7 @@
 
 /// The next server, if another attempt may be made.
 fn next_server(router: &Router, job: &Job, ask: Ask<'_>) -> Option<Arc<Member>> {
-    let may = may_send_again(&job.attempts, job.route.is_idempotent())
+    let may = may_retry(&job.attempts, job.route.is_idempotent())
         && job.runs_left() > 0
         && job.arrivals < MOST_ARRIVALS
         && job.attempts.len() < MOST_TRIES
@@ -182,7 +182,7 @@
 
 /// State of an attempt after its result, and the word for it in metrics.
 fn sum_up(result: &Result<OpenAnswer, AttemptError>) -> (AttemptState, &'static str) {
-    let sent = attempt::advance(attempt::fresh(), AttemptEvent::Sent);
+    let sent = attempt::advance(attempt::initial_state(), AttemptEvent::Sent);
     match result {
         Ok(answer) if answer.head.kind == AnswerKind::Success => {
             (attempt::advance(sent, AttemptEvent::Started), "answered")
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -24,7 +24,7 @@
         extra_share::ExtraShare,
         lifecycle::{self, Lifecycle, LifecycleEvent, LifecycleState},
         send_budget::{SendBudget, SendTerms},
-        stopping::still_fits,
+        stopping::can_finish,
     },
     router::{
         Fleet, evacuations::Evacuations, kept_board::KeptBoard, limit_board::LimitBoard,
@@ -270,7 +270,7 @@
             return true;
         };
         let end = *began + self.settings.load().grace.saturating_sub(BEFORE_KILL);
-        still_fits(route, end.saturating_sub(self.now()))
+        can_finish(route, end.saturating_sub(self.now()))
     }
 
     /// When a caller that is rejected by a leaving entry should come back. The balancer sends
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -7,7 +7,7 @@
         attempt::AttemptKey,
         charge::{ChargeRecord, ChargedAttempt, Delivery, merge, settle},
         claim::{Claim, ClaimState, ClaimStep, InsertReply, next_step},
-        fair_queue::{FairQueue, Waiting},
+        fair_queue::{FairQueue, QueuedAttempt},
         session::{Session, sign, verify},
     },
     protocol::{ToAgent, ToEntry, decode, encode},
@@ -132,7 +132,7 @@
         let mut queue = FairQueue::new(capacity);
         let mut dropped = 0;
         for (i, organisation) in organisations.iter().enumerate() {
-            let waiting = Waiting {
+            let waiting = QueuedAttempt {
                 organisation: format!("p/{organisation}").into(),
                 priority: 0,
                 cost: 1.0,
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -12,7 +12,7 @@
     platform::{InsertOutcome, Transaction},
     policy::{
         charge::{ChargeRecord, ChargedAttempt, Delivery, WINDOW_MS},
-        lease::LeaseTerms,
+        lease::LeaseTiming,
     },
     standin::{faults::Faults, objects::ObjectsStandin, table::TableStandin},
     telemetry::Metrics,
@@ -42,7 +42,7 @@
     }
 
     async fn lease(&self, me: u128) -> (Lease, Permit) {
-        let mut lease = Lease::new("settler", me, LeaseTerms::default());
+        let mut lease = Lease::new("settler", me, LeaseTiming::default());
         lease.tend(&self.table.client(), &self.health).await.unwrap();
         let permit = lease.permit().expect("nobody else holds it");
         (lease, permit)
@@ -146,7 +146,7 @@
     write(&stores, 1, (0..5).map(|i| record(5, i, Delivery::Whole)).collect()).await;
 
     // The holder is paused; another takes the lease over and settles.
-    let mut second = Lease::new("settler", 2, LeaseTerms::default());
+    let mut second = Lease::new("settler", 2, LeaseTiming::default());
     second.tend(&stores.table.client(), &stores.health).await.unwrap();
     assert!(second.permit().is_none(), "not before the lease has run out");
     tokio::time::advance(Duration::from_secs(7)).await;
--- a/tests/model/claim.rs
+++ b/tests/model/claim.rs
@@ -5,7 +5,8 @@
 
 use mintmoor::policy::{
     attempt::{
-        AttemptEvent, AttemptKey, AttemptState, Verdict, advance, fresh, judge, may_send_again,
+        AttemptEvent, AttemptKey, AttemptState, RequestOutcome, advance, initial_state, may_retry,
+        request_outcome,
     },
     claim::{Claim, ClaimState, ClaimStep, InsertReply, SavedAnswer, next_step},
     gate::{Gate, GateDecision, GateView, RefuseReason},
@@ -212,12 +213,13 @@
 
 fn sending_steps(state: &State, i: usize, mutation: Mutation, steps: &mut Vec<Step<State>>) {
     let attempts = &state.entries[i].attempts;
-    let is_open = attempts.last().is_some_and(|s| *s == advance(fresh(), AttemptEvent::Sent));
-    let may = may_send_again(attempts, mutation == Mutation::RetryAfterUnknown);
+    let is_open =
+        attempts.last().is_some_and(|s| *s == advance(initial_state(), AttemptEvent::Sent));
+    let may = may_retry(attempts, mutation == Mutation::RetryAfterUnknown);
     if !is_open && may && attempts.len() < MAX_ATTEMPTS {
         let mut next = state.clone();
         let number = attempts.len() as u8;
-        next.entries[i].attempts.push(advance(fresh(), AttemptEvent::Sent));
+        next.entries[i].attempts.push(advance(initial_state(), AttemptEvent::Sent));
         push(&mut next, Frame::Start { entry: i as u8, number });
         steps.push(("the entry sends an attempt", next));
     }
@@ -239,10 +241,10 @@
         steps.extend(cut.map(|next| ("the entry's link breaks", next)));
     } else if !attempts.is_empty() {
         let mut next = state.clone();
-        next.entries[i].phase = Phase::Told(match judge(attempts) {
-            Verdict::NotRun => Told::NotRun,
-            Verdict::Done => Told::Answer,
-            Verdict::Unknown => Told::Unknown,
+        next.entries[i].phase = Phase::Told(match request_outcome(attempts) {
+            RequestOutcome::NotRun => Told::NotRun,
+            RequestOutcome::Done => Told::Answer,
+            RequestOutcome::Unknown => Told::Unknown,
         });
         steps.push(("the entry tells its caller", next));
     }
--- a/tests/model/lease.rs
+++ b/tests/model/lease.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use mintmoor::policy::lease::{LeaseAction, LeaseRow, LeaseTerms, LeaseView};
+use mintmoor::policy::lease::{LeaseAction, LeaseRow, LeaseTiming, LeaseView};
 
 use crate::explore::{Found, Step, assert_found, assert_holds, explore};
 
@@ -47,9 +47,9 @@
     wrong: Option<&'static str>,
 }
 
-fn terms(mutation: Mutation) -> LeaseTerms {
+fn terms(mutation: Mutation) -> LeaseTiming {
     let margin = if mutation == Mutation::NoMargin { 0 } else { 1 };
-    LeaseTerms { time: Duration::from_secs(3), margin: Duration::from_secs(margin) }
+    LeaseTiming { duration: Duration::from_secs(3), margin: Duration::from_secs(margin) }
 }
 
 fn at(tick: u64) -> Duration {
@@ -100,7 +100,7 @@
 /// even for a holder whose clock runs one tick behind.
 fn check_holders(state: &mut State) {
     let slow = at(state.now.saturating_sub(1));
-    let holds = |i: usize, now| state.processes[i].view.fencing(now).is_some();
+    let holds = |i: usize, now| state.processes[i].view.fencing_token(now).is_some();
     let both =
         holds(0, at(state.now)) && holds(1, slow) || holds(1, at(state.now)) && holds(0, slow);
     if both {
@@ -116,7 +116,7 @@
         let process = &mut next.processes[i];
         process.reply = None;
         process.version = version;
-        process.view.committed(row, version, at(counted_from), terms(mutation));
+        process.view.record_commit(row, version, at(counted_from), terms(mutation));
         steps.push(("the reply to a lease write arrives", next));
         return;
     }
@@ -140,7 +140,7 @@
     let mut next = state.clone();
     next.processes[i].writing = None;
     if state.row.as_ref().map(|(_, version)| *version) != expected {
-        next.processes[i].view.lost();
+        next.processes[i].view.record_conflict();
         steps.push(("a lease write fails its condition", next));
         return;
     }
@@ -159,7 +159,7 @@
 fn act_steps(state: &State, i: usize, mutation: Mutation, steps: &mut Vec<Step<State>>) {
     let process = &state.processes[i];
     let Some((version, fencing)) = process.acting else {
-        if let Some(fencing) = process.view.fencing(at(state.now)) {
+        if let Some(fencing) = process.view.fencing_token(at(state.now)) {
             let mut next = state.clone();
             next.processes[i].acting = Some((process.version, fencing));
             steps.push(("a holder sends a protected write", next));
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -14,7 +14,7 @@
         reading::TimingEstimate,
         roll_out::{Evidence, Finding, VersionTest},
         send_budget::{SendBudget, SendTerms},
-        stopping::still_fits,
+        stopping::can_finish,
     },
     resources::Guard,
     router::EventSplitter,
@@ -498,9 +498,9 @@
 fn a_leaving_entry_takes_what_it_can_finish() {
     let left = Duration::from_secs(3);
 
-    assert!(still_fits(&route(RouteKind::OnceOnly), left));
-    assert!(!still_fits(&route(RouteKind::Stream), left));
-    assert!(still_fits(&route(RouteKind::Stream), Duration::from_secs(5)));
+    assert!(can_finish(&route(RouteKind::OnceOnly), left));
+    assert!(!can_finish(&route(RouteKind::Stream), left));
+    assert!(can_finish(&route(RouteKind::Stream), Duration::from_secs(5)));
 }
 
 #[test]
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -11,8 +11,8 @@
     platform::{Host, HostState, Role},
     policy::{
         cascade::{CascadeEstimates, StageOutlook, expected_cost, is_good_enough, start_stage},
-        choice::{Pool, ServerLoad, choose, time_to_first_token},
-        fair_queue::{FairQueue, Waiting},
+        choice::{Pool, ServerLoad, choose_server, time_to_first_token},
+        fair_queue::{FairQueue, QueuedAttempt},
         lifecycle::{self, LifecycleEvent, LifecycleState},
         limit::AdaptiveLimit,
         outlier::{Outlier, OutlierRules, respects_out},
@@ -68,14 +68,15 @@
 #[test]
 fn a_full_server_is_expected_to_take_longer_than_an_idle_far_one() {
     let near = load(8, 6);
-    let far = ServerLoad { distance: Duration::from_millis(20), ..load(0, 0) };
+    let far = ServerLoad { one_way_latency: Duration::from_millis(20), ..load(0, 0) };
     assert!(time_to_first_token(&near, 100) > time_to_first_token(&far, 100));
 }
 
 #[test]
 fn what_was_sent_since_the_report_counts() {
-    let told = ServerLoad { sent_since: 20, ..load(0, 0) };
-    let chosen = choose(&[0, 1], 10, |server| Some(if server == 0 { told } else { load(6, 0) }));
+    let told = ServerLoad { sent_since_report: 20, ..load(0, 0) };
+    let chosen =
+        choose_server(&[0, 1], 10, |server| Some(if server == 0 { told } else { load(6, 0) }));
     assert_eq!(chosen, Some(1));
 }
 
@@ -83,7 +84,7 @@
 fn a_cached_prefix_is_worth_its_prefill() {
     let cached = ServerLoad { cached_tokens: 900, ..load(4, 0) };
     let chosen =
-        choose(&[0, 1], 1_000, |server| Some(if server == 0 { load(3, 0) } else { cached }));
+        choose_server(&[0, 1], 1_000, |server| Some(if server == 0 { load(3, 0) } else { cached }));
     assert_eq!(chosen, Some(1));
 }
 
@@ -111,7 +112,7 @@
     for i in 0..300 {
         let organisation =
             if i % 10 == 0 { format!("p/small-{}", i / 10 % 9) } else { "p/large".into() };
-        let waiting = Waiting {
+        let waiting = QueuedAttempt {
             organisation: organisation.into(),
             priority: 0,
             cost: 10.0,
@@ -132,7 +133,7 @@
     let mut queue = FairQueue::new(10);
     for (priority, item) in [(0, "a"), (5, "b"), (0, "c")] {
         let waiting =
-            Waiting { organisation: "p/o".into(), priority, cost: 1.0, weight: 1.0, item };
+            QueuedAttempt { organisation: "p/o".into(), priority, cost: 1.0, weight: 1.0, item };
         queue.push(waiting);
     }
     let order: Vec<&str> = std::iter::from_fn(|| queue.pop()).collect();
@@ -145,7 +146,7 @@
     for i in 0..400 {
         let (organisation, weight) = if i % 2 == 0 { ("p/a", 3.0) } else { ("p/b", 1.0) };
         let organisation = organisation.into();
-        queue.push(Waiting { organisation, priority: 0, cost: 1.0, weight, item: i % 2 });
+        queue.push(QueuedAttempt { organisation, priority: 0, cost: 1.0, weight, item: i % 2 });
     }
     let of_a = (0..200).filter(|_| queue.pop() == Some(0)).count();
     assert!((148..=152).contains(&of_a), "{of_a}");
@@ -156,8 +157,8 @@
     let mut budget = RetryBudget::default();
     let mut retries = 0;
     for _ in 0..10_000 {
-        budget.earn();
-        while budget.spend() {
+        budget.deposit();
+        while budget.try_withdraw() {
             retries += 1;
         }
     }
