--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -4,6 +4,7 @@
 //! checks in `tests/model/`, the property tests and the measurements drive what production runs.
 
 pub mod announced;
+pub mod answer_timeout;
 pub mod attempt;
 pub mod availability;
 pub mod cascade;
@@ -19,23 +20,22 @@
 pub mod failure_rate;
 pub mod fair_queue;
 pub mod gate;
-pub mod kept;
 pub mod lease;
 pub mod lifecycle;
 pub mod limit;
 pub mod limit_news;
 pub mod load;
 pub mod outlier;
-pub mod patience;
 pub mod place;
 pub mod placement;
+pub mod prefix_cache;
 pub mod quarantine;
 pub mod rate_limit;
-pub mod reading;
 pub mod retry;
 pub mod retry_after;
 pub mod roll_out;
 pub mod send_budget;
 pub mod send_window;
 pub mod session;
-pub mod stopping;
+pub mod shutdown;
+pub mod timing;
--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -13,7 +13,7 @@
         answers::read_answer,
         headers::{AttemptHeaders, write_attempt},
     },
-    policy::{availability::Cause, kept::PromptPrefix, patience::AnswerTimeouts},
+    policy::{answer_timeout::AnswerTimeouts, availability::Cause, prefix_cache::PromptPrefix},
     router::{
         Member, Router,
         connection::{self, Checkout, ConnectError, Connection},
--- a/src/router/choice.rs
+++ b/src/router/choice.rs
@@ -7,8 +7,8 @@
 use crate::{
     policy::{
         availability::{Availability, Cause, retain_first_tier},
-        kept::{PromptPrefix, shared_prefixes},
         placement::{PlacementRequest, hash_id, place},
+        prefix_cache::{PromptPrefix, shared_prefixes},
         quarantine::Standing,
     },
     router::{
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -5,9 +5,9 @@
 use crate::{
     platform::headers::AttemptHeaders,
     policy::{
+        answer_timeout::head_timeouts,
         attempt::{self, AttemptEvent, AttemptState, RequestOutcome, may_retry, request_outcome},
         availability::Cause,
-        patience::head_timeouts,
     },
     router::{
         Member, Router,
--- a/src/router/readings.rs
+++ b/src/router/readings.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use crate::policy::reading::TimingEstimate;
+use crate::policy::timing::TimingEstimate;
 
 /// Beliefs by model, or by service where there is no model.
 #[derive(Debug, Default)]
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -8,8 +8,8 @@
 
 use crate::{
     policy::{
-        patience::{AnswerTimeouts, event_timeouts},
-        reading::TimingEstimate,
+        answer_timeout::{AnswerTimeouts, event_timeouts},
+        timing::TimingEstimate,
     },
     router::{
         EventSplitter, Member, Router,
--- a/src/router/silence.rs
+++ b/src/router/silence.rs
@@ -3,7 +3,7 @@
 use std::{future::Future, pin::Pin, time::Duration};
 
 use crate::{
-    policy::patience::AnswerTimeouts,
+    policy::answer_timeout::AnswerTimeouts,
     router::{Member, Router, job::Job},
 };
 
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -24,7 +24,7 @@
         extra_share::ExtraShare,
         lifecycle::{self, Lifecycle, LifecycleEvent, LifecycleState},
         send_budget::{SendBudget, SendTerms},
-        stopping::can_finish,
+        shutdown::can_finish,
     },
     router::{
         Fleet, evacuations::Evacuations, kept_board::KeptBoard, limit_board::LimitBoard,
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -4,17 +4,17 @@
 
 use mintmoor::{
     policy::{
+        answer_timeout::{event_timeouts, head_timeouts},
         escalation::{EscalationConfig, StageAnswer, escalate, escalation_timeout, threshold},
         exposure::{ExposureConfig, is_in_share, request_share, session_share},
         failure_rate::FailureRate,
-        kept::{CachedPrefixes, PromptPrefix, shared_prefixes},
         load::{LoadEstimate, ReportedLoad},
-        patience::{event_timeouts, head_timeouts},
         placement::{Candidate, PlacementConfig, PlacementRequest, hash_id, place},
-        reading::TimingEstimate,
+        prefix_cache::{CachedPrefixes, PromptPrefix, shared_prefixes},
         roll_out::{Evidence, Finding, VersionTest},
         send_budget::{SendBudget, SendTerms},
-        stopping::can_finish,
+        shutdown::can_finish,
+        timing::TimingEstimate,
     },
     resources::Guard,
     router::EventSplitter,
--- a/tests/play/engine.rs
+++ b/tests/play/engine.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use mintmoor::policy::kept::PromptPrefix;
+use mintmoor::policy::prefix_cache::PromptPrefix;
 
 /// Speed and size of an engine.
 #[derive(Clone, Copy, Debug)]
--- a/tests/play/mix.rs
+++ b/tests/play/mix.rs
@@ -1,6 +1,8 @@
 //! Kinds of request and their arrivals, drawn from a seed.
 
-use mintmoor::{policy::kept::PromptPrefix, policy::kept::shared_prefixes, routing::PromptPart};
+use mintmoor::{
+    policy::prefix_cache::PromptPrefix, policy::prefix_cache::shared_prefixes, routing::PromptPart,
+};
 use rand::{Rng, RngExt, SeedableRng, rngs::StdRng};
 
 /// One kind of request.
--- a/tests/play/system.rs
+++ b/tests/play/system.rs
@@ -4,9 +4,9 @@
 
 use mintmoor::policy::{
     escalation::{EscalationConfig, StageAnswer, escalate},
-    kept::{CachedPrefixes, PromptPrefix},
     load::LoadEstimate,
     placement::{Candidate, PlacementConfig, PlacementRequest, hash_id, place},
+    prefix_cache::{CachedPrefixes, PromptPrefix},
 };
 
 use crate::{
