--- a/src/router/advertised_limits.rs
+++ b/src/router/advertised_limits.rs
@@ -8,7 +8,7 @@
     policy::rate_limit::AdvertisedLimit,
     router::{
         Member, Router,
-        limit_board::{Changed, LimitUpdate},
+        shared_limits::{Changed, LimitUpdate},
     },
     routing::{AnswerHead, AnswerKind},
     telemetry::event,
--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -18,7 +18,7 @@
         Member, Router,
         connection::{self, Checkout, ConnectError, Connection},
         job::Job,
-        kept_board::KeptNote,
+        prefix_reports::KeptNote,
         silence::{Wait, wait_for_answer},
     },
     routing::{AnswerHead, AnswerKind, Request},
--- a/src/router/availability.rs
+++ b/src/router/availability.rs
@@ -12,7 +12,7 @@
         place::Place,
         rate_limit::{Allowance, Rate, allowance, stand_in},
     },
-    router::{Member, Router, limit_board::LimitView},
+    router::{Member, Router, shared_limits::LimitView},
 };
 
 /// Time for which a server that nobody answered for is taken as cold once it answers, beyond the time that a
--- a/src/router/packed_rows.rs
+++ b/src/router/compressed_rows.rs
@@ -13,7 +13,7 @@
     ids::{Era, Revision, StoreVersion},
     platform::store::{Row, Table, is_first},
     protocol::{Result, decode, encode},
-    router::views::TableUpdate,
+    router::table_views::TableUpdate,
 };
 
 /// Largest unpacked size that is taken, bytes: ten times the rows of 2,100 servers.
--- a/src/router/feed.rs
+++ b/src/router/feed.rs
@@ -14,7 +14,7 @@
     router::{
         Router,
         restore::{self, Extent},
-        views::TableUpdate,
+        table_views::TableUpdate,
     },
     telemetry::event,
 };
--- a/src/router/fleet.rs
+++ b/src/router/fleet.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     policy::quarantine::LifeHash,
-    router::{Member, departed::Departed},
+    router::{Member, departed_servers::Departed},
     routing::{BackendServer, ServerVersion},
     telemetry::event,
 };
--- a/src/router/messages.rs
+++ b/src/router/messages.rs
@@ -8,8 +8,8 @@
 use crate::{
     ids::{Era, Revision},
     router::{
-        kept_board::KeptNote, limit_board::LimitUpdate, load_board::ServerLoad,
-        packed_rows::PackedUpdate, quarantine_board::NoteUpdate, trial::VersionEvidence,
+        compressed_rows::PackedUpdate, load_reports::ServerLoad, prefix_reports::KeptNote,
+        roll_out_state::VersionEvidence, shared_limits::LimitUpdate, shared_quarantine::NoteUpdate,
     },
 };
 
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! A request is admitted ([`serve`]), tried at one BackendServer after another ([`choice`],
 //! [`dispatch`], [`attempt`]), model after model in a cascade ([`stages`]), and its answer passed on
-//! ([`relay`]). What the platform's store says is followed on the control thread ([`feed`], [`driver`]),
-//! or learned from another entry ([`follow`], [`peers`]). The design is in docs/decisions/0008.
+//! ([`relay`]). What the platform's store says is followed on the control thread ([`feed`], [`roll_out_driver`]),
+//! or learned from another entry ([`peer_follower`], [`peers`]). The design is in docs/decisions/0008.
 
 mod advertised_limits;
 mod announcements;
@@ -12,52 +12,50 @@
 mod body;
 mod breaks;
 mod choice;
+mod compressed_rows;
 mod connection;
-mod departed;
+mod departed_servers;
 mod dispatch;
-mod driver;
 mod evacuations;
 mod event_stream;
 mod feed;
 mod fleet;
-mod follow;
 mod job;
-mod kept_board;
-mod limit_board;
-mod link;
 mod listen;
 mod listing;
-mod load_board;
+mod load_reports;
 mod member;
 mod messages;
-
-mod note_log;
 mod observability;
 mod orders;
 mod own_place;
-mod packed_rows;
+mod peer_follower;
+mod peer_link;
 mod peers;
+mod prefix_reports;
 mod quarantine;
-mod quarantine_board;
 mod quarantine_row;
-mod readings;
 mod refusal;
 mod relay;
 mod release;
-mod reports;
 mod restore;
 mod roll_out;
+mod roll_out_driver;
+mod roll_out_state;
 mod run;
+mod seed_reporter;
 mod serve;
 mod servers;
-
+mod shared_limits;
+mod shared_quarantine;
 mod silence;
+mod speed_estimates;
 mod stages;
 mod state;
-mod trial;
-mod urgent_news;
+mod table_views;
+mod update_log;
+mod urgent_updates;
 mod version_rule;
-mod views;
 
 pub use event_stream::EventSplitter;
 pub use fleet::Fleet;
--- a/src/router/link.rs
+++ b/src/router/peer_link.rs
@@ -7,7 +7,7 @@
 
 use tokio::sync::Notify;
 
-use crate::{platform::store::Table, router::views::TableUpdate};
+use crate::{platform::store::Table, router::table_views::TableUpdate};
 
 /// Updates that wait for whoever follows a table; more than that means that nobody takes them, and
 /// a new link begins with all rows anyway.
--- a/src/router/peers.rs
+++ b/src/router/peers.rs
@@ -1,7 +1,7 @@
 //! Links between entries: opening them, and serving those that follow or report.
 //!
-//! An entry follows another one instead of the store ([`follow`](super::follow)) and reports to the seeds
-//! ([`reports`](super::reports)).
+//! An entry follows another one instead of the store ([`peer_follower`](super::peer_follower)) and reports to the seeds
+//! ([`seed_reporter`](super::seed_reporter)).
 //!
 //! Calls to the store are paid for and limited, so only the entries that the settings name as seeds
 //! follow it while all is well; each other entry follows a seed, in its own AvailabilityZone if
@@ -28,7 +28,7 @@
     router::{
         Router,
         messages::{Asked, PeerMessage, Report},
-        urgent_news::UrgentNews,
+        urgent_updates::UrgentNews,
     },
     telemetry::event,
 };
--- a/src/router/kept_board.rs
+++ b/src/router/prefix_reports.rs
@@ -10,7 +10,7 @@
 
 use crate::router::{
     Fleet,
-    note_log::{NoteLimits, NoteLog},
+    update_log::{NoteLimits, NoteLog},
 };
 
 /// Notes kept for links that are behind or new; 40 KB. At 1,000 requests a second, of which one in four
--- a/src/router/roll_out.rs
+++ b/src/router/roll_out.rs
@@ -17,7 +17,7 @@
     ids::StoreVersion,
     policy::exposure::ExposureTerms,
     router::{
-        trial::{RollOut, Verdict, VersionEvidence},
+        roll_out_state::{RollOut, Verdict, VersionEvidence},
         version_rule::VersionRule,
     },
     routing::{BackendServer, Progress, RequestHead, RollOutOrder},
--- a/src/router/driver.rs
+++ b/src/router/roll_out_driver.rs
@@ -12,7 +12,7 @@
         documents::{read_status, service_of_status, status_key, write_status},
         store::{Put, Row, StoreClient, Table, WriteOutcome},
     },
-    router::{Router, trial::Verdict},
+    router::{Router, roll_out_state::Verdict},
     routing::{Progress, RollOutOrder, RollOutStatus},
     telemetry::event,
 };
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -12,7 +12,8 @@
         store::StoreClient,
     },
     router::{
-        Router, driver, follow, listen, orders, peers, quarantine_row, release, reports, servers,
+        Router, listen, orders, peer_follower, peers, quarantine_row, release, roll_out_driver,
+        seed_reporter, servers,
         state::{BALANCER, BEFORE_KILL},
     },
     settings::RouteSettings,
@@ -120,10 +121,10 @@
         tokio::join!(
             orders::follow_orders(&router, &store),
             servers::follow_servers(&router, &store),
-            driver::drive_roll_outs(&router, &store),
+            roll_out_driver::drive_roll_outs(&router, &store),
             answer_peers(router.clone(), peers),
-            follow::follow(&router),
-            reports::report_load(&router),
+            peer_follower::follow(&router),
+            seed_reporter::report_load(&router),
             keep_quarantine(&router, &store),
         )
     };
--- a/src/router/quarantine_board.rs
+++ b/src/router/shared_quarantine.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     policy::quarantine::{Case, LifeHash, Note, Quarantine, Standing},
-    router::note_log::{NoteLimits, NoteLog},
+    router::update_log::{NoteLimits, NoteLog},
     routing::Fingerprint,
     telemetry::event,
 };
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -27,9 +27,10 @@
         stopping::still_fits,
     },
     router::{
-        Fleet, evacuations::Evacuations, kept_board::KeptBoard, limit_board::LimitBoard,
-        link::Link, load_board::LoadBoard, own_place::OwnPlace, quarantine_board::QuarantineBoard,
-        quarantine_row::TrialRequest, readings::Readings, roll_out::RollOuts, views::Views,
+        Fleet, evacuations::Evacuations, load_reports::LoadBoard, own_place::OwnPlace,
+        peer_link::Link, prefix_reports::KeptBoard, quarantine_row::TrialRequest,
+        roll_out::RollOuts, shared_limits::LimitBoard, shared_quarantine::QuarantineBoard,
+        speed_estimates::Readings, table_views::Views,
     },
     routing::{Route, RoutingTable},
     settings::RouteSettings,
--- a/src/router/views.rs
+++ b/src/router/table_views.rs
@@ -11,7 +11,7 @@
 use crate::{
     ids::{Era, StoreVersion},
     platform::store::{Row, Rows, Table},
-    router::packed_rows::PackedUpdate,
+    router::compressed_rows::PackedUpdate,
 };
 
 /// Updates kept for a subscriber that reads slowly; one further behind has to begin anew.
