--- a/src/router/compressed_rows.rs
+++ b/src/router/compressed_rows.rs
@@ -22,7 +22,7 @@
 /// Rows of one table, packed. After a loss of all entries each seed sends all rows to dozens of others at
 /// once: 60 KB each for 160 servers, and a sixth of it packed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct PackedUpdate {
+pub(crate) struct CompressedUpdate {
     table: Table,
     version: Revision,
     store_now: Duration,
@@ -33,13 +33,13 @@
     /// Whether the store's rows lack some of these.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     is_amended: bool,
-    rows: Arc<Packed>,
+    rows: Arc<CompressedBytes>,
 }
 
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Packed(#[serde(with = "serde_bytes")] Vec<u8>);
+struct CompressedBytes(#[serde(with = "serde_bytes")] Vec<u8>);
 
-impl PackedUpdate {
+impl CompressedUpdate {
     /// Packs rows.
     pub(crate) fn pack(update: &TableUpdate) -> Self {
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
@@ -52,14 +52,14 @@
             is_whole: update.is_whole,
             era: update.version.era,
             is_amended: update.is_amended,
-            rows: Arc::new(Packed(rows)),
+            rows: Arc::new(CompressedBytes(rows)),
         }
     }
 
     /// The rows again.
     ///
     /// # Errors
-    /// When they were not packed by [`PackedUpdate::pack`].
+    /// When they were not packed by [`CompressedUpdate::pack`].
     pub(crate) fn unpack(&self) -> Result<TableUpdate> {
         let mut unpacked = Vec::new();
         let mut decoder = DeflateDecoder::new(&self.rows.0[..]).take(MOST_UNPACKED);
--- a/src/router/departed_servers.rs
+++ b/src/router/departed_servers.rs
@@ -14,11 +14,11 @@
 
 /// Lives out of view, by id, and when each went.
 #[derive(Debug, Default)]
-pub(super) struct Departed {
+pub(super) struct DepartedServers {
     lives: HashMap<Box<str>, (Arc<Member>, Duration)>,
 }
 
-impl Departed {
+impl DepartedServers {
     /// The last life that was in view under an id.
     pub(super) fn get(&self, id: &str) -> Option<&Arc<Member>> {
         self.lives.get(id).map(|(member, _)| member)
--- a/src/router/evacuations.rs
+++ b/src/router/evacuations.rs
@@ -9,19 +9,19 @@
 
 /// What is known of one AvailabilityZone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Order {
+enum ZoneState {
     /// Nothing is sent there, since this time.
     Evacuated(Duration),
     /// The operator took it back at this time.
-    TakenBack(Duration),
+    Ended(Duration),
 }
 
-type Orders = HashMap<Box<str>, Order>;
+type ZoneStates = HashMap<Box<str>, ZoneState>;
 
 /// The operator's evacuation orders. Every send asks when its server is chosen, whatever it is for.
 #[derive(Debug, Default)]
 pub(crate) struct Evacuations {
-    orders: ArcSwap<Orders>,
+    orders: ArcSwap<ZoneStates>,
 }
 
 impl Evacuations {
@@ -30,7 +30,7 @@
         if self.is_evacuated(zone) {
             return;
         }
-        self.put(zone, Order::Evacuated(now));
+        self.put(zone, ZoneState::Evacuated(now));
         event::ZONE_EVACUATED.log(format_args!("zone={zone}"));
     }
 
@@ -39,51 +39,51 @@
         if !self.is_evacuated(zone) {
             return;
         }
-        self.put(zone, Order::TakenBack(now));
+        self.put(zone, ZoneState::Ended(now));
         event::ZONE_TAKEN_BACK.log(format_args!("zone={zone}"));
     }
 
     /// Orders are read by one task, so none is lost between the load and the store.
-    fn put(&self, zone: &str, order: Order) {
-        let mut orders = Orders::clone(&self.orders.load());
+    fn put(&self, zone: &str, order: ZoneState) {
+        let mut orders = ZoneStates::clone(&self.orders.load());
         orders.insert(zone.into(), order);
         self.orders.store(Arc::new(orders));
     }
 
     /// Whether any zone is evacuated: mostly none is, and no zone has to be looked up.
     pub(crate) fn is_any(&self) -> bool {
-        self.orders.load().values().any(|order| matches!(order, Order::Evacuated(_)))
+        self.orders.load().values().any(|order| matches!(order, ZoneState::Evacuated(_)))
     }
 
     /// Whether nothing may be sent to a zone's servers.
     pub(crate) fn is_evacuated(&self, zone: &str) -> bool {
-        matches!(self.orders.load().get(zone), Some(Order::Evacuated(_)))
+        matches!(self.orders.load().get(zone), Some(ZoneState::Evacuated(_)))
     }
 
     /// When the operator last took a zone back; none where it is evacuated or never was.
     pub(crate) fn taken_back_at(&self, zone: &str) -> Option<Duration> {
         match self.orders.load().get(zone)? {
-            Order::TakenBack(at) => Some(*at),
-            Order::Evacuated(_) => None,
+            ZoneState::Ended(at) => Some(*at),
+            ZoneState::Evacuated(_) => None,
         }
     }
 
     /// Zones that are evacuated.
     pub(crate) fn zones(&self) -> Vec<Box<str>> {
         let orders = self.orders.load();
-        let evacuated = orders.iter().filter(|(_, order)| matches!(order, Order::Evacuated(_)));
+        let evacuated = orders.iter().filter(|(_, order)| matches!(order, ZoneState::Evacuated(_)));
         evacuated.map(|(zone, _)| zone.clone()).collect()
     }
 
     /// Part of the state dump.
     pub(crate) fn dump(&self, now: Duration) -> Value {
         let orders = self.orders.load();
-        let one = |(zone, order): (_, &Order)| match order {
-            Order::Evacuated(since) => {
+        let one = |(zone, order): (_, &ZoneState)| match order {
+            ZoneState::Evacuated(since) => {
                 let for_s = now.saturating_sub(*since).as_secs_f64();
                 Some(json!({"zone": zone, "for_s": for_s}))
             }
-            Order::TakenBack(_) => None,
+            ZoneState::Ended(_) => None,
         };
         Value::Array(orders.iter().filter_map(one).collect())
     }
--- a/src/router/feed.rs
+++ b/src/router/feed.rs
@@ -56,12 +56,12 @@
 const RETURN_TIME: Duration = Duration::from_millis(1_900);
 /// Whether the store answers, for events and for judging removals.
 #[derive(Debug, Default)]
-pub(super) struct Contact {
+pub(super) struct StoreReachability {
     is_lost: bool,
     back_at: Option<Duration>,
 }
 
-impl Contact {
+impl StoreReachability {
     fn note_answer(&mut self, table: Table, now: Duration) {
         if self.is_lost {
             self.is_lost = false;
@@ -93,13 +93,13 @@
 }
 
 /// A table that is followed.
-struct Followed {
+struct FollowedTable {
     table: Table,
     position: Position,
-    contact: Contact,
+    contact: StoreReachability,
 }
 
-impl Followed {
+impl FollowedTable {
     /// Takes in rows that are shown, as far as they are newer than what is known, and hands them on to what they
     /// are for; false where they are older than what another entry reported.
     fn take(
@@ -107,7 +107,7 @@
         router: &Router,
         mut rows: Rows,
         offer: Offer,
-        apply: &mut impl FnMut(Rows, Extent, &Contact),
+        apply: &mut impl FnMut(Rows, Extent, &StoreReachability),
     ) -> bool {
         let known = self.position.at;
         let extent = match self.position.taking(&offer) {
@@ -137,7 +137,11 @@
     }
 
     /// Takes in all that another entry has passed on so far.
-    fn take_waiting(&mut self, router: &Router, apply: &mut impl FnMut(Rows, Extent, &Contact)) {
+    fn take_waiting(
+        &mut self,
+        router: &Router,
+        apply: &mut impl FnMut(Rows, Extent, &StoreReachability),
+    ) {
         while let Some(update) = router.link.take(self.table) {
             take_in(router, update, self, apply);
         }
@@ -147,7 +151,7 @@
     async fn follow_link(
         &mut self,
         router: &Router,
-        apply: &mut impl FnMut(Rows, Extent, &Contact),
+        apply: &mut impl FnMut(Rows, Extent, &StoreReachability),
     ) {
         // The store answers the entry that is followed; whether it answers this one no longer matters.
         self.contact.note_answer(self.table, router.now());
@@ -165,10 +169,10 @@
     router: &Router,
     store: &StoreClient,
     table: Table,
-    mut apply: impl FnMut(Rows, Extent, &Contact),
+    mut apply: impl FnMut(Rows, Extent, &StoreReachability),
 ) {
-    let (position, contact) = (Position::default(), Contact::default());
-    let mut followed = Followed { table, position, contact };
+    let (position, contact) = (Position::default(), StoreReachability::default());
+    let mut followed = FollowedTable { table, position, contact };
     wait_for_first_link(router).await;
     loop {
         if router.follows_link() {
@@ -188,11 +192,11 @@
             continue;
         }
         let (rows, is_whole) = match news {
-            Ok(News::Rows(rows, is_whole)) => {
+            Ok(StoreAnswer::Rows(rows, is_whole)) => {
                 followed.contact.note_answer(table, router.now());
                 (rows, is_whole)
             }
-            Ok(News::HistoryGone) => {
+            Ok(StoreAnswer::HistoryGone) => {
                 followed.position.at = None;
                 continue;
             }
@@ -266,8 +270,8 @@
 fn take_in(
     router: &Router,
     update: TableUpdate,
-    followed: &mut Followed,
-    apply: &mut impl FnMut(Rows, Extent, &Contact),
+    followed: &mut FollowedTable,
+    apply: &mut impl FnMut(Rows, Extent, &StoreReachability),
 ) {
     let TableUpdate { version, is_whole, is_amended, .. } = update;
     let known = followed.position.at;
@@ -281,7 +285,7 @@
 }
 
 /// What is new about a table.
-enum News {
+enum StoreAnswer {
     /// Rows of the store: all of them, or those that changed.
     Rows(Rows, bool),
     /// The table has to be read anew.
@@ -294,9 +298,9 @@
     table: Table,
     at: Option<StoreVersion>,
     is_urgent: bool,
-) -> crate::platform::Result<News> {
+) -> crate::platform::Result<StoreAnswer> {
     let Some(after) = at else {
-        return Ok(News::Rows(store.read(table).await?, true));
+        return Ok(StoreAnswer::Rows(store.read(table).await?, true));
     };
     // A store that was lost, or a Host that was suspended: what holds now has to show at once.
     let catch_up = router.settings.load().catch_up;
@@ -306,7 +310,7 @@
         () => catch_up.saturating_sub(CATCH_UP),
     };
     Ok(match store.follow(table, after, wait).await? {
-        Feed::Changes(rows) => News::Rows(rows, false),
-        Feed::HistoryGone => News::HistoryGone,
+        Feed::Changes(rows) => StoreAnswer::Rows(rows, false),
+        Feed::HistoryGone => StoreAnswer::HistoryGone,
     })
 }
--- a/src/router/fleet.rs
+++ b/src/router/fleet.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     policy::quarantine::LifeHash,
-    router::{Member, departed_servers::Departed},
+    router::{Member, departed_servers::DepartedServers},
     routing::{BackendServer, ServerVersion},
     telemetry::event,
 };
@@ -23,7 +23,7 @@
     members: HashMap<Box<str>, Arc<Member>>,
     by_service: HashMap<Box<str>, Vec<Arc<Member>>>,
     by_short_hash: HashMap<u32, Arc<Member>>,
-    departed: Departed,
+    departed: DepartedServers,
     /// Until when versions wait that came into view beside others, by service and version.
     waiting: HashMap<(Box<str>, ServerVersion), Duration>,
 }
--- a/src/router/load_reports.rs
+++ b/src/router/load_reports.rs
@@ -45,7 +45,7 @@
 
 /// The last report of one entry.
 #[derive(Debug)]
-struct HeardReport {
+struct ReceivedReport {
     at: Duration,
     /// The link it came over.
     link: u64,
@@ -53,7 +53,7 @@
     loads: Vec<ServerLoad>,
 }
 
-impl HeardReport {
+impl ReceivedReport {
     fn is_fresh(&self, now: Duration) -> bool {
         now < self.at + REPORT_LASTS
     }
@@ -62,7 +62,7 @@
 #[derive(Debug, Default)]
 struct Inner {
     /// Reports by the Host they came from.
-    reports: HashMap<Box<str>, HeardReport>,
+    reports: HashMap<Box<str>, ReceivedReport>,
     /// Number of the next link that brings reports.
     next_link: u64,
     /// What was last reported of this entry.
@@ -71,7 +71,7 @@
 
 /// The reports an entry has, and its own.
 #[derive(Debug, Default)]
-pub(crate) struct LoadBoard {
+pub(crate) struct LoadReports {
     inner: Mutex<Inner>,
 }
 
@@ -83,7 +83,7 @@
     loads
 }
 
-impl LoadBoard {
+impl LoadReports {
     fn lock(&self) -> std::sync::MutexGuard<'_, Inner> {
         self.inner.lock().expect("no panics under the lock")
     }
@@ -120,7 +120,7 @@
     ) {
         let mut inner = self.lock();
         inner.reports.retain(|_, report| report.is_fresh(now));
-        inner.reports.insert(host.into(), HeardReport { at: now, link, is_settled, loads });
+        inner.reports.insert(host.into(), ReceivedReport { at: now, link, is_settled, loads });
     }
 
     /// Forgets the entry whose link has ended, unless it has reported over another one since: its process is
--- a/src/router/messages.rs
+++ b/src/router/messages.rs
@@ -8,14 +8,15 @@
 use crate::{
     ids::{Era, Revision},
     router::{
-        compressed_rows::PackedUpdate, load_reports::ServerLoad, prefix_reports::KeptNote,
-        roll_out_state::VersionEvidence, shared_limits::LimitUpdate, shared_quarantine::NoteUpdate,
+        compressed_rows::CompressedUpdate, load_reports::ServerLoad, prefix_reports::CachedPrefix,
+        roll_out_state::VersionEvidence, shared_limits::LimitUpdate,
+        shared_quarantine::QuarantineUpdate,
     },
 };
 
 /// What an entry says on a link that it opened.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) enum Asked {
+pub(crate) enum PeerRequest {
     /// It wants to receive what the store says.
     Follow {
         /// Newest rows it has, by the store's count.
@@ -41,10 +42,10 @@
     pub(crate) loads: Vec<ServerLoad>,
     pub(crate) evidence: Vec<VersionEvidence>,
     /// Prompt parts that it sent since its last report.
-    pub(crate) kept: Vec<KeptNote>,
+    pub(crate) kept: Vec<CachedPrefix>,
     /// Ends of servers since its last report; absent from entries that report none.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub(crate) ends: Vec<NoteUpdate>,
+    pub(crate) ends: Vec<QuarantineUpdate>,
     /// Limits of servers that changed since its last report.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub(crate) limits: Vec<LimitUpdate>,
@@ -74,7 +75,7 @@
     Beat {
         /// Whether the store answers it.
         is_current: bool,
-        updates: Vec<PackedUpdate>,
+        updates: Vec<CompressedUpdate>,
         /// How many entries report to it, itself included; 0 from one that does not say.
         #[serde(default)]
         entries: usize,
@@ -84,11 +85,11 @@
         /// What all entries together have at the servers.
         loads: Vec<ServerLoad>,
         /// Prompt parts that entries sent since the last heartbeat.
-        kept: Vec<KeptNote>,
+        kept: Vec<CachedPrefix>,
         /// Ends of servers since the last heartbeat, or all that are known in the first one; absent from
         /// entries that report none.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
-        ends: Vec<NoteUpdate>,
+        ends: Vec<QuarantineUpdate>,
         /// Whether these are all, with what was known before it started; not so with one that does not say.
         #[serde(default)]
         is_informed: bool,
@@ -101,7 +102,7 @@
     News {
         /// Ends of servers under requests that several have ended under.
         #[serde(default)]
-        ends: Vec<NoteUpdate>,
+        ends: Vec<QuarantineUpdate>,
         /// Limits of servers that changed.
         #[serde(default)]
         limits: Vec<LimitUpdate>,
--- a/src/router/peer_follower.rs
+++ b/src/router/peer_follower.rs
@@ -10,7 +10,7 @@
     protocol::{Error, Result},
     router::{
         Router,
-        messages::{Asked, PeerMessage},
+        messages::{PeerMessage, PeerRequest},
         peers::{OPENING, open, other_seeds, receive, send_message, silent},
     },
     telemetry::event,
@@ -26,7 +26,7 @@
 const STAY_WITH_LOST: Duration = Duration::from_secs(2);
 
 /// Why an entry that was followed is followed no more.
-enum Left {
+enum LeaveReason {
     /// It stands in another AvailabilityZone, and there are entries whose zone is not known yet.
     OtherZone,
     /// No link is wanted any more.
@@ -35,13 +35,13 @@
 
 /// The seeds as an entry that follows one knows them.
 #[derive(Default)]
-struct Seeds {
+struct SeedRotation {
     zones: HashMap<SocketAddr, Box<str>>,
     /// Seeds given up since one was left for no fault of its own.
     turn: usize,
 }
 
-impl Seeds {
+impl SeedRotation {
     /// All but this entry: those in this zone first, then those not asked yet.
     fn in_order(&self, settings: &HostSettings) -> Vec<SocketAddr> {
         let mut others = other_seeds(settings);
@@ -62,7 +62,7 @@
 
 /// Follows another entry whenever that is wanted.
 pub(crate) async fn follow(router: &Router) {
-    let mut seeds = Seeds::default();
+    let mut seeds = SeedRotation::default();
     loop {
         if router.wants_link() && follow_next(router, &mut seeds).await {
             continue;
@@ -73,7 +73,7 @@
 }
 
 /// Follows the next seed; whether the one after it should be tried at once.
-async fn follow_next(router: &Router, seeds: &mut Seeds) -> bool {
+async fn follow_next(router: &Router, seeds: &mut SeedRotation) -> bool {
     let others = seeds.in_order(&router.settings.load());
     let Some(peer) = others.get(seeds.turn % others.len().max(1)).copied() else {
         return false;
@@ -82,8 +82,8 @@
     let is_last = seeds.turn % others.len() == others.len() - 1;
     let stay = if is_last { STAY_WITH_LOST } else { Duration::ZERO };
     match follow_one(router, peer, &mut seeds.zones, wants_zone, stay).await {
-        Ok(Left::OtherZone) => return true,
-        Ok(Left::Unwanted) => seeds.turn = 0,
+        Ok(LeaveReason::OtherZone) => return true,
+        Ok(LeaveReason::Unwanted) => seeds.turn = 0,
         Err(e) => {
             event::PEER_FAILED.log(format_args!("peer={peer} cause=\"{e}\""));
             seeds.turn += 1;
@@ -107,7 +107,7 @@
     zones: &mut HashMap<SocketAddr, Box<str>>,
     wants_zone: bool,
     stay: Duration,
-) -> Result<Left> {
+) -> Result<LeaveReason> {
     let mut wakes = router.clock.wakes();
     let opening = Instant::now() + OPENING;
     let mut socket = timeout_at(opening, open(peer)).await.map_err(|_| silent())??;
@@ -115,14 +115,14 @@
     let own_zone = router.settings.load().zone.clone();
     let only_in = wants_zone.then(|| own_zone.clone());
     let host = router.settings.load().host.clone();
-    send_message(&mut socket, &Asked::Follow { version, era, only_in, host }).await?;
+    send_message(&mut socket, &PeerRequest::Follow { version, era, only_in, host }).await?;
     let PeerMessage::Welcome { zone } = receive(&mut socket).await? else {
         return Err(Error::Broken("no welcome".into()));
     };
     let is_near = zone == own_zone;
     zones.insert(peer, zone);
     if !is_near && wants_zone {
-        return Ok(Left::OtherZone);
+        return Ok(LeaveReason::OtherZone);
     }
     let mut current_at = router.now();
     while router.wants_link() {
@@ -145,7 +145,7 @@
             return Err(Error::Broken("the store does not answer it".into()));
         }
     }
-    Ok(Left::Unwanted)
+    Ok(LeaveReason::Unwanted)
 }
 
 fn resumed() -> Error {
--- a/src/router/peer_link.rs
+++ b/src/router/peer_link.rs
@@ -24,12 +24,12 @@
 /// While it is current it stands in for the store: the other entry receives the store's answers and
 /// passes on what they say (docs/decisions/0009).
 #[derive(Debug, Default)]
-pub(crate) struct Link {
+pub(crate) struct PeerLink {
     inner: Mutex<Inner>,
     news: Notify,
 }
 
-impl Link {
+impl PeerLink {
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().expect("no panics under the lock")
     }
--- a/src/router/peers.rs
+++ b/src/router/peers.rs
@@ -27,8 +27,8 @@
     protocol::{Error, Result, decode, encode},
     router::{
         Router,
-        messages::{Asked, PeerMessage, Report},
-        urgent_updates::UrgentNews,
+        messages::{PeerMessage, PeerRequest, Report},
+        urgent_updates::UrgentUpdates,
     },
     telemetry::event,
 };
@@ -95,22 +95,22 @@
     stream.set_nodelay(true)?;
     let mut socket = timeout(OPENING, accept_async(stream)).await.map_err(|_| silent())??;
     match timeout(OPENING, receive(&mut socket)).await.map_err(|_| silent())?? {
-        Asked::Follow { version, era, only_in, host } => {
+        PeerRequest::Follow { version, era, only_in, host } => {
             let version = StoreVersion { era, revision: version };
             serve_follower(router, socket, version, only_in.as_deref(), &host).await
         }
-        Asked::Report { host, report } => take_reports(router, socket, &host, report).await,
+        PeerRequest::Report { host, report } => take_reports(router, socket, &host, report).await,
     }
 }
 
 /// Forgets what an entry reported over a link when that ends, in whatever way.
-struct ForgetsReport<'a> {
+struct RemoveReportOnDrop<'a> {
     router: &'a Router,
     host: &'a str,
     link: u64,
 }
 
-impl Drop for ForgetsReport<'_> {
+impl Drop for RemoveReportOnDrop<'_> {
     fn drop(&mut self) {
         self.router.loads.forget_report(self.host, self.link);
     }
@@ -124,8 +124,8 @@
     mut report: Report,
 ) -> Result<()> {
     let link = router.loads.number_link();
-    let _forgets = ForgetsReport { router, host, link };
-    let mut news = UrgentNews::of(router);
+    let _forgets = RemoveReportOnDrop { router, host, link };
+    let mut news = UrgentUpdates::of(router);
     loop {
         let (loads, now) = (report.loads, router.now());
         router.loads.take_report(host, link, loads, !report.is_new, now);
@@ -142,8 +142,10 @@
                 }
             };
             match asked {
-                Asked::Report { report, .. } => break report,
-                Asked::Follow { .. } => return Err(Error::Broken("reports were expected".into())),
+                PeerRequest::Report { report, .. } => break report,
+                PeerRequest::Follow { .. } => {
+                    return Err(Error::Broken("reports were expected".into()));
+                }
             }
         };
     }
--- a/src/router/prefix_reports.rs
+++ b/src/router/prefix_reports.rs
@@ -10,7 +10,7 @@
 
 use crate::router::{
     Fleet,
-    update_log::{NoteLimits, NoteLog},
+    update_log::{UpdateLog, UpdateLogLimits},
 };
 
 /// Notes kept for links that are behind or new; 40 KB. At 1,000 requests a second, of which one in four
@@ -23,7 +23,7 @@
 
 /// A part of a prompt that a server was sent, as entries report it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct KeptNote(
+pub(crate) struct CachedPrefix(
     /// Short hash of the server's id.
     pub(crate) u32,
     /// Hash of the prompt up to the part's end.
@@ -32,46 +32,46 @@
     pub(crate) u32,
 );
 
-const LIMITS: NoteLimits =
-    NoteLimits { kept: MOST_NOTES, reported: MOST_REPORTED, reported_for: REPORTED_FOR };
+const LIMITS: UpdateLogLimits =
+    UpdateLogLimits { kept: MOST_NOTES, reported: MOST_REPORTED, reported_for: REPORTED_FOR };
 
 #[derive(Debug)]
 struct Inner {
     /// Of this entry.
-    own: NoteLog<KeptNote>,
+    own: UpdateLog<CachedPrefix>,
     /// Of all entries, where others follow this one.
-    all: NoteLog<KeptNote>,
+    all: UpdateLog<CachedPrefix>,
     /// Notes about servers that are not in view yet, at most [`MOST_REPORTED`]: an entry that starts is informed
     /// of parts before it has read the list of servers.
-    unplaced: Vec<KeptNote>,
+    unplaced: Vec<CachedPrefix>,
 }
 
 impl Default for Inner {
     fn default() -> Self {
-        Self { own: NoteLog::new(LIMITS), all: NoteLog::new(LIMITS), unplaced: Vec::new() }
+        Self { own: UpdateLog::new(LIMITS), all: UpdateLog::new(LIMITS), unplaced: Vec::new() }
     }
 }
 
 /// The notes of an entry.
 #[derive(Debug, Default)]
-pub(crate) struct KeptBoard {
+pub(crate) struct PrefixReports {
     inner: Mutex<Inner>,
 }
 
-impl KeptBoard {
+impl PrefixReports {
     fn lock(&self) -> std::sync::MutexGuard<'_, Inner> {
         self.inner.lock().expect("no panics under the lock")
     }
 
     /// Notes what this entry sent.
-    pub(crate) fn note_own(&self, note: KeptNote, now: Duration) {
+    pub(crate) fn note_own(&self, note: CachedPrefix, now: Duration) {
         let mut inner = self.lock();
         inner.own.push(note, now);
         inner.all.push(note, now);
     }
 
     /// Takes in what another entry reports that it sent; those that follow this one are informed, too.
-    pub(crate) fn take_report(&self, notes: &[KeptNote], fleet: &Fleet, now: Duration) {
+    pub(crate) fn take_report(&self, notes: &[CachedPrefix], fleet: &Fleet, now: Duration) {
         let mut inner = self.lock();
         for note in notes {
             inner.all.push(*note, now);
@@ -81,11 +81,11 @@
     }
 
     /// Lets the servers' records know what other entries sent them.
-    pub(crate) fn apply(&self, notes: &[KeptNote], fleet: &Fleet) {
+    pub(crate) fn apply(&self, notes: &[CachedPrefix], fleet: &Fleet) {
         let mut inner = self.lock();
         let earlier = std::mem::take(&mut inner.unplaced);
         for note in earlier.iter().chain(notes) {
-            let KeptNote(server, hash, tokens) = *note;
+            let CachedPrefix(server, hash, tokens) = *note;
             match fleet.by_short_hash(server) {
                 Some(member) => member.record().kept.note_reported(hash, u64::from(tokens)),
                 None => inner.unplaced.push(*note),
@@ -96,7 +96,7 @@
     }
 
     /// What this entry sent since the note with this number, and the number to go on with.
-    pub(crate) fn own_from(&self, number: u64, now: Duration) -> (Vec<KeptNote>, u64) {
+    pub(crate) fn own_from(&self, number: u64, now: Duration) -> (Vec<CachedPrefix>, u64) {
         self.lock().own.from(number, now)
     }
 
@@ -107,7 +107,7 @@
     }
 
     /// The same for all entries.
-    pub(crate) fn all_from(&self, number: u64, now: Duration) -> (Vec<KeptNote>, u64) {
+    pub(crate) fn all_from(&self, number: u64, now: Duration) -> (Vec<CachedPrefix>, u64) {
         self.lock().all.from(number, now)
     }
 }
--- a/src/router/quarantine_row.rs
+++ b/src/router/quarantine_row.rs
@@ -67,33 +67,33 @@
 pub(crate) type TrialRequest = (Fingerprint, oneshot::Sender<bool>);
 
 /// The row as it was last seen.
-struct Kept {
+struct StoredRow {
     version: Revision,
     /// Era of the store that it was read in.
     era: Era,
     cases: Vec<Case>,
-    clocks: Clocks,
+    clocks: ClockPair,
 }
 
 /// The store's clock and this entry's in one moment.
 #[derive(Clone, Copy)]
-struct Clocks {
+struct ClockPair {
     store: Duration,
     own: Duration,
     /// Time that the call took by which they were compared.
     error: Duration,
 }
 
-impl Kept {
+impl StoredRow {
     /// This entry's time of a moment on the store's clock.
     fn to_own(&self, ms: u64) -> Duration {
-        let Clocks { store, own, .. } = self.clocks;
+        let ClockPair { store, own, .. } = self.clocks;
         (own + Duration::from_millis(ms)).saturating_sub(store)
     }
 
     /// The store's time of a moment on this entry's clock.
     fn to_store(&self, at: Duration) -> u64 {
-        let Clocks { store, own, .. } = self.clocks;
+        let ClockPair { store, own, .. } = self.clocks;
         (store + at).saturating_sub(own).as_millis() as u64
     }
 
@@ -162,7 +162,8 @@
     inform(router).await;
     let mut kept = None;
     loop {
-        let is_restored = kept.as_ref().is_some_and(|kept: &Kept| kept.era < router.views.era());
+        let is_restored =
+            kept.as_ref().is_some_and(|kept: &StoredRow| kept.era < router.views.era());
         if is_restored {
             // The row may lack what was refused since the copy; who is named first writes it again.
             kept = None;
@@ -221,7 +222,7 @@
 async fn read(
     router: &Router,
     store: &StoreClient,
-    kept: &mut Option<Kept>,
+    kept: &mut Option<StoredRow>,
 ) -> crate::platform::Result<()> {
     router.metrics.count_store_call("quarantine");
     let asked = router.now();
@@ -231,12 +232,13 @@
     }
     let Rows { rows, now, version } = rows?;
     let clocks =
-        Clocks { store: now, own: router.now(), error: router.now().saturating_sub(asked) };
+        ClockPair { store: now, own: router.now(), error: router.now().saturating_sub(asked) };
     // A call that took long compares the clocks badly; the one before is as good.
     let before = kept.as_ref().map(|kept| kept.clocks);
     let clocks = before.filter(|before| before.error < clocks.error).unwrap_or(clocks);
     let row = rows.iter().find(|row| &*row.key == ROW && !row.is_removed);
-    kept.insert(Kept { version: 0, era: version.era, cases: Vec::new(), clocks }).take(router, row);
+    kept.insert(StoredRow { version: 0, era: version.era, cases: Vec::new(), clocks })
+        .take(router, row);
     if router.quarantine.note_informed() {
         router.wake_waiters();
     }
@@ -248,14 +250,14 @@
 async fn write_news(
     router: &Router,
     store: &StoreClient,
-    kept: &mut Option<Kept>,
+    kept: &mut Option<StoredRow>,
 ) -> crate::platform::Result<()> {
     if router.quarantine.is_idle() {
         return Ok(());
     }
     for _ in 0..MOST_CONFLICTS {
         let cases = router.quarantine.cases(!router.is_alone(), router.now());
-        let is_kept = |kept: &Kept| {
+        let is_kept = |kept: &StoredRow| {
             let is_there = |case: &Case| kept.holds(case);
             cases.iter().take(MOST_CASES).all(is_there) && !kept.has_cleared(router)
         };
@@ -276,7 +278,7 @@
 async fn write(
     router: &Router,
     store: &StoreClient,
-    kept: &mut Option<Kept>,
+    kept: &mut Option<StoredRow>,
 ) -> crate::platform::Result<bool> {
     let Some(kept) = kept else {
         return Ok(false);
@@ -307,7 +309,7 @@
 async fn try_trial(
     router: &Router,
     store: &StoreClient,
-    kept: &mut Option<Kept>,
+    kept: &mut Option<StoredRow>,
     fingerprint: &Fingerprint,
 ) -> bool {
     if read(router, store, kept).await.is_err() {
--- a/src/router/seed_reporter.rs
+++ b/src/router/seed_reporter.rs
@@ -13,7 +13,7 @@
     protocol::{Error, Result, decode},
     router::{
         Router,
-        messages::{Asked, PeerMessage, Report},
+        messages::{PeerMessage, PeerRequest, Report},
         peers::{
             GATHER, OPENING, ask_if_alive, next_message, open, other_seeds, send_message, silent,
         },
@@ -115,7 +115,7 @@
             router.limits.own_from(next_limit)
         };
         (report.limits, next_limit) = (limits, Some(next));
-        send_message(&mut socket, &Asked::Report { host: host.into(), report }).await?;
+        send_message(&mut socket, &PeerRequest::Report { host: host.into(), report }).await?;
         ask_if_alive(&mut socket).await?;
         let mut is_alive = false;
         loop {
--- a/src/router/servers.rs
+++ b/src/router/servers.rs
@@ -7,7 +7,7 @@
     router::{
         Fleet, Router,
         breaks::{self, Proof},
-        feed::{Contact, PAUSE, follow},
+        feed::{PAUSE, StoreReachability, follow},
         listing::Listing,
         restore::Extent,
     },
@@ -17,7 +17,7 @@
 /// Follows the list of servers.
 pub(crate) async fn follow_servers(router: &Router, store: &StoreClient) {
     let listing = std::sync::Mutex::new(Listing::default());
-    let apply = |rows: Rows, extent: Extent, contact: &Contact| {
+    let apply = |rows: Rows, extent: Extent, contact: &StoreReachability| {
         let mut listing = listing.lock().expect("no panics under the lock");
         listing.apply(&rows, extent, contact.doubtful_until(router.now()), router.now());
         if extent.is_whole() || !rows.rows.is_empty() {
--- a/src/router/shared_limits.rs
+++ b/src/router/shared_limits.rs
@@ -49,7 +49,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Known {
+struct KnownLimit {
     belief: LimitBelief,
     /// Number of the last news.
     number: u64,
@@ -59,7 +59,7 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    servers: HashMap<LifeHash, Known>,
+    servers: HashMap<LifeHash, KnownLimit>,
     /// Number of the next news.
     next: u64,
 }
@@ -72,7 +72,7 @@
 
 /// A change of what is known of a server's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Changed {
+pub(crate) struct LimitChange {
     pub(crate) life: LifeHash,
     pub(crate) before: Option<Rate>,
     pub(crate) rate: Option<Rate>,
@@ -80,7 +80,7 @@
 
 /// The limits that an entry knows of.
 #[derive(Debug)]
-pub(crate) struct LimitBoard {
+pub(crate) struct SharedLimits {
     inner: Mutex<Inner>,
     /// Servers that advertise a limit now; while there are none, no send locks anything.
     rate_limited: AtomicUsize,
@@ -90,7 +90,7 @@
     own_urgent: watch::Sender<u64>,
 }
 
-impl Default for LimitBoard {
+impl Default for SharedLimits {
     fn default() -> Self {
         Self {
             inner: Mutex::default(),
@@ -101,7 +101,7 @@
     }
 }
 
-impl LimitBoard {
+impl SharedLimits {
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().expect("no panics under the lock")
     }
@@ -133,7 +133,7 @@
         said: AdvertisedLimit,
         sent_at: Duration,
         now: Duration,
-    ) -> Option<Changed> {
+    ) -> Option<LimitChange> {
         if self.rate_limited() == 0 && !matches!(said, AdvertisedLimit::Rate(_)) {
             return None;
         }
@@ -141,7 +141,7 @@
     }
 
     /// Takes in what another entry reports; what changed by it.
-    pub(crate) fn take_update(&self, reported: &[LimitUpdate], now: Duration) -> Vec<Changed> {
+    pub(crate) fn take_update(&self, reported: &[LimitUpdate], now: Duration) -> Vec<LimitChange> {
         let take = |reported: &LimitUpdate| {
             let (life, news) = reported.read();
             self.change(life, false, |belief| belief.take_update(news, now))
@@ -155,7 +155,7 @@
         life: LifeHash,
         is_own: bool,
         take_in: impl FnOnce(&mut LimitBelief) -> Option<Change>,
-    ) -> Option<Changed> {
+    ) -> Option<LimitChange> {
         let mut inner = self.lock();
         let mut known = inner.servers.get(&life).copied().unwrap_or_default();
         let before = known.belief.rate();
@@ -179,7 +179,7 @@
                 self.own_urgent.send_modify(|changes| *changes += 1);
             }
         }
-        (before != rate).then_some(Changed { life, before, rate })
+        (before != rate).then_some(LimitChange { life, before, rate })
     }
 
     /// News from a number on that this entry received from servers itself, and the number to go on with. A reader
@@ -194,7 +194,11 @@
         self.from(number, |_| true)
     }
 
-    fn from(&self, number: u64, is_reported: impl Fn(&Known) -> bool) -> (Vec<LimitUpdate>, u64) {
+    fn from(
+        &self,
+        number: u64,
+        is_reported: impl Fn(&KnownLimit) -> bool,
+    ) -> (Vec<LimitUpdate>, u64) {
         let inner = self.lock();
         if number >= inner.next {
             return (Vec::new(), inner.next);
@@ -204,7 +208,7 @@
         news.sort_unstable_by_key(|(_, known)| known.number);
         let next = news.get(MOST_REPORTED).map_or(inner.next, |(_, known)| known.number);
         news.truncate(MOST_REPORTED);
-        let reported = |(life, known): (&LifeHash, &Known)| {
+        let reported = |(life, known): (&LifeHash, &KnownLimit)| {
             Some(LimitUpdate::new(*life, known.belief.news()?))
         };
         (news.into_iter().filter_map(reported).collect(), next)
@@ -213,7 +217,7 @@
     /// Part of the state dump.
     pub(crate) fn dump(&self, fleet: &Fleet, now: Duration) -> Value {
         let inner = self.lock();
-        let one = |(life, known): (&LifeHash, &Known)| {
+        let one = |(life, known): (&LifeHash, &KnownLimit)| {
             let member = fleet.by_life(*life)?;
             let received_ms = now.saturating_sub(known.belief.received_at()).as_millis() as u64;
             Some(json!({
@@ -228,7 +232,7 @@
 
     /// Forgets servers that are long out of view.
     pub(crate) fn forget_gone(&self, fleet: &Fleet, now: Duration) {
-        let is_kept = |life: &LifeHash, known: &mut Known| {
+        let is_kept = |life: &LifeHash, known: &mut KnownLimit| {
             fleet.by_life(*life).is_some() || now < known.belief.received_at() + REMEMBERED
         };
         let mut inner = self.lock();
--- a/src/router/shared_quarantine.rs
+++ b/src/router/shared_quarantine.rs
@@ -18,15 +18,15 @@
 
 use crate::{
     policy::quarantine::{Case, LifeHash, Note, Quarantine, Standing},
-    router::update_log::{NoteLimits, NoteLog},
+    router::update_log::{UpdateLog, UpdateLogLimits},
     routing::Fingerprint,
     telemetry::event,
 };
 
 /// Notes kept for links that are behind: those of a zone's loss, and 0.4 MB at most. A message has 512
 /// at most, 16 KB; what comes later is sent to new links as a whole.
-const LIMITS: NoteLimits =
-    NoteLimits { kept: 4_096, reported: 512, reported_for: Duration::from_secs(60) };
+const LIMITS: UpdateLogLimits =
+    UpdateLogLimits { kept: 4_096, reported: 512, reported_for: Duration::from_secs(60) };
 
 /// Ends under a request from which on news of it is urgent: one more and it is refused.
 const GRAVE_FROM: usize = 2;
@@ -34,9 +34,9 @@
 /// A note on its way: fingerprint in two halves, the life, and the age in milliseconds, none where the end is
 /// annulled. Four numbers without names take 32 bytes instead of 70.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct NoteUpdate(u64, u64, LifeHash, Option<u32>);
+pub(crate) struct QuarantineUpdate(u64, u64, LifeHash, Option<u32>);
 
-impl NoteUpdate {
+impl QuarantineUpdate {
     fn new(note: &Note, now: Duration) -> Self {
         let age_ms =
             |at: &Duration| u32::try_from(now.saturating_sub(*at).as_millis()).unwrap_or(u32::MAX);
@@ -62,14 +62,14 @@
 struct Inner {
     quarantine: Quarantine,
     /// What this entry saw itself.
-    own: NoteLog<Note>,
+    own: UpdateLog<Note>,
     /// What it saw or received.
-    all: NoteLog<Note>,
+    all: UpdateLog<Note>,
 }
 
 /// The notes of an entry.
 #[derive(Debug)]
-pub(crate) struct QuarantineBoard {
+pub(crate) struct SharedQuarantine {
     inner: Mutex<Inner>,
     /// Whether anything is known; without it nothing is hashed and nothing is locked.
     is_idle: AtomicBool,
@@ -83,10 +83,10 @@
     is_row_stale: AtomicBool,
 }
 
-impl Default for QuarantineBoard {
+impl Default for SharedQuarantine {
     fn default() -> Self {
         let quarantine = Quarantine::default();
-        let (own, all) = (NoteLog::new(LIMITS), NoteLog::new(LIMITS));
+        let (own, all) = (UpdateLog::new(LIMITS), UpdateLog::new(LIMITS));
         Self {
             inner: Mutex::new(Inner { quarantine, own, all }),
             is_idle: AtomicBool::new(true),
@@ -98,7 +98,7 @@
     }
 }
 
-impl QuarantineBoard {
+impl SharedQuarantine {
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().expect("no panics under the lock")
     }
@@ -154,7 +154,7 @@
     }
 
     /// Takes in what another entry reports.
-    pub(crate) fn take_update(&self, reported: &[NoteUpdate], now: Duration) {
+    pub(crate) fn take_update(&self, reported: &[QuarantineUpdate], now: Duration) {
         if !reported.is_empty() {
             self.take_in(reported.iter().map(|note| note.read(now)), false, now);
         }
@@ -249,19 +249,27 @@
 
     /// What this entry saw since the note with this number, and the number to go on with. A reader that
     /// begins gets all that is known.
-    pub(crate) fn own_from(&self, number: Option<u64>, now: Duration) -> (Vec<NoteUpdate>, u64) {
+    pub(crate) fn own_from(
+        &self,
+        number: Option<u64>,
+        now: Duration,
+    ) -> (Vec<QuarantineUpdate>, u64) {
         self.from(number, now, |inner| &mut inner.own)
     }
 
     /// The same of what this entry saw or received.
-    pub(crate) fn all_from(&self, number: Option<u64>, now: Duration) -> (Vec<NoteUpdate>, u64) {
+    pub(crate) fn all_from(
+        &self,
+        number: Option<u64>,
+        now: Duration,
+    ) -> (Vec<QuarantineUpdate>, u64) {
         self.from(number, now, |inner| &mut inner.all)
     }
 
     /// What this entry saw or received since the note with this number, of requests that may be refused next: all
     /// ends under those that two or more count against. One end alone says little, and a zone's loss brings
     /// thousands of these.
-    pub(crate) fn grave_from(&self, number: u64, now: Duration) -> (Vec<NoteUpdate>, u64) {
+    pub(crate) fn grave_from(&self, number: u64, now: Duration) -> (Vec<QuarantineUpdate>, u64) {
         let mut inner = self.lock();
         let (notes, next) = inner.all.from(number, now);
         let mut requests: Vec<Fingerprint> = notes.iter().map(Note::fingerprint).collect();
@@ -269,21 +277,21 @@
         requests.dedup();
         let ends = requests.iter().map(|request| inner.quarantine.ends(request));
         let grave = ends.filter(|ends| ends.len() >= GRAVE_FROM).flatten();
-        (grave.map(|note| NoteUpdate::new(&note, now)).collect(), next)
+        (grave.map(|note| QuarantineUpdate::new(&note, now)).collect(), next)
     }
 
     fn from(
         &self,
         number: Option<u64>,
         now: Duration,
-        log: impl Fn(&mut Inner) -> &mut NoteLog<Note>,
-    ) -> (Vec<NoteUpdate>, u64) {
+        log: impl Fn(&mut Inner) -> &mut UpdateLog<Note>,
+    ) -> (Vec<QuarantineUpdate>, u64) {
         let mut inner = self.lock();
         let (notes, next) = match number {
             Some(number) => log(&mut inner).from(number, now),
             None => (inner.known_notes(now), log(&mut inner).next()),
         };
-        (notes.iter().map(|note| NoteUpdate::new(note, now)).collect(), next)
+        (notes.iter().map(|note| QuarantineUpdate::new(note, now)).collect(), next)
     }
 
     /// Notes that a link did not get because too many came.
--- a/src/router/speed_estimates.rs
+++ b/src/router/speed_estimates.rs
@@ -10,11 +10,11 @@
 
 /// Beliefs by model, or by service where there is no model.
 #[derive(Debug, Default)]
-pub(crate) struct Readings {
+pub(crate) struct SpeedEstimates {
     by_key: Mutex<HashMap<Box<str>, ReadingBelief>>,
 }
 
-impl Readings {
+impl SpeedEstimates {
     fn lock(&self) -> MutexGuard<'_, HashMap<Box<str>, ReadingBelief>> {
         self.by_key.lock().expect("no panics under the lock")
     }
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -27,10 +27,10 @@
         stopping::still_fits,
     },
     router::{
-        Fleet, evacuations::Evacuations, load_reports::LoadBoard, own_place::OwnPlace,
-        peer_link::Link, prefix_reports::KeptBoard, quarantine_row::TrialRequest,
-        roll_out::RollOuts, shared_limits::LimitBoard, shared_quarantine::QuarantineBoard,
-        speed_estimates::Readings, table_views::Views,
+        Fleet, evacuations::Evacuations, load_reports::LoadReports, own_place::OwnPlace,
+        peer_link::PeerLink, prefix_reports::PrefixReports, quarantine_row::TrialRequest,
+        roll_out::RollOuts, shared_limits::SharedLimits, shared_quarantine::SharedQuarantine,
+        speed_estimates::SpeedEstimates, table_views::TableViews,
     },
     routing::{Route, RoutingTable},
     settings::RouteSettings,
@@ -75,23 +75,23 @@
     /// This entry's place among all.
     pub(crate) own_place: OwnPlace,
     /// Servers that advertise a limit in their answers.
-    pub(crate) limits: LimitBoard,
+    pub(crate) limits: SharedLimits,
     /// Roll-outs and the evidence on their versions.
     pub roll_outs: RollOuts,
     /// What the operator settled about decisions.
     pub policy: RouteSettings,
     /// The store's rows as last seen.
-    pub(crate) views: Views,
+    pub(crate) views: TableViews,
     /// What entries report to each other about the servers' load.
-    pub(crate) loads: LoadBoard,
+    pub(crate) loads: LoadReports,
     /// What entries report to each other about prompt parts that servers keep.
-    pub(crate) kept: KeptBoard,
+    pub(crate) kept: PrefixReports,
     /// What entries report to each other about requests under which servers ended.
-    pub(crate) quarantine: QuarantineBoard,
+    pub(crate) quarantine: SharedQuarantine,
     /// What was learned of the models' pace.
-    pub(crate) readings: Readings,
+    pub(crate) readings: SpeedEstimates,
     /// What comes from another entry that is followed.
-    pub(crate) link: Link,
+    pub(crate) link: PeerLink,
     /// Metrics.
     pub metrics: Metrics,
     pub(super) budgets: Mutex<HashMap<Box<str>, SendBudget>>,
@@ -118,19 +118,19 @@
             fleet: ArcSwap::from_pointee(Fleet::default()),
             evacuations: Evacuations::default(),
             own_place: OwnPlace::default(),
-            limits: LimitBoard::default(),
+            limits: SharedLimits::default(),
             roll_outs: RollOuts::new(policy.exposure),
             policy,
-            views: Views::default(),
-            loads: LoadBoard::default(),
-            kept: KeptBoard::default(),
-            quarantine: QuarantineBoard::default(),
-            link: Link::default(),
+            views: TableViews::default(),
+            loads: LoadReports::default(),
+            kept: PrefixReports::default(),
+            quarantine: SharedQuarantine::default(),
+            link: PeerLink::default(),
             metrics: Metrics::default(),
             budgets: Mutex::default(),
             extra_share: Mutex::new(ExtraShare::started_at(CLOCK_ORIGIN)),
             overloads: Mutex::default(),
-            readings: Readings::default(),
+            readings: SpeedEstimates::default(),
             lifecycle: Mutex::new(lifecycle::start()),
             in_flight: AtomicUsize::new(0),
             news: Notify::new(),
--- a/src/router/table_views.rs
+++ b/src/router/table_views.rs
@@ -11,21 +11,21 @@
 use crate::{
     ids::{Era, StoreVersion},
     platform::store::{Row, Rows, Table},
-    router::compressed_rows::PackedUpdate,
+    router::compressed_rows::CompressedUpdate,
 };
 
 /// Updates kept for a subscriber that reads slowly; one further behind has to begin anew.
 const MOST_BEHIND: usize = 64;
 
-impl Seen {
+impl TableView {
     /// All rows, packed once for all that begin to follow before something changes.
-    fn packed(&mut self, table: Table) -> PackedUpdate {
+    fn packed(&mut self, table: Table) -> CompressedUpdate {
         let Self { version, store_now, rows, packed, is_amended, .. } = self;
         let pack = || {
             let rows = rows.values().cloned().collect();
             let (version, store_now, is_amended) = (*version, *store_now, *is_amended);
             let is_whole = true;
-            PackedUpdate::pack(&TableUpdate {
+            CompressedUpdate::pack(&TableUpdate {
                 table,
                 version,
                 store_now,
@@ -61,28 +61,28 @@
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct TableView {
     version: StoreVersion,
     /// Whether it has rows that the store lost, until all rows are read again.
     is_amended: bool,
     store_now: Duration,
     rows: BTreeMap<Box<str>, Row>,
     /// All rows packed, until something changes.
-    packed: Option<PackedUpdate>,
+    packed: Option<CompressedUpdate>,
     answered_at: Duration,
     is_lost: bool,
 }
 
 /// What was last seen of each table.
 #[derive(Debug)]
-pub(crate) struct Views {
-    seen: Mutex<HashMap<Table, Seen>>,
-    updates: broadcast::Sender<PackedUpdate>,
+pub(crate) struct TableViews {
+    seen: Mutex<HashMap<Table, TableView>>,
+    updates: broadcast::Sender<CompressedUpdate>,
     /// When an entry that is followed last spoke.
     received_at: Mutex<Duration>,
 }
 
-impl Default for Views {
+impl Default for TableViews {
     fn default() -> Self {
         Self {
             seen: Mutex::default(),
@@ -92,7 +92,7 @@
     }
 }
 
-impl Views {
+impl TableViews {
     /// Takes in what the store or another entry said of a table, and informs the subscribers.
     pub(crate) fn note(&self, table: Table, rows: &Rows, is_whole: bool) {
         self.note_amended(table, rows, is_whole, false);
@@ -130,7 +130,7 @@
         };
         // Under the lock, so that a subscriber's first view and its updates fit together. An error
         // only says that there are no subscribers any more.
-        let _ = self.updates.send(PackedUpdate::pack(&update));
+        let _ = self.updates.send(CompressedUpdate::pack(&update));
     }
 
     /// All rows of the tables of which something newer than this has been seen, and what comes
@@ -139,9 +139,9 @@
     pub(crate) fn subscribe(
         &self,
         version: StoreVersion,
-    ) -> (Vec<PackedUpdate>, broadcast::Receiver<PackedUpdate>) {
+    ) -> (Vec<CompressedUpdate>, broadcast::Receiver<CompressedUpdate>) {
         let mut all = self.seen.lock().expect("no panics under the lock");
-        let is_wanted = |(table, seen): &(&Table, &mut Seen)| {
+        let is_wanted = |(table, seen): &(&Table, &mut TableView)| {
             let is_short = matches!(table, Table::Own | Table::Status);
             is_short || seen.is_amended || seen.version > version
         };
--- a/src/router/update_log.rs
+++ b/src/router/update_log.rs
@@ -4,7 +4,7 @@
 
 /// How much is kept and reported.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct NoteLimits {
+pub(crate) struct UpdateLogLimits {
     /// Notes kept for links that are behind or new.
     pub(crate) kept: usize,
     /// Notes reported in one message.
@@ -15,17 +15,17 @@
 
 /// Notes in the order in which they came; readers keep the number of the next one they want.
 #[derive(Debug)]
-pub(crate) struct NoteLog<T> {
+pub(crate) struct UpdateLog<T> {
     notes: VecDeque<(Duration, T)>,
     /// Number of the oldest one.
     first: u64,
     /// Notes that a reader did not get because too many came.
     lost: u64,
-    limits: NoteLimits,
+    limits: UpdateLogLimits,
 }
 
-impl<T: Copy> NoteLog<T> {
-    pub(crate) fn new(limits: NoteLimits) -> Self {
+impl<T: Copy> UpdateLog<T> {
+    pub(crate) fn new(limits: UpdateLogLimits) -> Self {
         Self { notes: VecDeque::new(), first: 0, lost: 0, limits }
     }
 
--- a/src/router/urgent_updates.rs
+++ b/src/router/urgent_updates.rs
@@ -5,7 +5,7 @@
 use crate::router::{Router, messages::PeerMessage, peers::GATHER};
 
 /// Urgent news for one link, as it comes.
-pub(super) struct UrgentNews<'a> {
+pub(super) struct UrgentUpdates<'a> {
     router: &'a Router,
     suspicions: watch::Receiver<u64>,
     limits: watch::Receiver<u64>,
@@ -15,7 +15,7 @@
     is_due: bool,
 }
 
-impl<'a> UrgentNews<'a> {
+impl<'a> UrgentUpdates<'a> {
     pub(super) fn of(router: &'a Router) -> Self {
         let (suspicions, limits) = (router.quarantine.changes(), router.limits.urgent());
         // What is known already is reported at once.
