--- a/src/router/advertised_limits.rs
+++ b/src/router/advertised_limits.rs
@@ -37,7 +37,7 @@
         if head.kind == AnswerKind::NotRun && head.rate_limit == AdvertisedLimit::Nothing {
             return;
         }
-        let changed = self.limits.note(member.life_hash(), head.rate_limit, sent_at, now);
+        let changed = self.limits.record_answer(member.life_hash(), head.rate_limit, sent_at, now);
         if let Some(changed) = changed {
             self.log_limit(changed, Source::Answer);
         }
@@ -45,7 +45,7 @@
 
     /// Takes in the limits that another entry reports.
     pub(crate) fn take_limit_updates(&self, reported: &[LimitUpdate]) {
-        for changed in self.limits.take_update(reported, self.now()) {
+        for changed in self.limits.apply_updates(reported, self.now()) {
             self.log_limit(changed, Source::Entry);
         }
     }
--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -180,7 +180,7 @@
     let (tokens, took) = (plan.unread_tokens, began.elapsed());
     let is_slow = router.readings.get(plan.reading_key).is_slow(tokens, took);
     if head.kind == AnswerKind::Success {
-        router.readings.note_head_time(plan.reading_key, tokens, ahead, took);
+        router.readings.record_head_time(plan.reading_key, tokens, ahead, took);
     }
     if let Some(load) = head.load {
         plan.member.record().load.note_report(load, router.now());
@@ -202,7 +202,7 @@
     drop(record);
     if let Some(mark) = to_report {
         let tokens = u32::try_from(mark.tokens).unwrap_or(u32::MAX);
-        router.kept.note_own(CachedPrefix(plan.member.short_hash(), mark.hash, tokens), now);
+        router.kept.record_own(CachedPrefix(plan.member.short_hash(), mark.hash, tokens), now);
     }
 }
 
--- a/src/router/availability.rs
+++ b/src/router/availability.rs
@@ -65,7 +65,7 @@
             cold,
             named,
             place: is_any_limited.then(|| self.place()).flatten(),
-            is_any_evacuated: self.evacuations.is_any(),
+            is_any_evacuated: self.evacuations.has_any(),
             drain: self.settings.load().drain,
             now: self.now(),
         }
@@ -127,7 +127,7 @@
     /// Whether a server is cold, by its row or because nothing newer is known of it since it may have
     /// become so.
     fn is_cold(&self, member: &Member, terms: &ColdTerms) -> bool {
-        let taken_back = self.router.evacuations.taken_back_at(&member.server.zone);
+        let taken_back = self.router.evacuations.ended_at(&member.server.zone);
         self.now < member.cold_until()
             || taken_back.is_some_and(|at| self.now < at + terms.lasts)
             || member.unreachable_at().is_some_and(|at| self.now < at + terms.lasts + ASKED_AGAIN)
--- a/src/router/breaks.rs
+++ b/src/router/breaks.rs
@@ -51,15 +51,15 @@
         return;
     }
     if !router.fleet.load().has_life(member) {
-        router.roll_outs.note_outcome(&member.server, RunOutcome::Failed);
+        router.roll_outs.record_outcome(&member.server, RunOutcome::Failed);
         return;
     }
     note_unanswered(router, job, member, Parting::Broken);
     if has_ended(router, member).await {
         // All that ran there broke off, which says one thing about the version and not thirty.
-        router.roll_outs.note_silence(&member.server, router.now());
+        router.roll_outs.record_timeout(&member.server, router.now());
     } else {
-        router.roll_outs.note_outcome(&member.server, RunOutcome::Failed);
+        router.roll_outs.record_outcome(&member.server, RunOutcome::Failed);
     }
 }
 
@@ -69,7 +69,7 @@
     let mut breaks = member.breaks();
     if breaks.has_ended(now) && parting == Parting::Broken {
         drop(breaks);
-        return router.quarantine.note_ends(&[fingerprint], member.life_hash(), now);
+        return router.quarantine.record_ends(&[fingerprint], member.life_hash(), now);
     }
     breaks.lost.retain(|lost| now < lost.at + PROVED_AFTER);
     if breaks.lost.len() < MOST_LOST {
@@ -186,9 +186,9 @@
     ));
     router.metrics.server_ends.inc();
     match proof {
-        Proof::Refused => router.quarantine.note_ends(&lost, member.life_hash(), ended_at),
+        Proof::Refused => router.quarantine.record_ends(&lost, member.life_hash(), ended_at),
         Proof::StartedAgain | Proof::Dropped => {
-            router.quarantine.note_listed_ends(&lost, member.life_hash(), ended_at);
+            router.quarantine.record_listed_ends(&lost, member.life_hash(), ended_at);
         }
     }
 }
--- a/src/router/choice.rs
+++ b/src/router/choice.rs
@@ -45,7 +45,7 @@
 fn able<'a>(router: &Router, job: &Job, ask: Ask<'_>, fleet: &'a Fleet) -> Vec<&'a Arc<Member>> {
     let settings = router.settings.load();
     // Asked anew for each attempt: a roll-out may have begun since the last one.
-    let versions = router.roll_outs.rule(&job.service, &job.req.head, router.now());
+    let versions = router.roll_outs.version_rule(&job.service, &job.req.head, router.now());
     let members = fleet.of_service(&job.service);
     let versions = versions.or_any_if_missing(members.iter().map(|m| &*m.server.version));
     let is_able = |member: &&Arc<Member>| {
--- a/src/router/departed_servers.rs
+++ b/src/router/departed_servers.rs
@@ -25,7 +25,7 @@
     }
 
     /// Takes over what another one remembers, but for ids that are in view again.
-    pub(super) fn take_over(
+    pub(super) fn inherit(
         &mut self,
         other: &Self,
         is_in_view: impl Fn(&str) -> bool,
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -74,7 +74,7 @@
 fn refusal(router: &Router, job: &Job, ask: Ask<'_>) -> Refusal {
     match judge(&job.attempts) {
         Verdict::NotRun if router.is_refused(job) => {
-            Refusal::EndsServers { retry_after: router.refused_for(job) }
+            Refusal::EndsServers { retry_after: router.refusal_retry_after(job) }
         }
         Verdict::NotRun => {
             let retry_after = router.note_refusal(&job.service, &job.req.head.id);
@@ -159,7 +159,7 @@
         has_repeat = may_go_on(router, job, ask, &member.server.id);
         has_repeat
     };
-    router.roll_outs.log_trial(&member.server, &job.req.head, router.now());
+    router.roll_outs.log_trial_session(&member.server, &job.req.head, router.now());
     let result = send(router, job, &plan, may_leave).await;
     let (state, outcome) = sum_up(&result);
     router.metrics.count_attempt(&member.server.version, outcome);
@@ -208,7 +208,7 @@
         Err(AttemptError::Lost(_)) => return note_break(router, job, member).await,
         Err(AttemptError::Timeout) => {
             note_unanswered(router, job, member, Parting::Left);
-            return router.roll_outs.note_silence(&member.server, router.now());
+            return router.roll_outs.record_timeout(&member.server, router.now());
         }
         Ok(answer) if answer.head.kind == AnswerKind::Success => {
             // Judged when its body has ended, but for a stream that is late already.
@@ -219,5 +219,5 @@
         }
         _ => RunOutcome::Failed,
     };
-    router.roll_outs.note_outcome(&member.server, outcome);
+    router.roll_outs.record_outcome(&member.server, outcome);
 }
--- a/src/router/evacuations.rs
+++ b/src/router/evacuations.rs
@@ -30,7 +30,7 @@
         if self.is_evacuated(zone) {
             return;
         }
-        self.put(zone, ZoneState::Evacuated(now));
+        self.set(zone, ZoneState::Evacuated(now));
         event::ZONE_EVACUATED.log(format_args!("zone={zone}"));
     }
 
@@ -39,19 +39,19 @@
         if !self.is_evacuated(zone) {
             return;
         }
-        self.put(zone, ZoneState::Ended(now));
+        self.set(zone, ZoneState::Ended(now));
         event::ZONE_TAKEN_BACK.log(format_args!("zone={zone}"));
     }
 
     /// Orders are read by one task, so none is lost between the load and the store.
-    fn put(&self, zone: &str, order: ZoneState) {
+    fn set(&self, zone: &str, order: ZoneState) {
         let mut orders = ZoneStates::clone(&self.orders.load());
         orders.insert(zone.into(), order);
         self.orders.store(Arc::new(orders));
     }
 
     /// Whether any zone is evacuated: mostly none is, and no zone has to be looked up.
-    pub(crate) fn is_any(&self) -> bool {
+    pub(crate) fn has_any(&self) -> bool {
         self.orders.load().values().any(|order| matches!(order, ZoneState::Evacuated(_)))
     }
 
@@ -61,7 +61,7 @@
     }
 
     /// When the operator last took a zone back; none where it is evacuated or never was.
-    pub(crate) fn taken_back_at(&self, zone: &str) -> Option<Duration> {
+    pub(crate) fn ended_at(&self, zone: &str) -> Option<Duration> {
         match self.orders.load().get(zone)? {
             ZoneState::Ended(at) => Some(*at),
             ZoneState::Evacuated(_) => None,
--- a/src/router/feed.rs
+++ b/src/router/feed.rs
@@ -32,7 +32,7 @@
 /// them to ask the store themselves while a new configuration still has time.
 const WAIT_FOR_OTHERS: Duration = Duration::from_millis(1_000);
 /// Pause after a call that failed.
-pub(super) const PAUSE: Duration = Duration::from_millis(250);
+pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// The same for an entry that follows another one, which reports the store's return: in an outage
 /// of several seconds, 32 entries that asked four times a second made a third of a day's calls.
 const PAUSE_OF_FOLLOWERS: Duration = Duration::from_millis(2_000);
@@ -78,7 +78,7 @@
 
     fn note_failure(&mut self, router: &Router, table: Table, cause: &str) {
         router.metrics.count_store_error("follow");
-        router.views.note_lost(table);
+        router.views.record_failure(table);
         if !self.is_lost {
             self.is_lost = true;
             event::STORE_UNREACHABLE.log(format_args!("table={table:?} cause=\"{cause}\""));
@@ -87,7 +87,7 @@
 
     /// Until when a server that is removed now may come back: its row may only have lapsed while
     /// the store was away. None when removals are sure.
-    pub(super) fn doubtful_until(&self, now: Duration) -> Option<Duration> {
+    pub(super) fn removals_uncertain_until(&self, now: Duration) -> Option<Duration> {
         self.back_at.map(|back| back + RETURN_TIME).filter(|until| now < *until)
     }
 }
@@ -131,7 +131,7 @@
             self.contact.note_restored(self.table, offer.version.era, router.now());
         }
         let is_amended = is_restored && restore::amend(router, self.table, &mut rows);
-        router.views.note_amended(self.table, &rows, offer.is_whole, is_amended);
+        router.views.update_amended(self.table, &rows, offer.is_whole, is_amended);
         apply(rows, extent, &self.contact);
         true
     }
@@ -165,7 +165,7 @@
 }
 
 /// Follows a table for ever; `apply` gets all rows first and then what changed.
-pub(super) async fn follow(
+pub(super) async fn follow_table(
     router: &Router,
     store: &StoreClient,
     table: Table,
@@ -212,7 +212,7 @@
         let offer = Offer { version: rows.version, is_whole, is_amended: false };
         if !followed.take(router, rows, offer, &mut apply) {
             // An answer from before the store came back, which another entry reported meanwhile.
-            sleep(PAUSE).await;
+            sleep(RETRY_PAUSE).await;
             continue;
         }
         note_applied(router, table);
@@ -228,7 +228,7 @@
 /// Notes that all that was received of a table is in force; requests may wait for that after a suspension.
 fn note_applied(router: &Router, table: Table) {
     let was_fresh = router.is_view_fresh();
-    router.views.note_answer(table, router.now());
+    router.views.record_answer(table, router.now());
     if !was_fresh {
         router.wake_waiters();
     }
@@ -251,19 +251,20 @@
 /// Waits for a link that stands in for the store; without one the store is asked.
 async fn wait_for_link(router: &Router, most: Duration) {
     if router.may_follow() {
-        let _ = timeout(most, router.link.until_current()).await;
+        let _ = timeout(most, router.link.wait_until_current()).await;
     }
 }
 
 /// Pauses after a call that failed; a follower learns of the store's return from the entry it follows.
 async fn rest(router: &Router, table: Table) {
-    sleep(PAUSE).await;
+    sleep(RETRY_PAUSE).await;
     if router.is_seed() || router.table.load().is_none() {
         return;
     }
     // Either way the store is asked next.
     let _ =
-        timeout(PAUSE_OF_FOLLOWERS.saturating_sub(PAUSE), router.link.until_changed(table)).await;
+        timeout(PAUSE_OF_FOLLOWERS.saturating_sub(RETRY_PAUSE), router.link.wait_for_change(table))
+            .await;
 }
 
 /// Takes in what another entry passed on, as far as it is newer than what is known.
--- a/src/router/fleet.rs
+++ b/src/router/fleet.rs
@@ -63,7 +63,7 @@
 
     /// Remembers the lives of a fleet `before` this one that are out of view.
     fn note_departed(&mut self, before: &Self, now: Duration) {
-        self.departed.take_over(&before.departed, |id| self.members.contains_key(id), now);
+        self.departed.inherit(&before.departed, |id| self.members.contains_key(id), now);
         for (id, member) in &before.members {
             if !self.members.contains_key(id) {
                 self.departed.add(member, now);
--- a/src/router/load_reports.rs
+++ b/src/router/load_reports.rs
@@ -89,7 +89,7 @@
     }
 
     /// What this entry has at the servers now, to be reported.
-    pub(crate) fn report(&self, fleet: &Fleet) -> Vec<ServerLoad> {
+    pub(crate) fn collect_own(&self, fleet: &Fleet) -> Vec<ServerLoad> {
         let loads = fleet.members().filter_map(|member| {
             let record = member.record();
             let requests = record.load.own;
@@ -103,14 +103,14 @@
     }
 
     /// A number for a link that brings reports.
-    pub(crate) fn number_link(&self) -> u64 {
+    pub(crate) fn next_link_id(&self) -> u64 {
         let mut inner = self.lock();
         inner.next_link += 1;
         inner.next_link
     }
 
     /// Takes in another entry's report.
-    pub(crate) fn take_report(
+    pub(crate) fn apply_report(
         &self,
         host: &str,
         link: u64,
@@ -125,7 +125,7 @@
 
     /// Forgets the entry whose link has ended, unless it has reported over another one since: its process is
     /// gone, which its silence would show a second later.
-    pub(crate) fn forget_report(&self, host: &str, link: u64) {
+    pub(crate) fn remove_report(&self, host: &str, link: u64) {
         let mut inner = self.lock();
         if inner.reports.get(host).is_some_and(|report| report.link == link) {
             inner.reports.remove(host);
@@ -133,7 +133,7 @@
     }
 
     /// Entries that report here, and this one.
-    pub(crate) fn entries(&self, now: Duration) -> usize {
+    pub(crate) fn entry_count(&self, now: Duration) -> usize {
         let inner = self.lock();
         inner.reports.values().filter(|report| report.is_fresh(now)).count() + 1
     }
--- a/src/router/orders.rs
+++ b/src/router/orders.rs
@@ -8,7 +8,7 @@
         store::{Rows, StoreClient, Table},
     },
     policy::lifecycle::LifecycleEvent,
-    router::{Router, feed::follow, restore::Extent, servers::note_versions},
+    router::{Router, feed::follow_table, restore::Extent, servers::note_versions},
     routing::RoutingTable,
     telemetry::event,
 };
@@ -19,7 +19,7 @@
 /// Follows the operator's orders.
 pub(crate) async fn follow_orders(router: &Router, store: &StoreClient) {
     let mut unread = BTreeSet::new();
-    follow(router, store, Table::Orders, |rows, extent, _| {
+    follow_table(router, store, Table::Orders, |rows, extent, _| {
         note_unread_kinds(&rows, &mut unread);
         if extent.is_whole() {
             withdraw_missing(router, &rows);
@@ -79,11 +79,11 @@
 
 fn apply_change(router: &Router, change: OperatorChange, is_start: bool) {
     match change {
-        OperatorChange::Configuration(table) => put_in_force(router, *table),
+        OperatorChange::Configuration(table) => apply_configuration(router, *table),
         OperatorChange::RollOut(order) => {
             let reported =
                 format!("service={} to={} within={:?}", order.service, order.to, order.within);
-            if router.roll_outs.order(order, router.now(), is_start) {
+            if router.roll_outs.add_order(order, router.now(), is_start) {
                 event::ROLL_OUT_ORDERED.log(format_args!("{reported}"));
                 note_versions(router);
             }
@@ -95,7 +95,7 @@
 }
 
 /// Puts a configuration in force if it is newer than the one that is.
-pub(crate) fn put_in_force(router: &Router, table: RoutingTable) {
+pub(crate) fn apply_configuration(router: &Router, table: RoutingTable) {
     let current = router.table.load().as_ref().as_ref().map_or(0, |t| t.version);
     let version = table.version;
     if version < current {
--- a/src/router/own_place.rs
+++ b/src/router/own_place.rs
@@ -15,7 +15,7 @@
 
 impl OwnPlace {
     /// Takes in this entry's place among all.
-    pub(crate) fn note(&self, reported: ReportedPlace, now: Duration) {
+    pub(crate) fn record(&self, reported: ReportedPlace, now: Duration) {
         let ReportedPlace { rank, entries, sees_all } = reported;
         let mut belief = self.belief.lock().expect("no panics under the lock");
         belief.note(Place { rank, entries }, sees_all, now);
--- a/src/router/peer_follower.rs
+++ b/src/router/peer_follower.rs
@@ -61,7 +61,7 @@
 }
 
 /// Follows another entry whenever that is wanted.
-pub(crate) async fn follow(router: &Router) {
+pub(crate) async fn follow_peers(router: &Router) {
     let mut seeds = SeedRotation::default();
     loop {
         if router.wants_link() && follow_next(router, &mut seeds).await {
@@ -173,19 +173,19 @@
             return Err(Error::Broken("its updates are not taken".into()));
         }
     }
-    router.views.note_received(router.now());
+    router.views.record_peer_message(router.now());
     if entries > 0 {
         router.note_entries(entries);
     }
     if let Some(place) = place.filter(|place| place.rank < place.entries) {
-        router.own_place.note(place, router.now());
+        router.own_place.record(place, router.now());
     }
     let fleet = router.fleet.load_full();
     router.loads.apply(&loads, &fleet, router.now());
     router.kept.apply(&kept, &fleet);
-    router.quarantine.take_update(&ends, router.now());
+    router.quarantine.apply_updates(&ends, router.now());
     router.take_limit_updates(&limits);
-    if is_informed && router.quarantine.note_informed() {
+    if is_informed && router.quarantine.mark_informed() {
         router.wake_waiters();
     }
     Ok(is_current)
--- a/src/router/peer_link.rs
+++ b/src/router/peer_link.rs
@@ -79,7 +79,7 @@
     }
 
     /// Waits until the link stands in for the store.
-    pub(crate) async fn until_current(&self) {
+    pub(crate) async fn wait_until_current(&self) {
         loop {
             let news = self.news.notified();
             if self.is_current() {
@@ -90,7 +90,7 @@
     }
 
     /// Waits until there is an update about a table, or the link begins or ceases to stand in.
-    pub(crate) async fn until_changed(&self, table: Table) {
+    pub(crate) async fn wait_for_change(&self, table: Table) {
         let before = self.is_current();
         loop {
             let news = self.news.notified();
--- a/src/router/peers.rs
+++ b/src/router/peers.rs
@@ -62,7 +62,7 @@
 }
 
 /// Serves the entries that follow this one.
-pub(crate) async fn answer(router: Arc<Router>, listener: TcpListener) {
+pub(crate) async fn serve_peers(router: Arc<Router>, listener: TcpListener) {
     let places = Arc::new(Semaphore::new(MOST_LINKS));
     // Ends the links with the control thread's work.
     let mut links = JoinSet::new();
@@ -112,7 +112,7 @@
 
 impl Drop for RemoveReportOnDrop<'_> {
     fn drop(&mut self) {
-        self.router.loads.forget_report(self.host, self.link);
+        self.router.loads.remove_report(self.host, self.link);
     }
 }
 
@@ -123,15 +123,15 @@
     host: &str,
     mut report: Report,
 ) -> Result<()> {
-    let link = router.loads.number_link();
+    let link = router.loads.next_link_id();
     let _forgets = RemoveReportOnDrop { router, host, link };
     let mut news = UrgentUpdates::of(router);
     loop {
         let (loads, now) = (report.loads, router.now());
-        router.loads.take_report(host, link, loads, !report.is_new, now);
-        router.roll_outs.take_evidence(host, report.evidence);
-        router.kept.take_report(&report.kept, &router.fleet.load(), router.now());
-        router.quarantine.take_update(&report.ends, router.now());
+        router.loads.apply_report(host, link, loads, !report.is_new, now);
+        router.roll_outs.apply_evidence(host, report.evidence);
+        router.kept.apply_report(&report.kept, &router.fleet.load(), router.now());
+        router.quarantine.apply_updates(&report.ends, router.now());
         router.take_limit_updates(&report.limits);
         report = loop {
             let asked = tokio::select! {
@@ -168,19 +168,19 @@
     let (mut updates, mut news) = router.views.subscribe(version);
     let (mut next_kept, mut next_end, mut next_limit) = (0, None, 0);
     let mut suspicions = router.quarantine.changes();
-    let mut urgent_limits = router.limits.urgent();
+    let mut urgent_limits = router.limits.urgent_changes();
     loop {
         let is_current = router.is_current();
         let loads = router.loads.sums(router.now());
-        let (kept, next) = router.kept.all_from(next_kept, router.now());
+        let (kept, next) = router.kept.all_since(next_kept, router.now());
         next_kept = next;
         suspicions.mark_unchanged();
-        let (ends, next) = router.quarantine.all_from(next_end, router.now());
+        let (ends, next) = router.quarantine.all_since(next_end, router.now());
         next_end = Some(next);
         urgent_limits.mark_unchanged();
-        let (limits, next) = router.limits.all_from(next_limit);
+        let (limits, next) = router.limits.all_since(next_limit);
         next_limit = next;
-        let entries = router.loads.entries(router.now());
+        let entries = router.loads.entry_count(router.now());
         let place = router.place_of(host);
         let is_informed = router.quarantine.is_informed();
         let beat = PeerMessage::Beat {
--- a/src/router/prefix_reports.rs
+++ b/src/router/prefix_reports.rs
@@ -64,14 +64,14 @@
     }
 
     /// Notes what this entry sent.
-    pub(crate) fn note_own(&self, note: CachedPrefix, now: Duration) {
+    pub(crate) fn record_own(&self, note: CachedPrefix, now: Duration) {
         let mut inner = self.lock();
         inner.own.push(note, now);
         inner.all.push(note, now);
     }
 
     /// Takes in what another entry reports that it sent; those that follow this one are informed, too.
-    pub(crate) fn take_report(&self, notes: &[CachedPrefix], fleet: &Fleet, now: Duration) {
+    pub(crate) fn apply_report(&self, notes: &[CachedPrefix], fleet: &Fleet, now: Duration) {
         let mut inner = self.lock();
         for note in notes {
             inner.all.push(*note, now);
@@ -96,7 +96,7 @@
     }
 
     /// What this entry sent since the note with this number, and the number to go on with.
-    pub(crate) fn own_from(&self, number: u64, now: Duration) -> (Vec<CachedPrefix>, u64) {
+    pub(crate) fn own_since(&self, number: u64, now: Duration) -> (Vec<CachedPrefix>, u64) {
         self.lock().own.from(number, now)
     }
 
@@ -107,7 +107,7 @@
     }
 
     /// The same for all entries.
-    pub(crate) fn all_from(&self, number: u64, now: Duration) -> (Vec<CachedPrefix>, u64) {
+    pub(crate) fn all_since(&self, number: u64, now: Duration) -> (Vec<CachedPrefix>, u64) {
         self.lock().all.from(number, now)
     }
 }
--- a/src/router/quarantine.rs
+++ b/src/router/quarantine.rs
@@ -40,7 +40,7 @@
 
     /// Whether a refused request gets its trial now, here and nowhere else; the store is asked only when one
     /// is due.
-    pub(crate) async fn gets_trial(&self, job: &Job) -> bool {
+    pub(crate) async fn claim_trial(&self, job: &Job) -> bool {
         let is_due = self.standing(job) == Standing::Refused { trial_in: Some(Duration::ZERO) };
         if !is_due {
             return false;
@@ -52,19 +52,19 @@
     }
 
     /// Takes the end at which trials are asked for; once.
-    pub(crate) fn take_trials(&self) -> Option<mpsc::Receiver<TrialRequest>> {
+    pub(crate) fn take_trial_requests(&self) -> Option<mpsc::Receiver<TrialRequest>> {
         self.trials.1.lock().expect("no panics under the lock").take()
     }
 
     /// Whether this entry gets updates from no other one.
-    pub(crate) fn is_alone(&self) -> bool {
+    pub(crate) fn is_isolated(&self) -> bool {
         let now = self.now();
-        let is_reported = now < self.views.received_at() + REPORT_LASTS;
-        !is_reported && self.loads.entries(now) <= 1
+        let is_reported = now < self.views.peer_message_at() + REPORT_LASTS;
+        !is_reported && self.loads.entry_count(now) <= 1
     }
 
     /// Waits until a request reaches no more servers.
-    pub(crate) async fn until_refused(&self, job: &Job) {
+    pub(crate) async fn wait_until_refused(&self, job: &Job) {
         let mut changes = self.quarantine.changes();
         while !self.is_refused(job) {
             if changes.changed().await.is_err() {
@@ -74,14 +74,14 @@
     }
 
     /// Notes that a server answered a request whole: it does not end servers.
-    pub(crate) fn note_answered_whole(&self, job: &Job) {
+    pub(crate) fn record_complete_answer(&self, job: &Job) {
         if self.standing(job) != Standing::Free {
             self.quarantine.clear(job.fingerprint(), self.now());
         }
     }
 
     /// When the caller of a refused request may come back.
-    pub(crate) fn refused_for(&self, job: &Job) -> Duration {
+    pub(crate) fn refusal_retry_after(&self, job: &Job) -> Duration {
         match self.standing(job) {
             Standing::Refused { trial_in: Some(trial_in) } => trial_in.max(LEAST_RETRY_AFTER),
             _ => REFUSED_FOR_GOOD,
--- a/src/router/quarantine_row.rs
+++ b/src/router/quarantine_row.rs
@@ -148,12 +148,12 @@
             None => RowDoc::default(),
         };
         self.cases = doc.cases.iter().filter_map(|doc| self.read(doc)).collect();
-        router.quarantine.take_cases(&self.cases, self.clocks.error, router.now());
+        router.quarantine.apply_cases(&self.cases, self.clocks.error, router.now());
     }
 }
 
 /// Keeps the store's row and this entry's cases the same, for ever.
-pub(crate) async fn keep(
+pub(crate) async fn sync_row(
     router: &Arc<Router>,
     store: &StoreClient,
     mut trials: mpsc::Receiver<TrialRequest>,
@@ -170,8 +170,8 @@
             sleep(time_for_others(router)).await;
         }
         let is_needed = !router.quarantine.is_informed()
-            || router.is_alone()
-            || router.quarantine.take_row_stale();
+            || router.is_isolated()
+            || router.quarantine.take_stale_row();
         if is_needed && read(router, store, &mut kept).await.is_err() {
             sleep(PAUSE).await;
             continue;
@@ -181,7 +181,7 @@
             event::STORE_UNREACHABLE.log(format_args!("table=Own cause=\"{e}\""));
             sleep(PAUSE).await;
         }
-        let rest = match (router.is_alone(), router.quarantine.is_idle()) {
+        let rest = match (router.is_isolated(), router.quarantine.is_idle()) {
             (true, true) => LOOK_ALONE,
             (true, false) => PAUSE,
             (false, _) => LOOK_EVERY,
@@ -205,7 +205,7 @@
 /// Waits a moment for another entry to report what is refused.
 async fn inform(router: &Router) {
     if router.may_follow() {
-        let _ = timeout(LINK_FIRST, router.link.until_current()).await;
+        let _ = timeout(LINK_FIRST, router.link.wait_until_current()).await;
     }
 }
 
@@ -239,7 +239,7 @@
     let row = rows.iter().find(|row| &*row.key == ROW && !row.is_removed);
     kept.insert(StoredRow { version: 0, era: version.era, cases: Vec::new(), clocks })
         .take(router, row);
-    if router.quarantine.note_informed() {
+    if router.quarantine.mark_informed() {
         router.wake_waiters();
     }
     Ok(())
@@ -256,7 +256,7 @@
         return Ok(());
     }
     for _ in 0..MOST_CONFLICTS {
-        let cases = router.quarantine.cases(!router.is_alone(), router.now());
+        let cases = router.quarantine.cases(!router.is_isolated(), router.now());
         let is_kept = |kept: &StoredRow| {
             let is_there = |case: &Case| kept.holds(case);
             cases.iter().take(MOST_CASES).all(is_there) && !kept.has_cleared(router)
@@ -283,7 +283,7 @@
     let Some(kept) = kept else {
         return Ok(false);
     };
-    let mut cases = router.quarantine.cases(!router.is_alone(), router.now());
+    let mut cases = router.quarantine.cases(!router.is_isolated(), router.now());
     cases.truncate(MOST_CASES);
     let doc = RowDoc { cases: cases.iter().map(|case| kept.write(case)).collect() };
     let value = serde_json::to_vec(&doc).expect("a document of texts and numbers can be written");
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -40,7 +40,7 @@
     router: &Arc<Router>,
     mut job: Job,
 ) -> Result<Response<AnswerBody>, Refusal> {
-    job.is_trial = router.gets_trial(&job).await;
+    job.is_trial = router.claim_trial(&job).await;
     if job.route.kind != RouteKind::Stream {
         return whole_answer(router, &mut job).await;
     }
@@ -70,7 +70,7 @@
             // At the deadline, or when the server has started again: then it may be tried elsewhere.
             None => {
                 note_unanswered(router, job, &server, Parting::Left);
-                router.roll_outs.note_silence(&server.server, router.now());
+                router.roll_outs.record_timeout(&server.server, router.now());
             }
         }
         job.note_lost();
@@ -111,9 +111,9 @@
     };
     if answer.head.kind == AnswerKind::Success {
         let outcome = if answer.is_slow { RunOutcome::Slow } else { RunOutcome::Good };
-        router.roll_outs.note_outcome(&answer.member.server, outcome);
+        router.roll_outs.record_outcome(&answer.member.server, outcome);
     }
-    router.note_answered_whole(job);
+    router.record_complete_answer(job);
     *res.body_mut() = AnswerBody::whole(body.to_bytes());
     answer.finish(router.now());
     Ok(res)
@@ -207,7 +207,7 @@
             let Err(e) = self.pass_on(answer).await else {
                 // A caller that has left no longer minds whether the end arrives.
                 let _ = self.tx.send(Part::End).await;
-                self.router.note_answered_whole(&self.job);
+                self.router.record_complete_answer(&self.job);
                 self.log_if_late(&server);
                 return;
             };
@@ -238,7 +238,7 @@
             StreamError::Silent => {
                 server.note_failure(router.now());
                 note_unanswered(router, job, server, Parting::Left);
-                router.roll_outs.note_silence(&server.server, router.now());
+                router.roll_outs.record_timeout(&server.server, router.now());
             }
             _ => note_break(router, job, server).await,
         }
@@ -319,7 +319,7 @@
             return;
         }
         run.is_judged = true;
-        self.router.roll_outs.note_outcome(&answer.member.server, RunOutcome::Slow);
+        self.router.roll_outs.record_outcome(&answer.member.server, RunOutcome::Slow);
     }
 
     /// Counts a run that ended whole for its version, and learns its pace.
@@ -328,10 +328,10 @@
         // Slow runs count in the mean, too: without them it falls, and more runs are called slow. A
         // version on trial does not set the pace that it is measured by.
         if run.pauses > 0 && !roll_outs.is_on_trial(server) {
-            self.router.readings.note_pace(self.reading_key(), run.took() / run.pauses);
+            self.router.readings.record_pace(self.reading_key(), run.took() / run.pauses);
         }
         if !run.is_judged {
-            roll_outs.note_outcome(server, RunOutcome::Good);
+            roll_outs.record_outcome(server, RunOutcome::Good);
         }
     }
 
--- a/src/router/roll_out.rs
+++ b/src/router/roll_out.rs
@@ -70,7 +70,7 @@
 
     /// Takes in an order, which an entry that starts may have found; one already known keeps its
     /// evidence. Whether it is new.
-    pub(crate) fn order(&self, order: RollOutOrder, now: Duration, is_found: bool) -> bool {
+    pub(crate) fn add_order(&self, order: RollOutOrder, now: Duration, is_found: bool) -> bool {
         let mut inner = self.lock();
         if let Some(known) = inner.roll_outs.get_mut(&order.service) {
             if known.order.revision >= order.revision {
@@ -90,12 +90,12 @@
     }
 
     /// Waits until an order is found whose state has to be learned.
-    pub(crate) async fn until_found(&self) {
+    pub(crate) async fn wait_until_found(&self) {
         self.found.notified().await;
     }
 
     /// Whether an order was found after this time and nothing is known yet of how far it got.
-    pub(crate) fn is_any_unknown(&self, found_after: Duration) -> bool {
+    pub(crate) fn has_unknown(&self, found_after: Duration) -> bool {
         let is_new = |r: &RollOut| r.found_at.is_some_and(|at| at > found_after);
         self.lock().roll_outs.values().any(|r| r.is_unknown() && is_new(r))
     }
@@ -106,7 +106,7 @@
     }
 
     /// Notes that it is known how far an order's roll-out got.
-    pub(crate) fn note_known(&self, order: &RollOutOrder) {
+    pub(crate) fn mark_known(&self, order: &RollOutOrder) {
         if let Some(roll_out) = self.lock().roll_outs.get_mut(&order.service) {
             roll_out.found_at = None;
         }
@@ -134,14 +134,14 @@
     }
 
     /// Time since a roll-out began, where the store reported when.
-    pub(crate) fn begun_for(&self, order: &RollOutOrder, now: Duration) -> Option<Duration> {
+    pub(crate) fn reported_age(&self, order: &RollOutOrder, now: Duration) -> Option<Duration> {
         let inner = self.lock();
         let roll_out = inner.roll_outs.get(&order.service).filter(|r| r.is_begun)?;
         Some(roll_out.age(now))
     }
 
     /// Takes in what the store says about an order: when it began and how far it got.
-    pub(crate) fn adopt(
+    pub(crate) fn apply_store_state(
         &self,
         service: &str,
         revision: StoreVersion,
@@ -183,7 +183,12 @@
     }
 
     /// Which versions may run a request now.
-    pub(crate) fn rule(&self, service: &str, head: &RequestHead, now: Duration) -> VersionRule {
+    pub(crate) fn version_rule(
+        &self,
+        service: &str,
+        head: &RequestHead,
+        now: Duration,
+    ) -> VersionRule {
         let inner = self.lock();
         let roll_out = inner.roll_outs.get(service);
         roll_out.map_or(VersionRule::Any, |roll_out| roll_out.rule(head, now, &self.terms))
@@ -191,7 +196,12 @@
 
     /// Logs a session's request that is sent to a version on trial, so that the lines of all
     /// entries show when a session came to it.
-    pub(crate) fn log_trial(&self, server: &BackendServer, head: &RequestHead, now: Duration) {
+    pub(crate) fn log_trial_session(
+        &self,
+        server: &BackendServer,
+        head: &RequestHead,
+        now: Duration,
+    ) {
         let Some(session) = &head.session else {
             return;
         };
@@ -210,7 +220,7 @@
     }
 
     /// Notes what became of an attempt that ran.
-    pub(crate) fn note_outcome(&self, server: &BackendServer, outcome: RunOutcome) {
+    pub(crate) fn record_outcome(&self, server: &BackendServer, outcome: RunOutcome) {
         let mut inner = self.lock();
         let Some(roll_out) = inner.roll_outs.get_mut(&server.service) else {
             return;
@@ -226,7 +236,7 @@
 
     /// Notes that a server did not answer in time. All that wait for a server time out together,
     /// so such failures of one server count once in a while.
-    pub(crate) fn note_silence(&self, server: &BackendServer, now: Duration) {
+    pub(crate) fn record_timeout(&self, server: &BackendServer, now: Duration) {
         {
             let mut inner = self.lock();
             let reported = inner.silences.entry(server.id.clone()).or_default();
@@ -239,7 +249,7 @@
                 inner.silences.retain(|_, reported| now < *reported + SAME_SILENCE);
             }
         }
-        self.note_outcome(server, RunOutcome::Failed);
+        self.record_outcome(server, RunOutcome::Failed);
     }
 
     /// What this entry has seen of the roll-outs under way, to be reported.
@@ -250,7 +260,7 @@
     }
 
     /// Takes in what another entry has seen, and judges by all of it.
-    pub(crate) fn take_evidence(&self, host: &str, all: Vec<VersionEvidence>) {
+    pub(crate) fn apply_evidence(&self, host: &str, all: Vec<VersionEvidence>) {
         let mut inner = self.lock();
         for evidence in all {
             let Some(roll_out) = inner.roll_outs.get_mut(&evidence.service) else {
@@ -271,14 +281,14 @@
     }
 
     /// Notes that servers of a version are in view.
-    pub(crate) fn note_servers(&self, service: &str, version: &str) {
+    pub(crate) fn record_servers(&self, service: &str, version: &str) {
         if let Some(roll_out) = self.lock().roll_outs.get_mut(service) {
             roll_out.has_servers |= *roll_out.order.to == *version;
         }
     }
 
     /// Shows the evidence as metrics.
-    pub(crate) fn report(&self, metrics: &Metrics) {
+    pub(crate) fn update_metrics(&self, metrics: &Metrics) {
         let inner = self.lock();
         for roll_out in inner.roll_outs.values() {
             for (version, evidence) in [("old", roll_out.old), ("new", roll_out.new)] {
--- a/src/router/roll_out_driver.rs
+++ b/src/router/roll_out_driver.rs
@@ -115,7 +115,7 @@
     let (mut rest_until, mut ends_rest_until) = (Duration::ZERO, Duration::ZERO);
     loop {
         // What an entry that starts finds has to be known before requests are answered by it.
-        let _ = timeout(DRIVE_EVERY, router.roll_outs.until_found()).await;
+        let _ = timeout(DRIVE_EVERY, router.roll_outs.wait_until_found()).await;
         drives += 1;
         take_from_link(router, &mut known);
         let now_era = known.era.max(router.views.era());
@@ -178,7 +178,7 @@
             seen.insert(order.service.clone(), order.revision);
         }
         if is_unknown && (is_settled || is_reported) {
-            router.roll_outs.note_known(&order);
+            router.roll_outs.mark_known(&order);
             router.wake_waiters();
         }
     }
@@ -209,7 +209,7 @@
             let rows = update.into_rows();
             known.enter(rows.version.era);
             rows.rows.iter().for_each(|row| known.note(row));
-            router.views.note(table, &rows, true);
+            router.views.update(table, &rows, true);
             let running = router.roll_outs.running();
             running.iter().for_each(|order| take_over(router, known, order, rows.now));
         }
@@ -233,7 +233,7 @@
         Ok(rows) => {
             known.enter(rows.version.era);
             rows.rows.iter().for_each(|row| known.note(row));
-            router.views.note(Table::Status, &rows, true);
+            router.views.update(Table::Status, &rows, true);
             running.iter().for_each(|order| take_over(router, known, order, rows.now));
         }
         // The feeds report a store that is away; the next look comes soon.
@@ -289,7 +289,7 @@
     progress: Progress,
 ) -> crate::platform::Result<bool> {
     // One that is known to have begun before goes on where it was.
-    let age = router.roll_outs.begun_for(order, router.now()).unwrap_or_default();
+    let age = router.roll_outs.reported_age(order, router.now()).unwrap_or_default();
     let StoreVersion { era, revision } = order.revision;
     let began_ms = store_now.saturating_sub(age).as_millis() as u64;
     let row = RollOutRow { revision, era, began_ms };
@@ -333,8 +333,8 @@
         return Err(Error::Unreadable("the store came back from a copy".into()));
     }
     own.rows.iter().chain(&status.rows).for_each(|row| known.note(row));
-    router.views.note(Table::Own, &own, true);
-    router.views.note(Table::Status, &status, true);
+    router.views.update(Table::Own, &own, true);
+    router.views.update(Table::Status, &status, true);
     Ok(status.now)
 }
 
@@ -345,7 +345,7 @@
     };
     let age = store_now.saturating_sub(Duration::from_millis(began_ms));
     let began = router.now().saturating_sub(age);
-    router.roll_outs.adopt(&order.service, order.revision, Some(began), progress);
+    router.roll_outs.apply_store_state(&order.service, order.revision, Some(began), progress);
 }
 
 /// Writes a verdict, unless another entry has given one.
@@ -371,7 +371,7 @@
     match outcome {
         WriteOutcome::Written(_) => {
             let progress = verdict.status.progress;
-            router.roll_outs.adopt(&order.service, order.revision, None, progress);
+            router.roll_outs.apply_store_state(&order.service, order.revision, None, progress);
             if router.is_seed() || router.views.has_subscribers() {
                 // Those that follow this entry, now or later, learn of the verdict.
                 look(router, store, known).await?;
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -123,8 +123,8 @@
             servers::follow_servers(&router, &store),
             roll_out_driver::drive_roll_outs(&router, &store),
             answer_peers(router.clone(), peers),
-            peer_follower::follow(&router),
-            seed_reporter::report_load(&router),
+            peer_follower::follow_peers(&router),
+            seed_reporter::report_to_seeds(&router),
             keep_quarantine(&router, &store),
         )
     };
@@ -136,8 +136,8 @@
 }
 
 async fn keep_quarantine(router: &Arc<Router>, store: &StoreClient) {
-    if let Some(trials) = router.take_trials() {
-        quarantine_row::keep(router, store, trials).await;
+    if let Some(trials) = router.take_trial_requests() {
+        quarantine_row::sync_row(router, store, trials).await;
     }
 }
 
@@ -147,7 +147,7 @@
     };
     let listener = listener.set_nonblocking(true).and_then(|()| TcpListener::from_std(listener));
     match listener {
-        Ok(listener) => peers::answer(router, listener).await,
+        Ok(listener) => peers::serve_peers(router, listener).await,
         Err(e) => event::ACCEPT_FAILED.log(format_args!("cause=\"{e}\"")),
     }
 }
--- a/src/router/seed_reporter.rs
+++ b/src/router/seed_reporter.rs
@@ -27,15 +27,15 @@
 const REPORT_AGAIN: Duration = Duration::from_secs(2);
 
 /// Reports the own load to every seed, and lets a seed know the sums itself.
-pub(crate) async fn report_load(router: &Arc<Router>) {
+pub(crate) async fn report_to_seeds(router: &Arc<Router>) {
     let mut links: JoinSet<()> = JoinSet::new();
     let mut reported: Vec<SocketAddr> = Vec::new();
     let (reports, _) = watch::channel(Report::default());
     // A seed passes on what it receives, too: some entries may not reach them.
     let (mut suspicions, mut urgent_limits) = if router.is_seed() {
-        (router.quarantine.changes(), router.limits.urgent())
+        (router.quarantine.changes(), router.limits.urgent_changes())
     } else {
-        (router.quarantine.own_changes(), router.limits.own_urgent())
+        (router.quarantine.own_changes(), router.limits.own_urgent_changes())
     };
     loop {
         let settings = router.settings.load_full();
@@ -50,14 +50,14 @@
         }
         let fleet = router.fleet.load();
         let evidence = router.roll_outs.evidence();
-        let loads = router.loads.report(&fleet);
+        let loads = router.loads.collect_own(&fleet);
         let is_new = router.place().is_none();
         reports.send_replace(Report { loads, evidence, is_new, ..Report::default() });
         if router.is_seed() {
             let now = router.now();
-            router.note_entries(router.loads.entries(now));
+            router.note_entries(router.loads.entry_count(now));
             if let Some(place) = router.place_of(&settings.host) {
-                router.own_place.note(place, now);
+                router.own_place.record(place, now);
             }
             router.loads.apply(&router.loads.sums(now), &fleet, now);
         }
@@ -102,17 +102,17 @@
     let (mut next_kept, mut next_end, mut next_limit) = (0, None, None);
     loop {
         let mut report = reports.borrow_and_update().clone();
-        (report.kept, next_kept) = router.kept.own_from(next_kept, router.now());
+        (report.kept, next_kept) = router.kept.own_since(next_kept, router.now());
         let (ends, next) = if router.is_seed() {
-            router.quarantine.all_from(next_end, router.now())
+            router.quarantine.all_since(next_end, router.now())
         } else {
-            router.quarantine.own_from(next_end, router.now())
+            router.quarantine.own_since(next_end, router.now())
         };
         (report.ends, next_end) = (ends, Some(next));
         let (limits, next) = if router.is_seed() {
-            router.limits.all_from(next_limit.unwrap_or_default())
+            router.limits.all_since(next_limit.unwrap_or_default())
         } else {
-            router.limits.own_from(next_limit)
+            router.limits.own_since(next_limit)
         };
         (report.limits, next_limit) = (limits, Some(next));
         send_message(&mut socket, &PeerRequest::Report { host: host.into(), report }).await?;
@@ -141,7 +141,7 @@
     let PeerMessage::News { ends, limits } = message else {
         return Err(Error::Broken("news were expected".into()));
     };
-    router.quarantine.take_update(&ends, router.now());
+    router.quarantine.apply_updates(&ends, router.now());
     router.take_limit_updates(&limits);
     Ok(())
 }
--- a/src/router/servers.rs
+++ b/src/router/servers.rs
@@ -7,7 +7,7 @@
     router::{
         Fleet, Router,
         breaks::{self, Proof},
-        feed::{PAUSE, StoreReachability, follow},
+        feed::{RETRY_PAUSE, StoreReachability, follow_table},
         listing::Listing,
         restore::Extent,
     },
@@ -19,14 +19,14 @@
     let listing = std::sync::Mutex::new(Listing::default());
     let apply = |rows: Rows, extent: Extent, contact: &StoreReachability| {
         let mut listing = listing.lock().expect("no panics under the lock");
-        listing.apply(&rows, extent, contact.doubtful_until(router.now()), router.now());
+        listing.apply(&rows, extent, contact.removals_uncertain_until(router.now()), router.now());
         if extent.is_whole() || !rows.rows.is_empty() {
             publish(router, &listing);
         }
     };
     let expire = async {
         loop {
-            sleep(PAUSE).await;
+            sleep(RETRY_PAUSE).await;
             router.notice_suspension();
             let mut listing = listing.lock().expect("no panics under the lock");
             if listing.expire(router.now()) {
@@ -34,7 +34,7 @@
             }
         }
     };
-    tokio::join!(follow(router, store, Table::Servers, apply), expire);
+    tokio::join!(follow_table(router, store, Table::Servers, apply), expire);
 }
 
 fn publish(router: &Router, listing: &Listing) {
@@ -67,7 +67,7 @@
     let fleet = router.fleet.load();
     for order in router.roll_outs.running() {
         for member in fleet.of_service(&order.service) {
-            router.roll_outs.note_servers(&order.service, &member.server.version);
+            router.roll_outs.record_servers(&order.service, &member.server.version);
         }
     }
 }
--- a/src/router/shared_limits.rs
+++ b/src/router/shared_limits.rs
@@ -117,17 +117,17 @@
     }
 
     /// Notifies of each change that others have to know at once, from now on.
-    pub(crate) fn urgent(&self) -> watch::Receiver<u64> {
+    pub(crate) fn urgent_changes(&self) -> watch::Receiver<u64> {
         self.urgent.subscribe()
     }
 
     /// The same of those that this entry received from a server itself.
-    pub(crate) fn own_urgent(&self) -> watch::Receiver<u64> {
+    pub(crate) fn own_urgent_changes(&self) -> watch::Receiver<u64> {
         self.own_urgent.subscribe()
     }
 
     /// Takes in what a server's answer says to a request that was sent at `sent_at`; what changed by it.
-    pub(crate) fn note(
+    pub(crate) fn record_answer(
         &self,
         life: LifeHash,
         said: AdvertisedLimit,
@@ -137,20 +137,24 @@
         if self.rate_limited() == 0 && !matches!(said, AdvertisedLimit::Rate(_)) {
             return None;
         }
-        self.change(life, true, |belief| belief.note(said, sent_at, now))
+        self.update(life, true, |belief| belief.note(said, sent_at, now))
     }
 
     /// Takes in what another entry reports; what changed by it.
-    pub(crate) fn take_update(&self, reported: &[LimitUpdate], now: Duration) -> Vec<LimitChange> {
+    pub(crate) fn apply_updates(
+        &self,
+        reported: &[LimitUpdate],
+        now: Duration,
+    ) -> Vec<LimitChange> {
         let take = |reported: &LimitUpdate| {
             let (life, news) = reported.read();
-            self.change(life, false, |belief| belief.take_update(news, now))
+            self.update(life, false, |belief| belief.take_update(news, now))
         };
         reported.iter().filter_map(take).collect()
     }
 
     /// Lets a belief change, and makes it known if it did.
-    fn change(
+    fn update(
         &self,
         life: LifeHash,
         is_own: bool,
@@ -184,17 +188,17 @@
 
     /// News from a number on that this entry received from servers itself, and the number to go on with. A reader
     /// that begins, with none, gets all that is known.
-    pub(crate) fn own_from(&self, number: Option<u64>) -> (Vec<LimitUpdate>, u64) {
+    pub(crate) fn own_since(&self, number: Option<u64>) -> (Vec<LimitUpdate>, u64) {
         let is_all = number.is_none();
-        self.from(number.unwrap_or_default(), |known| is_all || known.is_own)
+        self.since(number.unwrap_or_default(), |known| is_all || known.is_own)
     }
 
     /// The same of what it received from servers or from other entries.
-    pub(crate) fn all_from(&self, number: u64) -> (Vec<LimitUpdate>, u64) {
-        self.from(number, |_| true)
+    pub(crate) fn all_since(&self, number: u64) -> (Vec<LimitUpdate>, u64) {
+        self.since(number, |_| true)
     }
 
-    fn from(
+    fn since(
         &self,
         number: u64,
         is_reported: impl Fn(&KnownLimit) -> bool,
@@ -231,7 +235,7 @@
     }
 
     /// Forgets servers that are long out of view.
-    pub(crate) fn forget_gone(&self, fleet: &Fleet, now: Duration) {
+    pub(crate) fn forget_departed(&self, fleet: &Fleet, now: Duration) {
         let is_kept = |life: &LifeHash, known: &mut KnownLimit| {
             fleet.by_life(*life).is_some() || now < known.belief.received_at() + REMEMBERED
         };
--- a/src/router/shared_quarantine.rs
+++ b/src/router/shared_quarantine.rs
@@ -125,16 +125,16 @@
 
     /// Notes that a server ended at a time while these requests were at work there, as its address shows; the
     /// life that ended may be one that the list has not shown yet.
-    pub(crate) fn note_ends(&self, all: &[Fingerprint], listed: LifeHash, at: Duration) {
+    pub(crate) fn record_ends(&self, all: &[Fingerprint], listed: LifeHash, at: Duration) {
         let life = self.lock().quarantine.name_of_end(listed, at);
-        self.note_listed_ends(all, life, at);
+        self.record_listed_ends(all, life, at);
     }
 
     /// Notes that this life of a server ended at a time while these requests were at work there, as the list
     /// reports. It is the same life for every entry, whenever each of them saw its own connections break.
-    pub(crate) fn note_listed_ends(&self, all: &[Fingerprint], life: LifeHash, at: Duration) {
+    pub(crate) fn record_listed_ends(&self, all: &[Fingerprint], life: LifeHash, at: Duration) {
         let note = |f: &Fingerprint| Note::End { fingerprint: *f, life, at };
-        self.take_in(all.iter().map(note), true, at);
+        self.apply(all.iter().map(note), true, at);
     }
 
     /// Notes that a server answered a request whole, or that an operator lets it go; whether it was
@@ -148,20 +148,20 @@
             self.is_row_stale.store(true, Ordering::Release);
         }
         let acquittal = self.lock().quarantine.acquittal(fingerprint);
-        self.take_in(acquittal.into_iter(), true, now);
+        self.apply(acquittal.into_iter(), true, now);
         event::REQUEST_CLEARED.log(format_args!("fingerprint={fingerprint}"));
         true
     }
 
     /// Takes in what another entry reports.
-    pub(crate) fn take_update(&self, reported: &[QuarantineUpdate], now: Duration) {
+    pub(crate) fn apply_updates(&self, reported: &[QuarantineUpdate], now: Duration) {
         if !reported.is_empty() {
-            self.take_in(reported.iter().map(|note| note.read(now)), false, now);
+            self.apply(reported.iter().map(|note| note.read(now)), false, now);
         }
     }
 
     /// Takes in what the store keeps, its times `error` off at most.
-    pub(crate) fn take_cases(&self, cases: &[Case], error: Duration, now: Duration) {
+    pub(crate) fn apply_cases(&self, cases: &[Case], error: Duration, now: Duration) {
         let mut inner = self.lock();
         let mut is_new = false;
         for case in cases {
@@ -182,7 +182,7 @@
         self.publish_own(is_new);
     }
 
-    fn take_in(&self, notes: impl Iterator<Item = Note>, is_own: bool, now: Duration) {
+    fn apply(&self, notes: impl Iterator<Item = Note>, is_own: bool, now: Duration) {
         let mut inner = self.lock();
         let mut is_new = false;
         for note in notes {
@@ -249,27 +249,27 @@
 
     /// What this entry saw since the note with this number, and the number to go on with. A reader that
     /// begins gets all that is known.
-    pub(crate) fn own_from(
+    pub(crate) fn own_since(
         &self,
         number: Option<u64>,
         now: Duration,
     ) -> (Vec<QuarantineUpdate>, u64) {
-        self.from(number, now, |inner| &mut inner.own)
+        self.since(number, now, |inner| &mut inner.own)
     }
 
     /// The same of what this entry saw or received.
-    pub(crate) fn all_from(
+    pub(crate) fn all_since(
         &self,
         number: Option<u64>,
         now: Duration,
     ) -> (Vec<QuarantineUpdate>, u64) {
-        self.from(number, now, |inner| &mut inner.all)
+        self.since(number, now, |inner| &mut inner.all)
     }
 
     /// What this entry saw or received since the note with this number, of requests that may be refused next: all
     /// ends under those that two or more count against. One end alone says little, and a zone's loss brings
     /// thousands of these.
-    pub(crate) fn grave_from(&self, number: u64, now: Duration) -> (Vec<QuarantineUpdate>, u64) {
+    pub(crate) fn urgent_since(&self, number: u64, now: Duration) -> (Vec<QuarantineUpdate>, u64) {
         let mut inner = self.lock();
         let (notes, next) = inner.all.from(number, now);
         let mut requests: Vec<Fingerprint> = notes.iter().map(Note::fingerprint).collect();
@@ -280,7 +280,7 @@
         (grave.map(|note| QuarantineUpdate::new(&note, now)).collect(), next)
     }
 
-    fn from(
+    fn since(
         &self,
         number: Option<u64>,
         now: Duration,
@@ -301,12 +301,12 @@
     }
 
     /// Whether the store's row has to be looked at because this entry let a refused request go; once.
-    pub(crate) fn take_row_stale(&self) -> bool {
+    pub(crate) fn take_stale_row(&self) -> bool {
         self.is_row_stale.swap(false, Ordering::AcqRel)
     }
 
     /// Notes that it is known what the fleet knew before this process started; whether that is new.
-    pub(crate) fn note_informed(&self) -> bool {
+    pub(crate) fn mark_informed(&self) -> bool {
         !self.is_informed.swap(true, Ordering::AcqRel)
     }
 
--- a/src/router/silence.rs
+++ b/src/router/silence.rs
@@ -37,7 +37,7 @@
         if wait.has_begun {
             std::future::pending::<()>().await;
         }
-        router.until_refused(wait.job).await;
+        router.wait_until_refused(wait.job).await;
     };
     tokio::select! {
         // What has come is taken, also from a life that has ended since.
--- a/src/router/speed_estimates.rs
+++ b/src/router/speed_estimates.rs
@@ -25,7 +25,7 @@
     }
 
     /// Learns from the time to an answer's head.
-    pub(crate) fn note_head_time(
+    pub(crate) fn record_head_time(
         &self,
         key: &str,
         unread_tokens: u64,
@@ -36,7 +36,7 @@
     }
 
     /// Learns from a stream's mean time between two events.
-    pub(crate) fn note_pace(&self, key: &str, pace: Duration) {
+    pub(crate) fn record_pace(&self, key: &str, pace: Duration) {
         self.lock().entry(key.into()).or_default().note_pace(pace);
     }
 }
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -193,7 +193,7 @@
             fleet.set_memories(&table.memories);
         }
         self.kept.apply(&[], &fleet);
-        self.limits.forget_gone(&fleet, self.now());
+        self.limits.forget_departed(&fleet, self.now());
         self.fleet.store(Arc::new(fleet));
         self.news.notify_waiters();
     }
@@ -212,7 +212,7 @@
     /// Whether this entry should follow another one: always, unless it is a seed that the store
     /// answers.
     pub(crate) fn wants_link(&self) -> bool {
-        !self.is_seed() || self.views.is_cut_off() || self.table.load().is_none()
+        !self.is_seed() || self.views.is_store_lost() || self.table.load().is_none()
     }
 
     /// Whether the link to another entry stands in for the store.
@@ -222,7 +222,7 @@
 
     /// Whether those that follow this entry receive what the store says.
     pub(crate) fn is_current(&self) -> bool {
-        self.table.load().is_some() && !self.views.is_cut_off()
+        self.table.load().is_some() && !self.views.is_store_lost()
     }
 
     /// Wakes those who wait, since something they may wait for is known.
@@ -241,7 +241,7 @@
                 let has_view = self.table.load().is_some() && !self.fleet.load().is_empty();
                 // Where the store is away this can't be known, and requests are not held for it.
                 let lately = self.now().saturating_sub(VIEW_WAIT);
-                let is_known = !self.roll_outs.is_any_unknown(lately);
+                let is_known = !self.roll_outs.has_unknown(lately);
                 let is_received = self.is_view_fresh() && self.is_informed();
                 if has_view && is_known && is_received {
                     return;
--- a/src/router/table_views.rs
+++ b/src/router/table_views.rs
@@ -94,12 +94,18 @@
 
 impl TableViews {
     /// Takes in what the store or another entry said of a table, and informs the subscribers.
-    pub(crate) fn note(&self, table: Table, rows: &Rows, is_whole: bool) {
-        self.note_amended(table, rows, is_whole, false);
+    pub(crate) fn update(&self, table: Table, rows: &Rows, is_whole: bool) {
+        self.update_amended(table, rows, is_whole, false);
     }
 
     /// The same of rows some of which the store may have lost.
-    pub(crate) fn note_amended(&self, table: Table, rows: &Rows, is_whole: bool, is_amended: bool) {
+    pub(crate) fn update_amended(
+        &self,
+        table: Table,
+        rows: &Rows,
+        is_whole: bool,
+        is_amended: bool,
+    ) {
         let mut all = self.seen.lock().expect("no panics under the lock");
         let seen = all.entry(table).or_default();
         seen.version = rows.version;
@@ -156,7 +162,7 @@
     }
 
     /// Notes that the store answered about a table.
-    pub(crate) fn note_answer(&self, table: Table, now: Duration) {
+    pub(crate) fn record_answer(&self, table: Table, now: Duration) {
         let mut seen = self.seen.lock().expect("no panics under the lock");
         let seen = seen.entry(table).or_default();
         seen.answered_at = now;
@@ -164,30 +170,30 @@
     }
 
     /// Notes that the store gave no answer about a table.
-    pub(crate) fn note_lost(&self, table: Table) {
+    pub(crate) fn record_failure(&self, table: Table) {
         let mut seen = self.seen.lock().expect("no panics under the lock");
         seen.entry(table).or_default().is_lost = true;
     }
 
     /// Whether the store last gave no answer about some table.
-    pub(crate) fn is_cut_off(&self) -> bool {
+    pub(crate) fn is_store_lost(&self) -> bool {
         let seen = self.seen.lock().expect("no panics under the lock");
         seen.values().any(|seen| seen.is_lost)
     }
 
     /// Notes that an entry that is followed spoke.
-    pub(crate) fn note_received(&self, now: Duration) {
+    pub(crate) fn record_peer_message(&self, now: Duration) {
         *self.received_at.lock().expect("no panics under the lock") = now;
     }
 
     /// When an entry that is followed last spoke.
-    pub(crate) fn received_at(&self) -> Duration {
+    pub(crate) fn peer_message_at(&self) -> Duration {
         *self.received_at.lock().expect("no panics under the lock")
     }
 
     /// When the store last answered about every table that is followed, or another entry spoke.
     pub(crate) fn answered_at(&self) -> Duration {
-        self.applied_at().max(self.received_at())
+        self.applied_at().max(self.peer_message_at())
     }
 
     /// Until when all that was said of every table that is followed has been taken in.
--- a/src/router/urgent_updates.rs
+++ b/src/router/urgent_updates.rs
@@ -17,7 +17,7 @@
 
 impl<'a> UrgentUpdates<'a> {
     pub(super) fn of(router: &'a Router) -> Self {
-        let (suspicions, limits) = (router.quarantine.changes(), router.limits.urgent());
+        let (suspicions, limits) = (router.quarantine.changes(), router.limits.urgent_changes());
         // What is known already is reported at once.
         Self { router, suspicions, limits, next_end: 0, next_limit: 0, is_due: true }
     }
@@ -35,8 +35,8 @@
             sleep(GATHER).await;
             self.is_due = false;
             let router = self.router;
-            let (ends, next_end) = router.quarantine.grave_from(self.next_end, router.now());
-            let (limits, next_limit) = router.limits.all_from(self.next_limit);
+            let (ends, next_end) = router.quarantine.urgent_since(self.next_end, router.now());
+            let (limits, next_limit) = router.limits.all_since(self.next_limit);
             (self.next_end, self.next_limit) = (next_end, next_limit);
             if !ends.is_empty() || !limits.is_empty() {
                 return PeerMessage::News { ends, limits };
