--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -113,7 +113,7 @@
 fn backend_server(i: usize) -> BackendServer {
     BackendServer {
         id: format!("i-{i}").into(),
-        born: None,
+        started_at: None,
         service: "llm".into(),
         address: "127.0.0.1:1".parse().unwrap(),
         zone: format!("zone-{}", i % 16).into(),
--- a/src/agent/links.rs
+++ b/src/agent/links.rs
@@ -103,7 +103,7 @@
         }
         ToAgent::Config(update) => {
             agent.config.apply(update);
-            agent.pulling.done();
+            agent.pulling.release();
         }
         ToAgent::Rated { version, poor } => {
             let snapshot = agent.config.snapshot();
@@ -156,7 +156,7 @@
     if shown <= held {
         return;
     }
-    if !agent.pulling.take() {
+    if !agent.pulling.try_acquire() {
         return;
     }
     send_control(agent, link, &ToEntry::Pull(held)).await;
--- a/src/agent/state.rs
+++ b/src/agent/state.rs
@@ -21,7 +21,7 @@
         copies::Copies,
         evidence::{EpochSums, EvidenceSums},
     },
-    control::{config::Config, pull::PullTurn, store_health::StoreHealth},
+    control::{config::Config, pull::PullSlot, store_health::StoreHealth},
     ids::{Incarnation, ObjectId, Revision, VersionId, format_id, new_incarnation},
     ledger::GroupCommit,
     platform::{HttpClient, ObjectsClient, TableClient},
@@ -135,7 +135,7 @@
     pub(crate) held: Mutex<BTreeMap<VersionId, Revision>>,
     pub(crate) copies: Mutex<Copies>,
     pub(crate) pins: Mutex<HashMap<(Box<str>, ObjectId), VersionId>>,
-    pub(crate) pulling: PullTurn,
+    pub(crate) pulling: PullSlot,
     lifecycle: Mutex<Lifecycle>,
     dead: AtomicBool,
     pub(crate) killed: watch::Sender<bool>,
@@ -181,7 +181,7 @@
             held: Mutex::default(),
             copies: Mutex::new(Copies::new(settings.max_waiting_charges)),
             pins: Mutex::default(),
-            pulling: PullTurn::default(),
+            pulling: PullSlot::default(),
             lifecycle: Mutex::new(lifecycle::start()),
             dead: AtomicBool::new(false),
             killed: watch::Sender::new(false),
@@ -326,7 +326,7 @@
             "evidence": evidence,
             "held": held,
             "charge_copies": copies,
-            "store_down": self.health.is_down(),
+            "store_down": self.health.last_call_failed(),
         })
     }
 }
--- a/src/bin/mintmoor/check.rs
+++ b/src/bin/mintmoor/check.rs
@@ -17,7 +17,7 @@
         "entry" => drop(load_entry(file, &text)?),
         "agent" => drop(load_agent(file, &text)?),
         "route" => drop(load_route(file, &text)?),
-        "host" => drop(host_settings::read(&text).wrap_err_with(|| file.clone())?),
+        "host" => drop(host_settings::parse(&text).wrap_err_with(|| file.clone())?),
         "objects" => drop(read_objects(file, &text)?),
         "scenario" => {
             let _: Scenario = toml::from_str(&text).wrap_err_with(|| file.clone())?;
--- a/src/bin/mintmoor/process.rs
+++ b/src/bin/mintmoor/process.rs
@@ -102,7 +102,7 @@
     };
     let name = file.display().to_string();
     let mut text = read(&name)?;
-    let host = host_settings::read(&text).wrap_err_with(|| name.clone())?;
+    let host = host_settings::parse(&text).wrap_err_with(|| name.clone())?;
     let policy = match &args.policy {
         Some(file) => load_route(file, &read(file)?)?,
         None => RouteSettings::default(),
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -5,7 +5,7 @@
 //! counts that time (`CLOCK_BOOTTIME`) and never goes back; the time of day does, and is not used.
 //!
 //! Timers of the runtime do not fire by it. Whoever waits for a moment on this clock is woken as soon as the
-//! suspension is noticed, and looks again ([`Clock::until`]).
+//! suspension is noticed, and looks again ([`Clock::timeout_at`]).
 
 use std::{
     future::Future,
@@ -22,7 +22,7 @@
 
 /// Difference between both clocks from which on the Host was suspended: they are read one after the other, and
 /// a process that waits for its turn in between sees some milliseconds.
-const LEAST_SUSPENSION: Duration = Duration::from_millis(150);
+const MIN_SUSPENSION: Duration = Duration::from_millis(150);
 
 /// Time since the Host started, with the time for which it was suspended.
 pub fn since_boot() -> Duration {
@@ -77,13 +77,13 @@
     }
 
     /// Lets time pass as if the Host had been suspended; for tests.
-    pub fn suspend_for(&self, time: Duration) {
+    pub fn simulate_suspension(&self, time: Duration) {
         self.skipped_ms.fetch_add(time.as_millis() as u64, Ordering::AcqRel);
     }
 
     /// Looks whether the Host was suspended since the last look, and wakes those who wait if it was; gives
     /// for how long.
-    pub fn notice_suspension(&self) -> Option<Duration> {
+    pub fn detect_suspension(&self) -> Option<Duration> {
         let suspended = {
             let mut compared = self.compared.lock().expect("no panics under the lock");
             let now = Compared { steady: Instant::now(), boot: self.since_boot() };
@@ -91,7 +91,7 @@
             let steady = now.steady.saturating_duration_since(before.steady);
             now.boot.saturating_sub(before.boot).saturating_sub(steady)
         };
-        if suspended < LEAST_SUSPENSION {
+        if suspended < MIN_SUSPENSION {
             return None;
         }
         self.woke_at_ms.store(self.now().as_millis() as u64, Ordering::Release);
@@ -100,20 +100,20 @@
     }
 
     /// When it was last noticed that the Host had been suspended; zero where it never was.
-    pub fn woke_at(&self) -> Duration {
+    pub fn last_resumed_at(&self) -> Duration {
         Duration::from_millis(self.woke_at_ms.load(Ordering::Acquire))
     }
 
     /// Notifies of each suspension from now on.
-    pub fn wakes(&self) -> watch::Receiver<u64> {
+    pub fn subscribe_suspensions(&self) -> watch::Receiver<u64> {
         self.wakes.subscribe()
     }
 
     /// Waits for work until a moment on this clock; none once that has passed, also where it passed while
     /// the Host was suspended. What is ready by then is taken.
-    pub async fn until<F: Future>(&self, moment: Duration, work: F) -> Option<F::Output> {
+    pub async fn timeout_at<F: Future>(&self, moment: Duration, work: F) -> Option<F::Output> {
         let mut work = pin!(work);
-        let mut wakes = self.wakes();
+        let mut wakes = self.subscribe_suspensions();
         loop {
             let left = moment.saturating_sub(self.now());
             tokio::select! {
--- a/src/control/config.rs
+++ b/src/control/config.rs
@@ -117,7 +117,7 @@
     /// # Errors
     /// When the store gives no answer; what is in force stays in force.
     pub async fn poll(&self, table: &TableClient, health: &StoreHealth) -> Result<()> {
-        let head = health.watch("config_head", table.get(HEAD_KEY)).await?;
+        let head = health.track("config_head", table.get(HEAD_KEY)).await?;
         let head: Revision = match head {
             Some(row) => row.parse()?,
             None => 0,
@@ -141,7 +141,7 @@
     ) -> Result<()> {
         loop {
             let after = change_key(held);
-            let rows = health.watch("config_changes", table.list("changes/", &after, PAGE)).await?;
+            let rows = health.track("config_changes", table.list("changes/", &after, PAGE)).await?;
             let changes = rows.iter().map(|row| row.parse()).collect::<Result<Vec<Change>>>()?;
             let Some(first) = changes.first() else {
                 return Ok(());
@@ -160,14 +160,14 @@
 
     /// Reads every object; consistent when the head did not move meanwhile.
     async fn read_all(&self, table: &TableClient, health: &StoreHealth) -> Result<()> {
-        let Some(before) = health.watch("config_head", table.get(HEAD_KEY)).await? else {
+        let Some(before) = health.track("config_head", table.get(HEAD_KEY)).await? else {
             return Ok(());
         };
         let mut objects = Vec::new();
         let mut after: Box<str> = Box::default();
         loop {
             let page = table.list("objects/", &after, PAGE);
-            let rows = health.watch("config_objects", page).await?;
+            let rows = health.track("config_objects", page).await?;
             for row in &rows {
                 objects.push(row.parse()?);
             }
@@ -176,7 +176,7 @@
                 _ => break,
             }
         }
-        let unmoved = health.watch("config_head", table.get(HEAD_KEY)).await?;
+        let unmoved = health.track("config_head", table.get(HEAD_KEY)).await?;
         if unmoved.is_some_and(|row| row.version == before.version) {
             self.apply(ConfigUpdate::Full { revision: before.parse()?, objects });
         }
--- a/src/control/lease.rs
+++ b/src/control/lease.rs
@@ -72,8 +72,12 @@
     ///
     /// # Errors
     /// When the store gives no answer; what is held runs out by itself.
-    pub async fn tend(&mut self, table: &TableClient, health: &StoreHealth) -> Result<()> {
-        let row = health.watch("lease_read", table.get(&self.key())).await?;
+    pub async fn acquire_or_renew(
+        &mut self,
+        table: &TableClient,
+        health: &StoreHealth,
+    ) -> Result<()> {
+        let row = health.track("lease_read", table.get(&self.key())).await?;
         let row = match row {
             Some(row) => Some((row.parse::<LeaseRow>()?, row.version)),
             None => None,
@@ -86,7 +90,7 @@
         let held_before = self.permit().is_some();
         let sent = self.now();
         let tx = Transaction::default().check(self.key(), expected).put(self.key(), &row);
-        match health.watch("lease_write", table.transact(tx)).await {
+        match health.track("lease_write", table.transact(tx)).await {
             Ok(Ok(version)) => {
                 let fencing = row.fencing;
                 self.version = version;
--- a/src/control/membership.rs
+++ b/src/control/membership.rs
@@ -11,7 +11,7 @@
 };
 
 /// Links kept to each version's pool at least, as far as `max_links` lets it.
-const LINKS_A_POOL: usize = 8;
+const MIN_LINKS_PER_POOL: usize = 8;
 
 /// Chooses the agents an entry on `me` links to.
 ///
@@ -23,10 +23,10 @@
     let pools: Vec<Vec<VersionId>> =
         agents.iter().map(|host| declared_versions(host, snapshot)).collect();
     let mut chosen: BTreeSet<&str> = BTreeSet::new();
-    chosen.extend(relay_of(me, hosts).map(|host| &*host.name));
+    chosen.extend(relay_agent(me, hosts).map(|host| &*host.name));
     let mut links: BTreeMap<&VersionId, usize> = BTreeMap::new();
     // One more link a pool in each round, so that a version few engines have is not crowded out.
-    for wanted in 1..=LINKS_A_POOL {
+    for wanted in 1..=MIN_LINKS_PER_POOL {
         for (host, versions) in agents.iter().zip(&pools) {
             let lacks = versions.iter().any(|v| links.get(v).copied().unwrap_or(0) < wanted);
             let is_service = versions.is_empty();
@@ -49,12 +49,12 @@
 /// Whether a duty that a few entries share falls to `me`: rendezvous hashing over live entries.
 ///
 /// An entry that is not in the list, or a list without entries, can't share and does the duty.
-pub fn has_duty(me: &Host, hosts: &[Host], duty: &str, sharers: usize, scope: Scope) -> bool {
+pub fn is_assigned(me: &Host, hosts: &[Host], duty: &str, sharers: usize, scope: Scope) -> bool {
     let rank = |host: &Host| xxh3_64(format!("{duty}|{}", host.name).as_bytes());
     let shares = |host: &&Host| {
         host.role == Role::Entry
             && host.state == HostState::Live
-            && (scope == Scope::Everywhere || (host.region == me.region && host.zone == me.zone))
+            && (scope == Scope::Global || (host.region == me.region && host.zone == me.zone))
     };
     let live: Vec<&Host> = hosts.iter().filter(shares).collect();
     if !live.iter().any(|host| host.name == me.name) {
@@ -67,7 +67,7 @@
 /// The agent that writes rows for the entries of `me`'s region.
 ///
 /// Entries that see the list differently may use two; that costs transactions, nothing else.
-pub fn relay_of<'a>(me: &Host, hosts: &'a [Host]) -> Option<&'a Host> {
+pub fn relay_agent<'a>(me: &Host, hosts: &'a [Host]) -> Option<&'a Host> {
     hosts
         .iter()
         .filter(|host| is_live_agent(host) && host.region == me.region)
@@ -80,7 +80,7 @@
     /// Those of the same AvailabilityZone.
     Zone,
     /// All.
-    Everywhere,
+    Global,
 }
 
 fn is_live_agent(host: &Host) -> bool {
--- a/src/control/pull.rs
+++ b/src/control/pull.rs
@@ -10,13 +10,13 @@
 
 /// The pull under way in one process, if there is one.
 #[derive(Debug, Default)]
-pub struct PullTurn {
+pub struct PullSlot {
     asked: Mutex<Option<Instant>>,
 }
 
-impl PullTurn {
+impl PullSlot {
     /// Takes the turn to ask a peer; false while another peer's answer is waited for.
-    pub fn take(&self) -> bool {
+    pub fn try_acquire(&self) -> bool {
         let mut asked = self.asked.lock().expect("no panics under the lock");
         if asked.is_some_and(|since| since.elapsed() < PATIENCE) {
             return false;
@@ -26,7 +26,7 @@
     }
 
     /// Notes that an answer has come.
-    pub fn done(&self) {
+    pub fn release(&self) {
         *self.asked.lock().expect("no panics under the lock") = None;
     }
 }
--- a/src/control/store_health.rs
+++ b/src/control/store_health.rs
@@ -14,7 +14,7 @@
 };
 
 /// Time without any answer after which the store counts as out rather than as losing replies.
-const OUT_AFTER: Duration = Duration::from_secs(2);
+const OUTAGE_AFTER: Duration = Duration::from_secs(2);
 
 /// Store health of one process; clones share it.
 #[derive(Clone, Debug)]
@@ -30,13 +30,13 @@
     }
 
     /// Whether the last call failed.
-    pub fn is_down(&self) -> bool {
+    pub fn last_call_failed(&self) -> bool {
         self.lock().is_some()
     }
 
     /// Whether no call has been answered for a while.
-    pub fn is_out(&self) -> bool {
-        self.lock().is_some_and(|since| since.elapsed() >= OUT_AFTER)
+    pub fn is_unavailable(&self) -> bool {
+        self.lock().is_some_and(|since| since.elapsed() >= OUTAGE_AFTER)
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Option<Instant>> {
@@ -47,12 +47,12 @@
     ///
     /// # Errors
     /// The call's own.
-    pub async fn watch<T>(&self, cause: &str, call: impl Future<Output = Result<T>>) -> Result<T> {
+    pub async fn track<T>(&self, cause: &str, call: impl Future<Output = Result<T>>) -> Result<T> {
         self.metrics.count_store_call(cause);
         let res = call.await;
         if let Err(e) = &res {
             self.metrics.count_store_error(cause);
-            let was_down = self.is_down();
+            let was_down = self.last_call_failed();
             self.lock().get_or_insert_with(Instant::now);
             if !was_down {
                 event::STORE_UNREACHABLE.log(format_args!("cause={cause} problem={e}"));
--- a/src/entry/answer.rs
+++ b/src/entry/answer.rs
@@ -42,7 +42,7 @@
         let fields = body.as_object_mut()?;
         fields.insert("id".into(), json!(format!("chatcmpl-{}", format_id(request))));
         fields.insert("model".into(), json!(version));
-        fields.insert("created".into(), json!(crate::ids::request_time(request).as_secs()));
+        fields.insert("created".into(), json!(crate::ids::request_arrival_time(request).as_secs()));
         fields.remove("index");
         let empty = Vec::new();
         let choices = fields.get("choices").and_then(Value::as_array).unwrap_or(&empty);
@@ -110,7 +110,7 @@
         json!({
             "id": format!("chatcmpl-{}", format_id(request)),
             "object": "chat.completion",
-            "created": crate::ids::request_time(request).as_secs(),
+            "created": crate::ids::request_arrival_time(request).as_secs(),
             "model": version,
             "choices": choices,
             "usage": {
--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -55,7 +55,7 @@
     deadline: Duration,
 ) -> Result<Claimed, ApiError> {
     // One lost reply says nothing about the store: a twin of this request may well have run.
-    if entry.health.is_out() && entry.table.get(HEAD_KEY).await.is_err() {
+    if entry.health.is_unavailable() && entry.table.get(HEAD_KEY).await.is_err() {
         return Err(ApiError::not_run("the store that keeps claims gives no answer"));
     }
     let now = unix_now();
@@ -126,7 +126,7 @@
 }
 
 async fn read_back(entry: &Entry, key: &str, version: &mut u64) -> InsertReply {
-    match entry.health.watch("claim_read", entry.table.get(key)).await {
+    match entry.health.track("claim_read", entry.table.get(key)).await {
         Ok(None) => InsertReply::Absent,
         Ok(Some(row)) => {
             *version = row.version;
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -75,7 +75,7 @@
     let mut dialer = Dialer::default();
     let mut revision = entry.config.subscribe();
     while !entry.is_dead() {
-        if let Ok(Some(list)) = hosts.changed().await {
+        if let Ok(Some(list)) = hosts.poll().await {
             *entry.hosts.lock().expect("no panics under the lock") = list;
             dialer.follow(&entry, &traffic);
         }
--- a/src/entry/guard.rs
+++ b/src/entry/guard.rs
@@ -140,7 +140,7 @@
             continue;
         }
         let runs = matches!(gathered.spec.state, RollOutState::Running | RollOutState::Paused);
-        if runs && !entry.health.is_down() {
+        if runs && !entry.health.last_call_failed() {
             write_step(entry, &gathered, GuardStep::Hold, &why).await;
         }
     }
--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -42,13 +42,13 @@
     /// Looks at the lease when that is due: candidates always, others now and then, so that
     /// the job goes on when every candidate is gone.
     async fn tend(&mut self, entry: &Entry) {
-        let is_candidate = entry.has_duty(self.name, CANDIDATES, Scope::Everywhere);
+        let is_candidate = entry.has_duty(self.name, CANDIDATES, Scope::Global);
         let is_due = self.looked.is_none_or(|at| at.elapsed() >= OTHERS_LOOK_EVERY);
         if !is_candidate && !is_due && self.lease.permit().is_none() {
             return;
         }
         self.looked = Some(Instant::now());
-        let _ = self.lease.tend(&entry.table, &entry.health).await;
+        let _ = self.lease.acquire_or_renew(&entry.table, &entry.health).await;
     }
 }
 
@@ -92,12 +92,12 @@
         return Ok(());
     };
     let page = entry.table.list("changes/", "", COMPACT_PAGE);
-    let rows = entry.health.watch("compact_read", page).await?;
+    let rows = entry.health.track("compact_read", page).await?;
     let limit = crate::control::config::change_key(oldest_kept);
     let old = rows.into_iter().filter(|row| row.key < limit);
     let tx = old.fold(permit.transaction(), |tx: Transaction, row| tx.delete(row.key));
     if !tx.writes.is_empty() {
-        let _ = entry.health.watch("compact_write", entry.table.transact(tx)).await?;
+        let _ = entry.health.track("compact_write", entry.table.transact(tx)).await?;
     }
     Ok(())
 }
--- a/src/entry/links.rs
+++ b/src/entry/links.rs
@@ -14,7 +14,7 @@
 use tokio_tungstenite::tungstenite::Message;
 
 use crate::{
-    control::membership::{distance_class, relay_of, select_links},
+    control::membership::{distance_class, relay_agent, select_links},
     entry::{
         Entry, guard,
         link::{AttemptFrame, Link},
@@ -42,7 +42,7 @@
         let snapshot = entry.config.snapshot();
         let chosen = select_links(&me, &hosts, &snapshot, entry.settings.max_links);
         *entry.relay.lock().expect("no panics under the lock") =
-            relay_of(&me, &hosts).map(|host| host.name.clone());
+            relay_agent(&me, &hosts).map(|host| host.name.clone());
         let names: BTreeSet<&str> = chosen.iter().map(|host| &*host.name).collect();
         self.wanted.retain(|name, stop| {
             let kept = names.contains(&**name);
@@ -175,7 +175,7 @@
         }
         ToEntry::Config(update) => {
             entry.config.apply(update);
-            entry.pulling.done();
+            entry.pulling.release();
             return;
         }
         ToEntry::RowWritten { question, outcome } => return link.note_row(question, outcome),
@@ -207,7 +207,7 @@
     if revision <= held {
         return;
     }
-    if !entry.pulling.take() {
+    if !entry.pulling.try_acquire() {
         return;
     }
     send_control(entry, link, &ToAgent::Pull(held)).await;
--- a/src/entry/sessions.rs
+++ b/src/entry/sessions.rs
@@ -142,7 +142,7 @@
     if let Some((_, roll_out)) = snapshot.roll_out_of(model) {
         let (from, to) = (full(&roll_out.from), full(&roll_out.to));
         let finished = roll_out.state == RollOutState::Finished;
-        let shy = guard::is_held(entry, &to) || (entry.health.is_down() && !finished);
+        let shy = guard::is_held(entry, &to) || (entry.health.last_call_failed() && !finished);
         let new_first = takes_new_version(roll_out, session, shy);
         order.extend(if new_first { [to, from] } else { [from, to] });
     }
@@ -164,7 +164,7 @@
         return Some(version);
     }
     for _ in 0..MAX_TRIES {
-        let Ok(read) = entry.health.watch("pin_read", entry.table.get(&key)).await else {
+        let Ok(read) = entry.health.track("pin_read", entry.table.get(&key)).await else {
             return pinned_by_agent(entry, session, model, usable).await;
         };
         let read = read.and_then(|row| Some((row.parse::<PinRow>().ok()?.version, row.version)));
--- a/src/entry/state.rs
+++ b/src/entry/state.rs
@@ -16,8 +16,8 @@
 use crate::{
     control::{
         config::Config,
-        membership::{Scope, has_duty},
-        pull::PullTurn,
+        membership::{Scope, is_assigned},
+        pull::PullSlot,
         store_health::StoreHealth,
     },
     entry::{
@@ -132,7 +132,7 @@
     /// Host of the agent that writes this region's rows.
     pub(crate) relay: Mutex<Option<Box<str>>>,
     pub(crate) hosts: Mutex<Vec<Host>>,
-    pub(crate) pulling: PullTurn,
+    pub(crate) pulling: PullSlot,
     pub(crate) estimates: Mutex<Estimates>,
     pub(crate) stage_times: Mutex<HashMap<VersionId, Duration>>,
     pub(crate) budgets: Mutex<HashMap<OrganisationId, RetryBudget>>,
@@ -181,7 +181,7 @@
             rebuilding: Mutex::default(),
             relay: Mutex::default(),
             hosts: Mutex::default(),
-            pulling: PullTurn::default(),
+            pulling: PullSlot::default(),
             estimates: Mutex::default(),
             stage_times: Mutex::default(),
             budgets: Mutex::default(),
@@ -224,7 +224,7 @@
     /// Whether a duty that a few entries share falls to this one.
     pub(crate) fn has_duty(&self, duty: &str, sharers: usize, scope: Scope) -> bool {
         let hosts = self.hosts.lock().expect("no panics under the lock");
-        has_duty(&self.as_host(), &hosts, duty, sharers, scope)
+        is_assigned(&self.as_host(), &hosts, duty, sharers, scope)
     }
 
     /// Writes a row if it still has the expected version; none means absent.
@@ -337,7 +337,7 @@
             "ready": self.is_ready(),
             "leaving": self.is_leaving(),
             "in_flight": self.in_flight(),
-            "store_down": self.health.is_down(),
+            "store_down": self.health.last_call_failed(),
             "links": links,
             "hosts_known": self.hosts.lock().expect("no panics under the lock").len(),
             "servers_by_version": self.routes.load().version_counts(),
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -53,7 +53,7 @@
 }
 
 /// Time of arrival that a request id carries, as time since 1970.
-pub fn request_time(request: RequestId) -> Duration {
+pub fn request_arrival_time(request: RequestId) -> Duration {
     let ms = u64::try_from(request >> RANDOM_BITS).unwrap_or(u64::MAX);
     Duration::from_millis(ms)
 }
--- a/src/ledger/group.rs
+++ b/src/ledger/group.rs
@@ -87,7 +87,7 @@
                 .check(insert.key.clone(), insert.expected)
                 .put(insert.key.clone(), &insert.value);
         }
-        let outcome = match health.watch("group_write", table.transact(tx)).await {
+        let outcome = match health.track("group_write", table.transact(tx)).await {
             Ok(Ok(version)) => InsertOutcome::Inserted(version),
             Ok(Err(conflicts)) => {
                 let (lost, rest): (Vec<_>, Vec<_>) =
--- a/src/ledger/settle.rs
+++ b/src/ledger/settle.rs
@@ -59,7 +59,7 @@
     /// # Errors
     /// When the store gives no answer; what was not settled stays for the next pass.
     pub async fn pass(&self, permit: &Permit, now_window: u64) -> Result<SettleReport> {
-        let names = self.health.watch("charge_list", self.objects.list("charges/")).await?;
+        let names = self.health.track("charge_list", self.objects.list("charges/")).await?;
         let mut windows: BTreeMap<u64, Vec<Box<str>>> = BTreeMap::new();
         for name in names {
             let Some(window) = window_in(&name) else {
@@ -87,7 +87,7 @@
         report: &mut SettleReport,
     ) -> Result<bool> {
         let key: Box<str> = format!("settled/{window:012}").into();
-        let row = self.health.watch("settle_read", self.table.get(&key)).await?;
+        let row = self.health.track("settle_read", self.table.get(&key)).await?;
         let mut settled: WindowRow = match &row {
             Some(row) => row.parse()?,
             None => WindowRow::default(),
@@ -133,11 +133,11 @@
         let mut tx = permit.transaction().check(key, version).put(key, settled);
         for (organisation, sum) in sums {
             let total_key = total_key(&organisation);
-            let row = self.health.watch("total_read", self.table.get(&total_key)).await?;
+            let row = self.health.track("total_read", self.table.get(&total_key)).await?;
             let total = plus(row.as_ref(), sum)?;
             tx = tx.check(total_key.clone(), row.map(|row| row.version)).put(total_key, &total);
         }
-        let outcome = self.health.watch("settle_write", self.table.transact(tx)).await?;
+        let outcome = self.health.track("settle_write", self.table.transact(tx)).await?;
         if outcome.is_err() {
             return Ok(false);
         }
--- a/src/operator/commands/write.rs
+++ b/src/operator/commands/write.rs
@@ -105,7 +105,7 @@
             if req.dry_run {
                 return Ok(revision);
             }
-            match self.health.watch("config_write", self.table.transact(tx)).await {
+            match self.health.track("config_write", self.table.transact(tx)).await {
                 Ok(Ok(_)) => return Ok(self.accepted(req, revision).await),
                 // The head, the object or the change id has moved: look again.
                 Ok(Err(_)) => {}
@@ -117,10 +117,10 @@
     }
 
     async fn read(&self, req: &WriteRequest) -> Result<Rows, Error> {
-        let head = self.health.watch("config_head", self.table.get(HEAD_KEY)).await?;
+        let head = self.health.track("config_head", self.table.get(HEAD_KEY)).await?;
         let head = head.map(|row| Ok::<_, Error>((row.parse()?, row.version))).transpose()?;
         let key = object_key(req.kind, &req.id);
-        let object = self.health.watch("config_object", self.table.get(&key)).await?;
+        let object = self.health.track("config_object", self.table.get(&key)).await?;
         let object = object.map(|row| Ok::<_, Error>((row.parse()?, row.version))).transpose()?;
         self.config.poll(&self.table, &self.health).await?;
         Ok(Rows { head, object })
@@ -133,7 +133,7 @@
         is_lost: bool,
     ) -> Result<Option<Revision>, WriteError> {
         let key = change_id_key(&req.change_id);
-        let row = self.health.watch("config_change_id", self.table.get(&key)).await;
+        let row = self.health.track("config_change_id", self.table.get(&key)).await;
         let row =
             row.map_err(|_| if is_lost { WriteError::Unknown } else { WriteError::NotRun })?;
         Ok(row.and_then(|row| row.parse().ok()))
--- a/src/platform/answers.rs
+++ b/src/platform/answers.rs
@@ -7,7 +7,7 @@
 use crate::{
     platform::headers::{KEEP_ALIVE, REQUEST_ID, number, text, without_hop_by_hop},
     policy::{load::ReportedLoad, rate_limit::AdvertisedLimit, retry_after::RetryAfter},
-    routing::{AnswerHead, AnswerKind},
+    routing::{ResponseHead, ResponseKind},
 };
 
 /// Signature of the server that answered.
@@ -59,9 +59,14 @@
 ];
 
 /// Reads the head of an answer to the request with this id.
-pub fn read_answer(status: StatusCode, headers: &HeaderMap, request_id: &str) -> AnswerHead {
-    let closes = text(headers, "connection").is_some_and(|v| v.eq_ignore_ascii_case("close"));
-    AnswerHead {
+pub fn parse_response_head(
+    status: StatusCode,
+    headers: &HeaderMap,
+    request_id: &str,
+) -> ResponseHead {
+    let closes_connection =
+        text(headers, "connection").is_some_and(|v| v.eq_ignore_ascii_case("close"));
+    ResponseHead {
         kind: kind_of_answer(status, headers, request_id),
         status,
         headers: without_hop_by_hop(headers),
@@ -70,25 +75,25 @@
         rate_limit: read_rate_limit(headers),
         is_draining: headers.get_all(DRAINING).iter().any(|value| value != "0"),
         retry_after: read_retry_after(headers),
-        unread: unread(headers),
-        closes,
+        unknown_headers: unread(headers),
+        closes_connection,
     }
 }
 
-fn kind_of_answer(status: StatusCode, headers: &HeaderMap, request_id: &str) -> AnswerKind {
+fn kind_of_answer(status: StatusCode, headers: &HeaderMap, request_id: &str) -> ResponseKind {
     if text(headers, REQUEST_ID).is_some_and(|id| id != request_id) {
-        return AnswerKind::Misplaced;
+        return ResponseKind::WrongRequest;
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
-        return AnswerKind::OtherServer;
+        return ResponseKind::WrongServer;
     }
     if headers.contains_key(NOT_RUN) {
-        return AnswerKind::NotRun;
+        return ResponseKind::NotRun;
     }
     if !headers.contains_key(SIGNATURE) || headers.contains_key(header::CONTENT_ENCODING) {
-        return AnswerKind::Unsigned;
+        return ResponseKind::Unsigned;
     }
-    if status.is_success() { AnswerKind::Success } else { AnswerKind::Failure }
+    if status.is_success() { ResponseKind::Success } else { ResponseKind::Failure }
 }
 
 /// The limit that an answer names. Where it names several, the smallest is what the server surely takes.
@@ -116,10 +121,10 @@
 
 /// Headers that nothing reads and that are not known to concern the caller alone.
 fn unread(headers: &HeaderMap) -> Vec<HeaderName> {
-    headers.keys().filter(|name| !is_known(name.as_str())).cloned().collect()
+    headers.keys().filter(|name| !is_known_header(name.as_str())).cloned().collect()
 }
 
 /// Whether the adapter knows a header of answers.
-pub fn is_known(name: &str) -> bool {
+pub fn is_known_header(name: &str) -> bool {
     READ.contains(&name) || PASSED_ON.contains(&name)
 }
--- a/src/platform/documents.rs
+++ b/src/platform/documents.rs
@@ -12,8 +12,8 @@
     },
     policy::cold::ColdTerms,
     routing::{
-        BackendServer, BornAt, CallerLimits, Organisation, Progress, RollOutOrder, RollOutStatus,
-        Route, RouteKind, RoutingTable, Target,
+        BackendServer, CallerLimits, Organisation, RollOutOrder, RollOutProgress, RollOutStatus,
+        Route, RouteKind, RoutingTable, StartTime, Target,
     },
 };
 
@@ -34,7 +34,7 @@
     /// Nothing may be sent to the servers of this AvailabilityZone.
     ZoneEvacuated(Box<str>),
     /// This AvailabilityZone is taken back.
-    ZoneTakenBack(Box<str>),
+    EvacuationWithdrawn(Box<str>),
 }
 
 #[derive(Deserialize)]
@@ -65,11 +65,11 @@
 
 /// Longest time that a server is believed to be cold, where it takes seconds: a row may have another writer, and a
 /// number without bounds is no time.
-const MOST_COLD_MS: f64 = 3_600_000.0;
+const MAX_COLD_MS: f64 = 3_600_000.0;
 
 impl ServiceDoc {
     fn cold(&self) -> Option<ColdTerms> {
-        let lasts = milliseconds((self.cold_start_s * 1e3).min(MOST_COLD_MS));
+        let lasts = milliseconds((self.cold_start_s * 1e3).min(MAX_COLD_MS));
         (self.cold_per_s > 0.0).then_some(ColdTerms { sends_per_second: self.cold_per_s, lasts })
     }
 }
@@ -174,7 +174,7 @@
     models: Vec<NameDoc>,
     /// Missing on platforms whose servers have a new id after each start.
     #[serde(default, deserialize_with = "whole_number")]
-    born: Option<BornAt>,
+    born: Option<StartTime>,
 }
 
 #[derive(Deserialize, PartialEq, Eq)]
@@ -202,7 +202,7 @@
 ///
 /// # Errors
 /// When the document can't be read.
-pub fn read_operator_row(row: &Row) -> Result<Option<OperatorChange>> {
+pub fn parse_operator_row(row: &Row) -> Result<Option<OperatorChange>> {
     if let Some(service) = row.key.strip_prefix(ROLL_OUT_PREFIX) {
         if row.is_removed {
             return Ok(Some(OperatorChange::RollOutWithdrawn(service.into())));
@@ -211,18 +211,18 @@
         return Ok(Some(OperatorChange::RollOut(RollOutOrder {
             service: doc.service,
             to: doc.to,
-            within: Duration::from_secs_f64(doc.duration_s.max(0.0)),
-            revision: row.written_at(),
+            duration: Duration::from_secs_f64(doc.duration_s.max(0.0)),
+            written_at: row.written_at(),
         })));
     }
     if let Some(zone) = evacuated_zone(&row.key) {
         // What the document says is of no use: the row itself is the order.
         return Ok(Some(match row.is_removed {
-            true => OperatorChange::ZoneTakenBack(zone.into()),
+            true => OperatorChange::EvacuationWithdrawn(zone.into()),
             false => OperatorChange::ZoneEvacuated(zone.into()),
         }));
     }
-    if !is_configuration(&row.key) || row.is_removed {
+    if !is_config_key(&row.key) || row.is_removed {
         return Ok(None);
     }
     let doc: ConfigDoc = parse(row)?;
@@ -230,15 +230,15 @@
 }
 
 /// The kind of an operator's row that nothing here reads: what its key begins with.
-pub fn unknown_kind(key: &str) -> Option<&str> {
-    let is_known = is_configuration(key)
+pub fn unknown_row_kind(key: &str) -> Option<&str> {
+    let is_known = is_config_key(key)
         || key.starts_with(ROLL_OUT_PREFIX)
         || key.starts_with(EVACUATION_PREFIX);
     (!is_known).then(|| key.split('/').next().unwrap_or(key))
 }
 
 /// Whether a row of the operator's holds the configuration.
-pub fn is_configuration(key: &str) -> bool {
+pub fn is_config_key(key: &str) -> bool {
     key == CONFIGURATION
 }
 
@@ -251,7 +251,7 @@
 ///
 /// # Errors
 /// When the document can't be read, or has what no server reports of itself.
-pub fn read_server(row: &Row) -> Result<BackendServer> {
+pub fn parse_server_row(row: &Row) -> Result<BackendServer> {
     let doc: ServerDoc = parse(row)?;
     if doc.address.ip().is_unspecified()
         || doc.address.ip().is_multicast()
@@ -261,14 +261,14 @@
     }
     Ok(BackendServer {
         id: row.key.clone(),
-        born: doc.born,
+        started_at: doc.born,
         service: doc.service,
         address: doc.address,
         zone: doc.zone,
         version: doc.version,
         slots: doc.slots.get(),
         is_draining: doc.state == StateDoc::Draining,
-        cold_for: milliseconds(doc.cold_remaining_ms.min(MOST_COLD_MS)),
+        cold_for: milliseconds(doc.cold_remaining_ms.min(MAX_COLD_MS)),
         sequence: doc.sequence,
         written_at: row.written_at(),
         models: doc.models.into_iter().map(|model| model.name).collect(),
@@ -279,32 +279,32 @@
 ///
 /// # Errors
 /// When the document can't be read.
-pub fn read_status(row: &Row) -> Result<RollOutStatus> {
+pub fn parse_status_row(row: &Row) -> Result<RollOutStatus> {
     let doc: StatusDoc = parse(row)?;
     let progress = match &*doc.state {
-        "completed" => Progress::Completed,
-        "rolled_back" => Progress::RolledBack,
-        _ => Progress::Running,
+        "completed" => RollOutProgress::Completed,
+        "rolled_back" => RollOutProgress::RolledBack,
+        _ => RollOutProgress::Running,
     };
     Ok(RollOutStatus { to: doc.to, progress })
 }
 
 /// Key of the row about a service's roll-out.
-pub fn status_key(service: &str) -> Box<str> {
+pub fn roll_out_status_key(service: &str) -> Box<str> {
     format!("{ROLL_OUT_PREFIX}{service}").into()
 }
 
 /// Service a status row is about.
-pub fn service_of_status(key: &str) -> Option<&str> {
+pub fn service_of_status_key(key: &str) -> Option<&str> {
     key.strip_prefix(ROLL_OUT_PREFIX)
 }
 
 /// The document about a roll-out.
-pub fn write_status(status: &RollOutStatus) -> Vec<u8> {
+pub fn encode_status(status: &RollOutStatus) -> Vec<u8> {
     let state = match status.progress {
-        Progress::Running => "in_progress",
-        Progress::Completed => "completed",
-        Progress::RolledBack => "rolled_back",
+        RollOutProgress::Running => "in_progress",
+        RollOutProgress::Completed => "completed",
+        RollOutProgress::RolledBack => "rolled_back",
     };
     let doc = StatusDoc { state: state.into(), to: status.to.clone() };
     serde_json::to_vec(&doc).expect("a document of texts can be written")
@@ -328,14 +328,15 @@
     for of_host in routes.values_mut() {
         of_host.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
     }
-    let cold = doc.services.iter().filter_map(|s| Some((s.name.clone(), s.cold()?))).collect();
+    let cold_starts =
+        doc.services.iter().filter_map(|s| Some((s.name.clone(), s.cold()?))).collect();
     let memory = |service: ServiceDoc| Some((service.name, service.engine?.kv_capacity?));
     RoutingTable {
         version: doc.version,
         routes,
-        memories: doc.services.into_iter().filter_map(memory).collect(),
-        cold,
-        keys: doc.tenants.map(read_keys),
+        kv_cache_tokens: doc.services.into_iter().filter_map(memory).collect(),
+        cold_starts,
+        organisations_by_key: doc.tenants.map(read_keys),
         limits: doc.limits.as_ref().map(read_limits),
     }
 }
@@ -355,17 +356,17 @@
             Some("safe") => RouteKind::Idempotent,
             Some("stream") => RouteKind::Stream,
             // An unknown kind is served with the most care.
-            _ => RouteKind::OnceOnly,
+            _ => RouteKind::AtMostOnce,
         },
         timeout: milliseconds(timeout),
         objective: milliseconds(doc.target_latency_ms.unwrap_or(timeout)),
-        event_gap: doc.itl_target_ms.map(milliseconds),
+        max_event_gap: doc.itl_target_ms.map(milliseconds),
         priority: doc.priority,
         max_attempts: doc.max_attempts.unwrap_or(1).max(1),
         is_public: doc.public,
         is_sticky: doc.sticky,
         is_resumable: doc.resumable,
-        homes: doc.allowed_regions,
+        permitted_regions: doc.allowed_regions,
         cascade: doc.sizes,
     }
 }
@@ -376,7 +377,7 @@
         let organisation = Arc::new(Organisation {
             name: doc.name,
             priority: doc.priority,
-            homes: doc.allowed_regions,
+            permitted_regions: doc.allowed_regions,
         });
         for key in doc.api_keys {
             keys.insert(key, organisation.clone());
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -69,7 +69,7 @@
 ///
 /// # Errors
 /// When the request can't be distinguished from others or its end is ambiguous.
-pub fn read_request(
+pub fn parse_request_head(
     method: &Method,
     uri: &Uri,
     headers: &HeaderMap,
@@ -82,7 +82,7 @@
     let id = text(headers, REQUEST_ID).ok_or(HeadError::NoId)?;
     let host = text(headers, "host").or_else(|| uri.host()).ok_or(HeadError::NoHost)?;
     let host = host.split(':').next().unwrap_or(host);
-    let (prompt_tokens, answer_tokens) = text(headers, TOKENS).map_or((0, 0), read_tokens);
+    let (prompt_tokens, max_answer_tokens) = text(headers, TOKENS).map_or((0, 0), read_tokens);
     let mut passed_on = without_hop_by_hop(headers);
     for name in OURS {
         passed_on.remove(name);
@@ -94,16 +94,16 @@
         uri: uri.clone(),
         host: host.into(),
         id: id.into(),
-        key: text(headers, "authorization")
+        api_key: text(headers, "authorization")
             .and_then(|value| value.strip_prefix(AUTH_SCHEME))
             .map(|key| key.trim().into()),
-        patience: number(headers, TIME_LEFT).map(Duration::from_millis),
+        caller_timeout: number(headers, TIME_LEFT).map(Duration::from_millis),
         model: text(headers, MODEL).filter(|model| *model != ANY_MODEL).map(Into::into),
         prompt_tokens,
-        answer_tokens,
-        parts: text(headers, PROMPT_PARTS).map(read_parts).unwrap_or_default(),
+        max_answer_tokens,
+        prompt_parts: text(headers, PROMPT_PARTS).map(read_parts).unwrap_or_default(),
         session: text(headers, SESSION).map(Into::into),
-        last_event: number(headers, LAST_EVENT),
+        last_event_id: number(headers, LAST_EVENT),
         headers: passed_on,
     })
 }
@@ -127,11 +127,11 @@
     /// Urgency, 0 first.
     pub priority: u8,
     /// Last event the caller has, where the attempt resumes a stream.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 /// Headers of one attempt.
-pub fn write_attempt(head: &RequestHead, attempt: &AttemptHeaders<'_>) -> HeaderMap {
+pub fn build_attempt_headers(head: &RequestHead, attempt: &AttemptHeaders<'_>) -> HeaderMap {
     let mut headers = head.headers.clone();
     let mut set = |name: &'static str, value: &str| {
         if let Ok(value) = HeaderValue::from_str(value) {
@@ -147,7 +147,7 @@
     if let Some(model) = attempt.model {
         set(MODEL, model);
     }
-    if let Some(event) = attempt.last_event {
+    if let Some(event) = attempt.last_event_id {
         set(LAST_EVENT, &event.to_string());
     }
     headers
--- a/src/platform/host_settings.rs
+++ b/src/platform/host_settings.rs
@@ -19,21 +19,21 @@
     /// Region of each AvailabilityZone.
     pub regions: HashMap<Box<str>, Region>,
     /// Where callers connect.
-    pub caller: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where the balancer asks whether this process takes work.
-    pub readiness: SocketAddr,
+    pub readiness_address: SocketAddr,
     /// Where the other entries connect; none where the role has no such address.
-    pub peer: Option<SocketAddr>,
+    pub peer_address: Option<SocketAddr>,
     /// Peer addresses of a few entries; they may be stale.
-    pub seeds: Vec<SocketAddr>,
+    pub seed_peers: Vec<SocketAddr>,
     /// Store, as `IP:PORT`.
-    pub store: Box<str>,
+    pub store_address: Box<str>,
     /// Time from the request to stop until the process is killed.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
     /// Time for which a server that announces draining goes on serving.
-    pub drain: Duration,
+    pub drain_time: Duration,
     /// Time after trouble in which a host has to have caught up.
-    pub catch_up: Duration,
+    pub catch_up_time: Duration,
     /// Sends beyond the first of each request that are allowed per request.
     pub retry_ratio: f64,
     /// Sends allowed beyond that ratio in a window, over all entries.
@@ -113,16 +113,18 @@
 ///
 /// # Errors
 /// Everything that is wrong with it at once.
-pub fn read(text: &str) -> Result<HostSettings, HostSettingsError> {
+pub fn parse(text: &str) -> Result<HostSettings, HostSettingsError> {
     let doc: Doc = serde_saphyr::from_str(text)
         .map_err(|e| HostSettingsError::Syntax(e.to_string().into()))?;
     let mut problems = Vec::new();
-    let caller = address("listen.frontend", doc.listen.frontend.as_deref(), &mut problems);
-    let readiness = address("listen.readiness", doc.listen.readiness.as_deref(), &mut problems);
+    let caller_address = address("listen.frontend", doc.listen.frontend.as_deref(), &mut problems);
+    let readiness_address =
+        address("listen.readiness", doc.listen.readiness.as_deref(), &mut problems);
     if doc.platform.address.is_none() {
         problems.push("platform.address is missing".into());
     }
-    let (Some(caller), Some(readiness), Some(store)) = (caller, readiness, doc.platform.address)
+    let (Some(caller_address), Some(readiness_address), Some(store_address)) =
+        (caller_address, readiness_address, doc.platform.address)
     else {
         return Err(HostSettingsError::Values(problems));
     };
@@ -131,14 +133,16 @@
         host: doc.node_name,
         zone: doc.zone,
         regions: doc.zones,
-        caller,
-        readiness,
-        peer: doc.listen.control_plane.and_then(|text| text.parse().ok()),
-        seeds: doc.seeds.iter().filter_map(|seed| seed.parse().ok()).collect(),
-        store,
-        grace: Duration::from_secs_f64(bounds.grace_s.unwrap_or(DEFAULT_GRACE_S)),
-        drain: Duration::from_secs_f64(bounds.drain_ms.unwrap_or(DEFAULT_DRAIN_MS) / 1e3),
-        catch_up: Duration::from_secs_f64(bounds.contact_ms.unwrap_or(DEFAULT_CONTACT_MS) / 1e3),
+        caller_address,
+        readiness_address,
+        peer_address: doc.listen.control_plane.and_then(|text| text.parse().ok()),
+        seed_peers: doc.seeds.iter().filter_map(|seed| seed.parse().ok()).collect(),
+        store_address,
+        shutdown_grace: Duration::from_secs_f64(bounds.grace_s.unwrap_or(DEFAULT_GRACE_S)),
+        drain_time: Duration::from_secs_f64(bounds.drain_ms.unwrap_or(DEFAULT_DRAIN_MS) / 1e3),
+        catch_up_time: Duration::from_secs_f64(
+            bounds.contact_ms.unwrap_or(DEFAULT_CONTACT_MS) / 1e3,
+        ),
         retry_ratio: bounds.retry_ratio.unwrap_or(DEFAULT_RETRY_RATIO),
         retry_extra: bounds.retry_extra.unwrap_or(DEFAULT_RETRY_EXTRA),
         retry_window: Duration::from_secs_f64(
--- a/src/platform/hosts.rs
+++ b/src/platform/hosts.rs
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     /// When the service gives no answer.
-    pub async fn changed(&self) -> Result<Option<Vec<Host>>> {
+    pub async fn poll(&self) -> Result<Option<Vec<Host>>> {
         (self.send)().await
     }
 }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -89,11 +89,11 @@
 
 /// What a feed brought.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Feed {
+pub enum FeedReply {
     /// What changed since; empty when nothing did.
     Changes(Rows),
     /// The store no longer knows, or came back from an older copy; the table has to be read anew.
-    HistoryGone,
+    ResyncRequired,
 }
 
 /// One row of a transaction.
@@ -118,7 +118,7 @@
     Conflict,
     /// It was made in another era than the rows were read in. Revisions are given out again, so it may be
     /// kept although a row is not what it was: all has to be read anew.
-    OtherEra,
+    EraMismatch,
 }
 
 #[derive(Deserialize)]
@@ -198,7 +198,7 @@
     ///
     /// # Errors
     /// When the store gives no answer or refuses.
-    pub async fn read(&self, table: Table) -> Result<Rows> {
+    pub async fn read_table(&self, table: Table) -> Result<Rows> {
         let mut all =
             Rows { rows: Vec::new(), version: StoreVersion::default(), now: Duration::ZERO };
         let mut from = String::new();
@@ -229,24 +229,29 @@
     ///
     /// # Errors
     /// When the store gives no answer or refuses.
-    pub async fn follow(&self, table: Table, after: StoreVersion, wait: Duration) -> Result<Feed> {
+    pub async fn poll_changes(
+        &self,
+        table: Table,
+        after: StoreVersion,
+        wait: Duration,
+    ) -> Result<FeedReply> {
         let name = table.name();
         let wait_ms = wait.as_millis();
         let StoreVersion { era, revision: after } = after;
         let path = format!("rows-feed?table={name}&after-rev={after}&wait-ms={wait_ms}");
         let reply = self.get(&path, wait + FEED_SLACK).await?;
         if reply.status == StatusCode::GONE {
-            return Ok(Feed::HistoryGone);
+            return Ok(FeedReply::ResyncRequired);
         }
         let doc = read_rows(&path, &reply)?;
         if read_era(&reply) != era {
             // Others have written past what is known here since: these changes do not follow on it.
-            return Ok(Feed::HistoryGone);
+            return Ok(FeedReply::ResyncRequired);
         }
         let rows = doc.rows.into_iter().map(|row| read_row(row, era)).collect();
         let version = StoreVersion { era, revision: doc.ver.max(after) };
         let now = Duration::from_secs_f64(doc.now_ms / 1e3);
-        Ok(Feed::Changes(Rows { rows, version, now }))
+        Ok(FeedReply::Changes(Rows { rows, version, now }))
     }
 
     /// Writes rows, all or none, if each has the version expected, as read in this era.
@@ -287,7 +292,7 @@
         Ok(if read_era(&reply) == era {
             WriteOutcome::Written(version)
         } else {
-            WriteOutcome::OtherEra
+            WriteOutcome::EraMismatch
         })
     }
 
--- a/src/platform/table.rs
+++ b/src/platform/table.rs
@@ -9,9 +9,9 @@
 use crate::platform::{Error, HttpClient, Reply, Result};
 
 const TIMEOUT: Duration = Duration::from_secs(2);
-const READ_TRIES: usize = 4;
+const MAX_READ_ATTEMPTS: usize = 4;
 /// A read is not repeated once it has taken this long: the service is slow, not forgetful.
-const READ_AGAIN_WITHIN: Duration = Duration::from_millis(500);
+const READ_RETRY_WINDOW: Duration = Duration::from_millis(500);
 
 /// One row with the number of the transaction that last wrote it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -177,9 +177,9 @@
     /// Carries a read out; one whose answer was lost is harmless to repeat for a while.
     async fn read(&self, req: TableRequest) -> Result<TableReply> {
         let began = Instant::now();
-        for _ in 1..READ_TRIES {
+        for _ in 1..MAX_READ_ATTEMPTS {
             match (self.send)(req.clone()).await {
-                Err(Error::Unknown(_)) if began.elapsed() < READ_AGAIN_WITHIN => {}
+                Err(Error::Unknown(_)) if began.elapsed() < READ_RETRY_WINDOW => {}
                 res => return res,
             }
         }
--- a/src/policy/charge.rs
+++ b/src/policy/charge.rs
@@ -61,7 +61,7 @@
 
 /// Settlement window a request falls into, from the arrival time in its id.
 pub fn window_of(request: RequestId) -> u64 {
-    let ms = crate::ids::request_time(request).as_millis();
+    let ms = crate::ids::request_arrival_time(request).as_millis();
     u64::try_from(ms / WINDOW_MS).unwrap_or(u64::MAX)
 }
 
--- a/src/policy/stopping.rs
+++ b/src/policy/stopping.rs
@@ -16,7 +16,7 @@
 pub fn still_fits(route: &Route, left: Duration) -> bool {
     let needs = match route.kind {
         RouteKind::Stream => STREAM_NEEDS,
-        RouteKind::Idempotent | RouteKind::OnceOnly => route.timeout,
+        RouteKind::Idempotent | RouteKind::AtMostOnce => route.timeout,
     };
     left > needs
 }
--- a/src/router/advertised_limits.rs
+++ b/src/router/advertised_limits.rs
@@ -10,7 +10,7 @@
         Member, Router,
         limit_board::{Changed, LimitUpdate},
     },
-    routing::{AnswerHead, AnswerKind},
+    routing::{ResponseHead, ResponseKind},
     telemetry::event,
 };
 
@@ -26,7 +26,7 @@
     pub(crate) fn note_advertised_limit(
         &self,
         member: &Member,
-        head: &AnswerHead,
+        head: &ResponseHead,
         sent_at: Duration,
     ) {
         let now = self.now();
@@ -34,7 +34,7 @@
             event::RATE_LIMIT_UNREADABLE.log(format_args!("server={}", member.server.id));
         }
         // A refusal that advertises no limit says that the server is full, not that its limit is over.
-        if head.kind == AnswerKind::NotRun && head.rate_limit == AdvertisedLimit::Nothing {
+        if head.kind == ResponseKind::NotRun && head.rate_limit == AdvertisedLimit::Nothing {
             return;
         }
         let changed = self.limits.note(member.life_hash(), head.rate_limit, sent_at, now);
--- a/src/router/announcements.rs
+++ b/src/router/announcements.rs
@@ -8,18 +8,18 @@
         retry_after::RetryAfter,
     },
     router::{Member, Router},
-    routing::AnswerHead,
+    routing::ResponseHead,
     telemetry::event,
 };
 
 impl Router {
     /// Records what the head of a server's own answer announces.
-    pub(crate) fn note_announced(&self, member: &Member, head: &AnswerHead, request_id: &str) {
+    pub(crate) fn note_announced(&self, member: &Member, head: &ResponseHead, request_id: &str) {
         let (now, id) = (self.now(), &member.server.id);
         if head.is_draining && member.note_draining(now) {
             event::SERVER_DRAINING.log(format_args!("server={id} request={request_id}"));
         }
-        if !head.is_rejection() {
+        if !head.is_overload_rejection() {
             return;
         }
         if head.retry_after == RetryAfter::Unreadable && member.note_unreadable_retry_after(now) {
@@ -45,8 +45,8 @@
     }
 
     /// Counts headers of an answer that nothing reads, and logs each name once.
-    pub(crate) fn note_unread_headers(&self, member: &Member, head: &AnswerHead) {
-        for name in &head.unread {
+    pub(crate) fn note_unread_headers(&self, member: &Member, head: &ResponseHead) {
+        for name in &head.unknown_headers {
             if self.metrics.count_unread_header(name.as_str()) {
                 event::HEADER_UNREAD.log(format_args!("header={name} server={}", member.server.id));
             }
--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -10,8 +10,8 @@
 
 use crate::{
     platform::{
-        answers::read_answer,
-        headers::{AttemptHeaders, write_attempt},
+        answers::parse_response_head,
+        headers::{AttemptHeaders, build_attempt_headers},
     },
     policy::{availability::Cause, kept::PromptMark, patience::Patience},
     router::{
@@ -21,7 +21,7 @@
         kept_board::KeptNote,
         silence::{Wait, wait_for_answer},
     },
-    routing::{AnswerHead, AnswerKind, Request},
+    routing::{Request, ResponseHead, ResponseKind},
 };
 
 /// Counts a request as being at a server until it is dropped.
@@ -67,7 +67,7 @@
 /// Dropping it closes the connection, which stops the server's work.
 #[derive(Debug)]
 pub(crate) struct OpenAnswer {
-    pub(crate) head: AnswerHead,
+    pub(crate) head: ResponseHead,
     pub(crate) body: Incoming,
     pub(crate) member: Arc<Member>,
     /// Whether its head took several times longer than such heads do.
@@ -79,7 +79,7 @@
 impl OpenAnswer {
     /// Gives the connection back once the body was read to its end.
     pub(crate) fn finish(self, now: Duration) {
-        if !self.head.closes {
+        if !self.head.closes_connection {
             connection::check_in(&self.member, self.connection, now);
         }
     }
@@ -175,18 +175,18 @@
     at_server.note_begun();
     plan.member.note_received(router.now());
     let (parts, body) = res.into_parts();
-    let head = read_answer(parts.status, &parts.headers, &job.req.head.id);
+    let head = parse_response_head(parts.status, &parts.headers, &job.req.head.id);
     note_head(router, plan.member, &head, &job.req.head.id, sent_at);
     let (tokens, took) = (plan.unread_tokens, began.elapsed());
     let is_slow = router.readings.get(plan.reading_key).is_slow(tokens, took);
-    if head.kind == AnswerKind::Success {
+    if head.kind == ResponseKind::Success {
         router.readings.note_head_time(plan.reading_key, tokens, ahead, took);
     }
     if let Some(load) = head.load {
         plan.member.record().load.note_report(load, router.now());
     }
     let member = plan.member.clone();
-    if !matches!(head.kind, AnswerKind::Success) {
+    if !matches!(head.kind, ResponseKind::Success) {
         member.record().kept.forget(plan.new_marks());
     }
     let answer = OpenAnswer { head, body, member, is_slow, connection, _at_server: at_server };
@@ -209,27 +209,27 @@
 /// Turns answers that are no answer to this request into errors.
 fn sort(answer: OpenAnswer) -> Result<OpenAnswer, AttemptError> {
     match answer.head.kind {
-        AnswerKind::Success | AnswerKind::Failure => Ok(answer),
-        AnswerKind::NotRun => {
+        ResponseKind::Success | ResponseKind::Failure => Ok(answer),
+        ResponseKind::NotRun => {
             let status = answer.head.status;
             Err(AttemptError::Refused(status))
         }
-        AnswerKind::OtherServer => {
+        ResponseKind::WrongServer => {
             answer.member.record().is_replaced = true;
             Err(AttemptError::OtherServer)
         }
-        AnswerKind::Misplaced | AnswerKind::Unsigned => Err(AttemptError::Foreign),
+        ResponseKind::WrongRequest | ResponseKind::Unsigned => Err(AttemptError::Foreign),
     }
 }
 
 fn note_head(
     router: &Router,
     member: &Member,
-    head: &AnswerHead,
+    head: &ResponseHead,
     request_id: &str,
     sent_at: Duration,
 ) {
-    let is_foreign = matches!(head.kind, AnswerKind::Misplaced | AnswerKind::Unsigned);
+    let is_foreign = matches!(head.kind, ResponseKind::WrongRequest | ResponseKind::Unsigned);
     if is_foreign || (head.status.is_server_error() && !head.announces_rejection()) {
         member.note_failure(router.now());
     } else if !head.announces_rejection() {
@@ -302,6 +302,6 @@
     let mut message = HttpRequest::new(Full::new(req.body.clone()));
     *message.method_mut() = req.head.method.clone();
     *message.uri_mut() = req.head.uri.clone();
-    *message.headers_mut() = write_attempt(&req.head, &plan.headers);
+    *message.headers_mut() = build_attempt_headers(&req.head, &plan.headers);
     message
 }
--- a/src/router/availability.rs
+++ b/src/router/availability.rs
@@ -57,7 +57,8 @@
     /// Checks which servers of a service may be sent requests now.
     pub(crate) fn check_service(&self, service: &str) -> ServiceCheck<'_> {
         let table = self.table.load();
-        let cold = table.as_ref().as_ref().and_then(|table| table.cold.get(service)).copied();
+        let cold =
+            table.as_ref().as_ref().and_then(|table| table.cold_starts.get(service)).copied();
         let named = self.limits.view();
         let is_any_limited = cold.is_some() || named.is_some();
         ServiceCheck {
@@ -66,7 +67,7 @@
             named,
             place: is_any_limited.then(|| self.place()).flatten(),
             is_any_evacuated: self.evacuations.is_any(),
-            drain: self.settings.load().drain,
+            drain: self.settings.load().drain_time,
             now: self.now(),
         }
     }
@@ -135,7 +136,7 @@
 
     /// Entries that share, where this one does not know its place: as many as were reported, or as the settings name.
     fn entries(&self) -> u32 {
-        let named = self.router.settings.load().seeds.len();
+        let named = self.router.settings.load().seed_peers.len();
         let reported = self.router.own_place.entries().unwrap_or_default();
         reported.max(u32::try_from(named).unwrap_or(u32::MAX))
     }
--- a/src/router/choice.rs
+++ b/src/router/choice.rs
@@ -15,7 +15,7 @@
         Fleet, Member, Router,
         job::{Ask, Job},
     },
-    routing::is_home,
+    routing::is_permitted_region,
 };
 
 /// The server that an attempt would be sent to now, among those that may be asked.
@@ -54,7 +54,7 @@
             server.models.is_empty() || server.models.iter().any(|m| **m == *model)
         });
         has_model
-            && is_home(
+            && is_permitted_region(
                 &job.route,
                 job.organisation.as_deref(),
                 settings.regions.get(&server.zone).map(|region| &**region),
@@ -143,7 +143,7 @@
     if !job.route.is_sticky {
         return Vec::new();
     }
-    shared_marks(reading_key(job, ask), &job.req.head.parts)
+    shared_marks(reading_key(job, ask), &job.req.head.prompt_parts)
 }
 
 /// What is to be placed. Requests for one model that share their prompt's parts belong together.
@@ -151,9 +151,9 @@
     let key = reading_key(job, ask);
     let token_time = router.readings.get(key).token_time();
     let bytes = job.req.body.len();
-    let parts = &job.req.head.parts;
+    let parts = &job.req.head.prompt_parts;
     let draw = hash_id(&job.req.head.id);
-    let Some(last_shared) = job.req.head.shared_part().filter(|_| job.route.is_sticky) else {
+    let Some(last_shared) = job.req.head.last_shared_part().filter(|_| job.route.is_sticky) else {
         return Work { token_time, bytes, draw, ..Work::default() };
     };
     Work {
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -19,7 +19,7 @@
         refusal::Refusal,
         roll_out::RunOutcome,
     },
-    routing::{AnswerKind, RouteKind},
+    routing::{ResponseKind, RouteKind},
     telemetry::event,
 };
 
@@ -56,7 +56,7 @@
             Taken::Denied => continue,
         }
         match try_at(router, job, &member, ask).await {
-            Ok(answer) if answer.head.kind == AnswerKind::Success => return Ok(answer),
+            Ok(answer) if answer.head.kind == ResponseKind::Success => return Ok(answer),
             Ok(answer) => failed = Some(answer),
             Err(e) => {
                 let id = &job.req.head.id;
@@ -144,7 +144,7 @@
             time_left: job.time_left(router),
             model: ask.model,
             priority: job.priority(),
-            last_event: ask.last_event,
+            last_event_id: ask.last_event,
         },
         is_once_only: !job.route.is_idempotent(),
         reading_key: key,
@@ -184,7 +184,7 @@
 fn sum_up(result: &Result<OpenAnswer, AttemptError>) -> (AttemptState, &'static str) {
     let sent = attempt::advance(attempt::fresh(), AttemptEvent::Sent);
     match result {
-        Ok(answer) if answer.head.kind == AnswerKind::Success => {
+        Ok(answer) if answer.head.kind == ResponseKind::Success => {
             (attempt::advance(sent, AttemptEvent::Started), "answered")
         }
         Ok(_) => (attempt::advance(sent, AttemptEvent::Failed), "failed"),
@@ -210,7 +210,7 @@
             note_unanswered(router, job, member, Parting::Left);
             return router.roll_outs.note_silence(&member.server, router.now());
         }
-        Ok(answer) if answer.head.kind == AnswerKind::Success => {
+        Ok(answer) if answer.head.kind == ResponseKind::Success => {
             // Judged when its body has ended, but for a stream that is late already.
             if !answer.is_slow || job.route.kind != RouteKind::Stream {
                 return;
--- a/src/router/driver.rs
+++ b/src/router/driver.rs
@@ -9,11 +9,11 @@
     ids::{Era, Revision, StoreVersion},
     platform::{
         Error,
-        documents::{read_status, service_of_status, status_key, write_status},
+        documents::{encode_status, parse_status_row, roll_out_status_key, service_of_status_key},
         store::{Put, Row, StoreClient, Table, WriteOutcome},
     },
     router::{Router, trial::Verdict},
-    routing::{Progress, RollOutOrder, RollOutStatus},
+    routing::{RollOutOrder, RollOutProgress, RollOutStatus},
     telemetry::event,
 };
 
@@ -54,14 +54,14 @@
 
 impl KnownRows {
     fn note(&mut self, row: &Row) {
-        let Some(service) = service_of_status(&row.key) else {
+        let Some(service) = service_of_status_key(&row.key) else {
             return;
         };
         if row.is_removed {
             return;
         }
         match row.table {
-            Table::Status => match read_status(row) {
+            Table::Status => match parse_status_row(row) {
                 Ok(status) => {
                     self.status.insert(service.into(), (row.version, status));
                 }
@@ -78,9 +78,9 @@
     }
 
     /// Progress that the store has of an order; none when it has not been begun.
-    fn progress(&self, order: &RollOutOrder) -> Option<(Progress, u64)> {
+    fn progress(&self, order: &RollOutOrder) -> Option<(RollOutProgress, u64)> {
         let (_, own) = self.own.get(&order.service)?;
-        if (StoreVersion { era: own.era, revision: own.revision }) != order.revision {
+        if (StoreVersion { era: own.era, revision: own.revision }) != order.written_at {
             return None;
         }
         let (_, status) = self.status.get(&order.service)?;
@@ -164,18 +164,18 @@
         let is_unknown = router.roll_outs.is_unknown(&order);
         let is_young = router.roll_outs.age(&order, router.now()) < OTHERS_BEGIN;
         let waits = follows && is_young && !is_unknown;
-        if seen.get(&order.service) == Some(&order.revision) || waits {
+        if seen.get(&order.service) == Some(&order.written_at) || waits {
             continue;
         }
         let progress = known.progress(&order).map(|(progress, _)| progress);
         let (is_reported, has_ended) =
-            (progress.is_some(), progress.is_some_and(|p| p != Progress::Running));
+            (progress.is_some(), progress.is_some_and(|p| p != RollOutProgress::Running));
         // What another entry reports may be older than the end, so an entry that starts asks the store
         // unless it is informed of the end, and makes do with what is reported only where the store is away.
         let is_known = is_reported && (has_ended || !is_unknown);
         let is_settled = is_known || try_begin(router, store, known, &order).await;
         if is_settled {
-            seen.insert(order.service.clone(), order.revision);
+            seen.insert(order.service.clone(), order.written_at);
         }
         if is_unknown && (is_settled || is_reported) {
             router.roll_outs.note_known(&order);
@@ -224,12 +224,12 @@
     seen: &HashMap<Box<str>, StoreVersion>,
 ) {
     let mut running = router.roll_outs.running();
-    running.retain(|order| seen.get(&order.service) == Some(&order.revision));
+    running.retain(|order| seen.get(&order.service) == Some(&order.written_at));
     if running.is_empty() {
         return;
     }
     router.metrics.count_store_call("status");
-    match store.read(Table::Status).await {
+    match store.read_table(Table::Status).await {
         Ok(rows) => {
             known.enter(rows.version.era);
             rows.rows.iter().for_each(|row| known.note(row));
@@ -250,7 +250,7 @@
 ) -> crate::platform::Result<()> {
     let now = look(router, store, known).await?;
     if known.progress(order).is_none() {
-        write_begin(router, store, known, order, now, Progress::Running).await?;
+        write_begin(router, store, known, order, now, RollOutProgress::Running).await?;
         look(router, store, known).await?;
     }
     take_over(router, known, order, now);
@@ -286,15 +286,15 @@
     known: &KnownRows,
     order: &RollOutOrder,
     store_now: Duration,
-    progress: Progress,
+    progress: RollOutProgress,
 ) -> crate::platform::Result<bool> {
     // One that is known to have begun before goes on where it was.
     let age = router.roll_outs.begun_for(order, router.now()).unwrap_or_default();
-    let StoreVersion { era, revision } = order.revision;
+    let StoreVersion { era, revision } = order.written_at;
     let began_ms = store_now.saturating_sub(age).as_millis() as u64;
     let row = RollOutRow { revision, era, began_ms };
     let status = RollOutStatus { to: order.to.clone(), progress };
-    let key = status_key(&order.service);
+    let key = roll_out_status_key(&order.service);
     let puts = [
         Put {
             table: Table::Own,
@@ -306,7 +306,7 @@
             table: Table::Status,
             key,
             expected: known.status_version(&order.service),
-            value: write_status(&status),
+            value: encode_status(&status),
         },
     ];
     let outcome = store.write(&puts, known.era).await?;
@@ -322,8 +322,8 @@
     known: &mut KnownRows,
 ) -> crate::platform::Result<Duration> {
     router.metrics.count_store_call("roll_out");
-    let own = store.read(Table::Own).await?;
-    let status = store.read(Table::Status).await?;
+    let own = store.read_table(Table::Own).await?;
+    let status = store.read_table(Table::Status).await?;
     if known.era > own.version.era.min(status.version.era) {
         return Err(Error::Unreadable("the store came back from a copy".into()));
     }
@@ -345,7 +345,7 @@
     };
     let age = store_now.saturating_sub(Duration::from_millis(began_ms));
     let began = router.now().saturating_sub(age);
-    router.roll_outs.adopt(&order.service, order.revision, Some(began), progress);
+    router.roll_outs.adopt(&order.service, order.written_at, Some(began), progress);
 }
 
 /// Writes a verdict, unless another entry has given one.
@@ -358,9 +358,9 @@
     let order = &verdict.order;
     let put = Put {
         table: Table::Status,
-        key: status_key(&order.service),
+        key: roll_out_status_key(&order.service),
         expected: known.status_version(&order.service),
-        value: write_status(&verdict.status),
+        value: encode_status(&verdict.status),
     };
     let outcome = store.write(&[put], known.era).await?;
     let is_written = matches!(outcome, WriteOutcome::Written(_));
@@ -371,13 +371,13 @@
     match outcome {
         WriteOutcome::Written(_) => {
             let progress = verdict.status.progress;
-            router.roll_outs.adopt(&order.service, order.revision, None, progress);
+            router.roll_outs.adopt(&order.service, order.written_at, None, progress);
             if router.is_seed() || router.views.has_subscribers() {
                 // Those that follow this entry, now or later, learn of the verdict.
                 look(router, store, known).await?;
             }
         }
-        WriteOutcome::Conflict | WriteOutcome::OtherEra => {
+        WriteOutcome::Conflict | WriteOutcome::EraMismatch => {
             let now = look(router, store, known).await?;
             take_over(router, known, order, now);
         }
--- a/src/router/feed.rs
+++ b/src/router/feed.rs
@@ -7,8 +7,8 @@
 use crate::{
     ids::{Era, StoreVersion},
     platform::{
-        documents::is_configuration,
-        store::{Feed, Rows, StoreClient, Table},
+        documents::is_config_key,
+        store::{FeedReply, Rows, StoreClient, Table},
     },
     policy::catch_up::{Offer, Position, Taking},
     router::{
@@ -113,7 +113,7 @@
         let extent = match self.position.taking(&offer) {
             Taking::Nothing => return Some(offer.version.era) >= self.position.era,
             Taking::Configuration => {
-                rows.rows.retain(|row| is_configuration(&row.key));
+                rows.rows.retain(|row| is_config_key(&row.key));
                 apply(rows, Extent::Changes, &self.contact);
                 return true;
             }
@@ -177,7 +177,7 @@
         }
         router.metrics.count_store_call("follow");
         let is_urgent = followed.contact.is_lost || !router.is_view_fresh();
-        let mut wakes = router.clock.wakes();
+        let mut wakes = router.clock.subscribe_suspensions();
         let news = tokio::select! {
             biased;
             // What the call was to wait for is long over.
@@ -296,17 +296,17 @@
     is_urgent: bool,
 ) -> crate::platform::Result<News> {
     let Some(after) = at else {
-        return Ok(News::Rows(store.read(table).await?, true));
+        return Ok(News::Rows(store.read_table(table).await?, true));
     };
     // A store that was lost, or a Host that was suspended: what holds now has to show at once.
-    let catch_up = router.settings.load().catch_up;
+    let catch_up = router.settings.load().catch_up_time;
     let wait = match () {
         () if is_urgent => Duration::ZERO,
         () if router.views.has_subscribers() => WAIT_FOR_OTHERS,
         () => catch_up.saturating_sub(CATCH_UP),
     };
-    Ok(match store.follow(table, after, wait).await? {
-        Feed::Changes(rows) => News::Rows(rows, false),
-        Feed::HistoryGone => News::HistoryGone,
+    Ok(match store.poll_changes(table, after, wait).await? {
+        FeedReply::Changes(rows) => News::Rows(rows, false),
+        FeedReply::ResyncRequired => News::HistoryGone,
     })
 }
--- a/src/router/fleet.rs
+++ b/src/router/fleet.rs
@@ -39,14 +39,14 @@
             let known = self.members.get(&server.id).or_else(|| self.departed.get(&server.id));
             let member = match known {
                 Some(known) if known.server == server => known.clone(),
-                Some(known) if known.server.born == server.born => {
+                Some(known) if known.server.started_at == server.started_at => {
                     Arc::new(known.renewed(server, now))
                 }
                 known => {
                     if let Some(known) = known {
                         known.end();
                         event::SERVER_REBORN
-                            .log(format_args!("server={} born={:?}", server.id, server.born));
+                            .log(format_args!("server={} born={:?}", server.id, server.started_at));
                     }
                     let waits_until = next.note_version(self, &server, now);
                     Arc::new(Member::new(server, waits_until, now))
--- a/src/router/follow.rs
+++ b/src/router/follow.rs
@@ -108,7 +108,7 @@
     wants_zone: bool,
     stay: Duration,
 ) -> Result<Left> {
-    let mut wakes = router.clock.wakes();
+    let mut wakes = router.clock.subscribe_suspensions();
     let opening = Instant::now() + OPENING;
     let mut socket = timeout_at(opening, open(peer)).await.map_err(|_| silent())??;
     let StoreVersion { era, revision: version } = router.views.oldest_version();
--- a/src/router/listing.rs
+++ b/src/router/listing.rs
@@ -8,7 +8,7 @@
 use crate::{
     ids::Revision,
     platform::{
-        documents::read_server,
+        documents::parse_server_row,
         store::{Row, Rows},
     },
     router::restore::Extent,
@@ -67,7 +67,7 @@
     /// Whether a row that the store came back with shows less than is known: the server wrote on since, or left.
     fn is_outdated(&mut self, server: &BackendServer, now: Duration) -> bool {
         if let Some(known) = self.servers.get(&server.id) {
-            return known.born == server.born && server.sequence < known.sequence;
+            return known.started_at == server.started_at && server.sequence < known.sequence;
         }
         let has_left = self.left.contains_key(&server.id);
         if has_left {
@@ -78,16 +78,16 @@
     }
 
     fn put(&mut self, row: &Row, extent: Extent, now: Duration) {
-        let known = self.servers.get(&row.key).and_then(|server| server.born);
-        match read_server(row) {
-            Ok(server) if known.is_some() && server.born.is_none() => {
+        let known = self.servers.get(&row.key).and_then(|server| server.started_at);
+        match parse_server_row(row) {
+            Ok(server) if known.is_some() && server.started_at.is_none() => {
                 self.pass_over(row, "it does not have its start, as it did before");
             }
             // What a former life said, and what reached the store after the present one's first report.
-            Ok(server) if server.born < known => {
+            Ok(server) if server.started_at < known => {
                 event::FORMER_LIFE_SHOWN.log(format_args!(
                     "server={} shown={:?} known={known:?}",
-                    row.key, server.born
+                    row.key, server.started_at
                 ));
             }
             Ok(server) if extent == Extent::Restored && self.is_outdated(&server, now) => {}
@@ -113,9 +113,9 @@
 
     /// Servers that may be used. Where most report their start, all do: a row without it has another writer.
     pub(crate) fn usable(&self) -> impl Iterator<Item = &BackendServer> {
-        let reporting = self.servers.values().filter(|server| server.born.is_some()).count();
+        let reporting = self.servers.values().filter(|server| server.started_at.is_some()).count();
         let is_reported = reporting * 2 > self.servers.len();
-        self.servers.values().filter(move |server| !is_reported || server.born.is_some())
+        self.servers.values().filter(move |server| !is_reported || server.started_at.is_some())
     }
 
     /// Rows that can't be read.
--- a/src/router/member.rs
+++ b/src/router/member.rs
@@ -261,7 +261,7 @@
 
     /// Hash of the server's life.
     pub(crate) fn life_hash(&self) -> LifeHash {
-        match self.server.born {
+        match self.server.started_at {
             Some(born) => xxh3_64_with_seed(&born.to_le_bytes(), self.id_hash),
             None => self.id_hash,
         }
--- a/src/router/orders.rs
+++ b/src/router/orders.rs
@@ -4,7 +4,10 @@
 
 use crate::{
     platform::{
-        documents::{OperatorChange, evacuated_zone, read_operator_row, status_key, unknown_kind},
+        documents::{
+            OperatorChange, evacuated_zone, parse_operator_row, roll_out_status_key,
+            unknown_row_kind,
+        },
         store::{Rows, StoreClient, Table},
     },
     policy::lifecycle::LifecycleEvent,
@@ -40,7 +43,7 @@
 
 /// Logs each kind of orders once that nothing here reads.
 fn note_unread_kinds(rows: &Rows, logged: &mut BTreeSet<Box<str>>) {
-    for kind in rows.rows.iter().filter_map(|row| unknown_kind(&row.key)) {
+    for kind in rows.rows.iter().filter_map(|row| unknown_row_kind(&row.key)) {
         if logged.len() < MOST_UNREAD && logged.insert(kind.into()) {
             event::ORDER_UNREAD.log(format_args!("kind={kind}"));
         }
@@ -53,7 +56,7 @@
 }
 
 fn read_changes(rows: &Rows) -> impl Iterator<Item = OperatorChange> {
-    rows.rows.iter().filter_map(|row| match read_operator_row(row) {
+    rows.rows.iter().filter_map(|row| match parse_operator_row(row) {
         Ok(change) => change,
         Err(e) => {
             event::DOCUMENT_UNREADABLE.log(format_args!("cause=\"{e}\""));
@@ -70,7 +73,7 @@
         }
     }
     for order in router.roll_outs.orders() {
-        let key = status_key(&order.service);
+        let key = roll_out_status_key(&order.service);
         if !rows.rows.iter().any(|row| row.key == key) {
             router.roll_outs.withdraw(&order.service);
         }
@@ -82,7 +85,7 @@
         OperatorChange::Configuration(table) => put_in_force(router, *table),
         OperatorChange::RollOut(order) => {
             let reported =
-                format!("service={} to={} within={:?}", order.service, order.to, order.within);
+                format!("service={} to={} within={:?}", order.service, order.to, order.duration);
             if router.roll_outs.order(order, router.now(), is_start) {
                 event::ROLL_OUT_ORDERED.log(format_args!("{reported}"));
                 note_versions(router);
@@ -90,7 +93,7 @@
         }
         OperatorChange::RollOutWithdrawn(service) => router.roll_outs.withdraw(&service),
         OperatorChange::ZoneEvacuated(zone) => router.evacuations.begin(&zone, router.now()),
-        OperatorChange::ZoneTakenBack(zone) => router.evacuations.end(&zone, router.now()),
+        OperatorChange::EvacuationWithdrawn(zone) => router.evacuations.end(&zone, router.now()),
     }
 }
 
--- a/src/router/own_place.rs
+++ b/src/router/own_place.rs
@@ -36,7 +36,7 @@
     /// This entry's place among all; that of one that is alone where no other one is named.
     pub(crate) fn place(&self) -> Option<Place> {
         let settings = self.settings.load();
-        let is_alone = settings.seeds.iter().all(|seed| Some(*seed) == settings.peer);
+        let is_alone = settings.seed_peers.iter().all(|seed| Some(*seed) == settings.peer_address);
         let place = self.own_place.get(self.now());
         place.or_else(|| (is_alone && !self.is_seed()).then_some(Place::ALONE))
     }
--- a/src/router/peers.rs
+++ b/src/router/peers.rs
@@ -58,7 +58,12 @@
 
 /// The seeds but for this entry itself.
 pub(crate) fn other_seeds(settings: &HostSettings) -> Vec<SocketAddr> {
-    settings.seeds.iter().copied().filter(|seed| Some(*seed) != settings.peer).collect()
+    settings
+        .seed_peers
+        .iter()
+        .copied()
+        .filter(|seed| Some(*seed) != settings.peer_address)
+        .collect()
 }
 
 /// Serves the entries that follow this one.
--- a/src/router/quarantine_row.rs
+++ b/src/router/quarantine_row.rs
@@ -212,8 +212,8 @@
 /// have not.
 fn time_for_others(router: &Router) -> Duration {
     let settings = router.settings.load();
-    let rank = settings.seeds.iter().position(|seed| Some(*seed) == settings.peer);
-    let before = rank.unwrap_or(settings.seeds.len());
+    let rank = settings.seed_peers.iter().position(|seed| Some(*seed) == settings.peer_address);
+    let before = rank.unwrap_or(settings.seed_peers.len());
     OTHERS_WRITE * u32::try_from(before).unwrap_or(u32::MAX).min(8)
 }
 
@@ -225,7 +225,7 @@
 ) -> crate::platform::Result<()> {
     router.metrics.count_store_call("quarantine");
     let asked = router.now();
-    let rows = store.read(Table::Own).await;
+    let rows = store.read_table(Table::Own).await;
     if rows.is_err() {
         router.metrics.count_store_error("quarantine");
     }
@@ -298,7 +298,7 @@
             kept.cases = cases;
             Ok(true)
         }
-        WriteOutcome::Conflict | WriteOutcome::OtherEra => Ok(false),
+        WriteOutcome::Conflict | WriteOutcome::EraMismatch => Ok(false),
     }
 }
 
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -24,7 +24,7 @@
         silence::{Wait, wait_for_answer},
         stages::{self, StageEnd},
     },
-    routing::{AnswerHead, AnswerKind, RouteKind},
+    routing::{ResponseHead, ResponseKind, RouteKind},
     telemetry::event,
 };
 
@@ -45,7 +45,7 @@
         return whole_answer(router, &mut job).await;
     }
     let StageEnd { answer, model } = stages::answer(router, &mut job).await?;
-    if answer.head.kind != AnswerKind::Success {
+    if answer.head.kind != ResponseKind::Success {
         return read_whole(router, &job, answer).await.map_err(|()| Refusal::Lost);
     }
     let mut res = head_of(&answer.head);
@@ -90,7 +90,7 @@
     wait_for_answer(router, &wait, read, || false).await
 }
 
-fn head_of(head: &AnswerHead) -> Response<AnswerBody> {
+fn head_of(head: &ResponseHead) -> Response<AnswerBody> {
     let mut res = Response::new(AnswerBody::whole(""));
     *res.status_mut() = head.status;
     *res.headers_mut() = head.headers.clone();
@@ -109,7 +109,7 @@
         note_break(router, job, &answer.member).await;
         return Err(());
     };
-    if answer.head.kind == AnswerKind::Success {
+    if answer.head.kind == ResponseKind::Success {
         let outcome = if answer.is_slow { RunOutcome::Slow } else { RunOutcome::Good };
         router.roll_outs.note_outcome(&answer.member.server, outcome);
     }
@@ -252,12 +252,12 @@
         let model = self.model.clone();
         let ask = Ask { model: model.as_deref(), ..self.ask() };
         let answer = next_answer(&self.router, &mut self.job, ask).await.ok()?;
-        (answer.head.kind == AnswerKind::Success).then_some(answer)
+        (answer.head.kind == ResponseKind::Success).then_some(answer)
     }
 
     /// What another server is asked for.
     fn ask(&self) -> Ask<'_> {
-        let last_event = self.last_event.or(self.job.req.head.last_event);
+        let last_event = self.last_event.or(self.job.req.head.last_event_id);
         Ask { model: self.model.as_deref(), last_event }
     }
 
@@ -351,7 +351,7 @@
         self.router.metrics.total_time.observe(total.as_secs_f64());
         let route = &self.job.route;
         let is_late = first > route.objective;
-        if !is_late && route.event_gap.is_none_or(|allowed| pause <= allowed) {
+        if !is_late && route.max_event_gap.is_none_or(|allowed| pause <= allowed) {
             return;
         }
         event::STREAM_LATE.log(format_args!(
@@ -377,6 +377,6 @@
     /// How long the server's silence is tolerated; without end where nothing else could be done.
     fn patience(&self, server: &Member) -> Option<Patience> {
         let may_resume = self.job.route.is_resumable && self.job.runs_left() > 0;
-        may_resume.then(|| event_patience(self.job.route.event_gap, server.awaited()))
+        may_resume.then(|| event_patience(self.job.route.max_event_gap, server.awaited()))
     }
 }
--- a/src/router/reports.rs
+++ b/src/router/reports.rs
@@ -97,7 +97,7 @@
     host: &str,
     reports: &mut watch::Receiver<Report>,
 ) -> Result<()> {
-    let mut wakes = router.clock.wakes();
+    let mut wakes = router.clock.subscribe_suspensions();
     let mut socket = timeout(OPENING, open(seed)).await.map_err(|_| silent())??;
     let (mut next_kept, mut next_end, mut next_limit) = (0, None, None);
     loop {
--- a/src/router/restore.rs
+++ b/src/router/restore.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     platform::{
-        documents::{OperatorChange, is_configuration, read_operator_row},
+        documents::{OperatorChange, is_config_key, parse_operator_row},
         store::{Row, Rows, Table},
     },
     router::Router,
@@ -56,11 +56,11 @@
 
 /// Whether a row holds an older configuration than another one.
 fn is_older_configuration(shown: &Row, known: &Row) -> bool {
-    is_configuration(&shown.key) && configuration_version(shown) < configuration_version(known)
+    is_config_key(&shown.key) && configuration_version(shown) < configuration_version(known)
 }
 
 fn configuration_version(row: &Row) -> Option<u64> {
-    match read_operator_row(row) {
+    match parse_operator_row(row) {
         Ok(Some(OperatorChange::Configuration(table))) => Some(table.version),
         // One that can't be read is logged where it is applied.
         _ => None,
--- a/src/router/roll_out.rs
+++ b/src/router/roll_out.rs
@@ -20,7 +20,7 @@
         trial::{RollOut, Verdict, VersionEvidence},
         version_rule::VersionRule,
     },
-    routing::{BackendServer, Progress, RequestHead, RollOutOrder},
+    routing::{BackendServer, RequestHead, RollOutOrder, RollOutProgress},
     telemetry::{Metrics, event, metrics::EvidenceLabels},
 };
 
@@ -73,10 +73,10 @@
     pub(crate) fn order(&self, order: RollOutOrder, now: Duration, is_found: bool) -> bool {
         let mut inner = self.lock();
         if let Some(known) = inner.roll_outs.get_mut(&order.service) {
-            if known.order.revision >= order.revision {
+            if known.order.written_at >= order.written_at {
                 return false;
             }
-            if order.is_again(&known.order) {
+            if order.is_reissue_of(&known.order) {
                 known.order = order;
                 return false;
             }
@@ -123,13 +123,13 @@
     /// Whether this order is one that was withdrawn in an earlier era.
     pub(crate) fn was_withdrawn(&self, order: &RollOutOrder) -> bool {
         let inner = self.lock();
-        inner.withdrawn.get(&order.service).is_some_and(|known| order.is_again(known))
+        inner.withdrawn.get(&order.service).is_some_and(|known| order.is_reissue_of(known))
     }
 
     /// Roll-outs that have ended, and how.
-    pub(crate) fn ended(&self) -> Vec<(RollOutOrder, Progress)> {
+    pub(crate) fn ended(&self) -> Vec<(RollOutOrder, RollOutProgress)> {
         let inner = self.lock();
-        let ended = inner.roll_outs.values().filter(|r| r.progress != Progress::Running);
+        let ended = inner.roll_outs.values().filter(|r| r.progress != RollOutProgress::Running);
         ended.map(|r| (r.order.clone(), r.progress)).collect()
     }
 
@@ -146,18 +146,18 @@
         service: &str,
         revision: StoreVersion,
         began: Option<Duration>,
-        progress: Progress,
+        progress: RollOutProgress,
     ) {
         let mut inner = self.lock();
         let Some(roll_out) = inner.roll_outs.get_mut(service) else {
             return;
         };
-        if roll_out.order.revision != revision {
+        if roll_out.order.written_at != revision {
             return;
         }
         roll_out.is_begun |= began.is_some();
         roll_out.began = began.unwrap_or(roll_out.began).min(roll_out.began);
-        if roll_out.progress == Progress::Running && progress != Progress::Running {
+        if roll_out.progress == RollOutProgress::Running && progress != RollOutProgress::Running {
             event::VERDICT_SEEN.log(format_args!("service={service} progress={progress:?}"));
             roll_out.progress = progress;
         }
@@ -178,7 +178,7 @@
     /// Orders that are still under way.
     pub(crate) fn running(&self) -> Vec<RollOutOrder> {
         let inner = self.lock();
-        let running = inner.roll_outs.values().filter(|r| r.progress == Progress::Running);
+        let running = inner.roll_outs.values().filter(|r| r.progress == RollOutProgress::Running);
         running.map(|r| r.order.clone()).collect()
     }
 
@@ -245,7 +245,7 @@
     /// What this entry has seen of the roll-outs under way, to be reported.
     pub(crate) fn evidence(&self) -> Vec<VersionEvidence> {
         let inner = self.lock();
-        let running = inner.roll_outs.values().filter(|r| r.progress == Progress::Running);
+        let running = inner.roll_outs.values().filter(|r| r.progress == RollOutProgress::Running);
         running.map(RollOut::evidence).collect()
     }
 
@@ -256,7 +256,7 @@
             let Some(roll_out) = inner.roll_outs.get_mut(&evidence.service) else {
                 continue;
             };
-            if roll_out.order.revision == evidence.order() {
+            if roll_out.order.written_at == evidence.order() {
                 roll_out.others.insert(host.into(), evidence);
                 roll_out.judge_pooled();
             }
@@ -267,7 +267,8 @@
     pub(crate) fn is_on_trial(&self, server: &BackendServer) -> bool {
         let inner = self.lock();
         let roll_out = inner.roll_outs.get(&server.service);
-        roll_out.is_some_and(|r| r.progress == Progress::Running && r.order.to == server.version)
+        roll_out
+            .is_some_and(|r| r.progress == RollOutProgress::Running && r.order.to == server.version)
     }
 
     /// Notes that servers of a version are in view.
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -63,17 +63,17 @@
 /// When an address can't be bound or the thread can't be made.
 pub async fn start(settings: RouterSettings) -> std::io::Result<RunningRouter> {
     let RouterSettings { host, policy } = settings;
-    let callers = TcpListener::bind(host.caller).await?;
-    let readiness = TcpListener::bind(host.readiness).await?;
+    let callers = TcpListener::bind(host.caller_address).await?;
+    let readiness = TcpListener::bind(host.readiness_address).await?;
     event::PROCESS_STARTED.log(format_args!(
         "role=entry host={} zone={} caller={} readiness={} store={}",
-        host.host, host.zone, host.caller, host.readiness, host.store
+        host.host, host.zone, host.caller_address, host.readiness_address, host.store_address
     ));
-    let host_address = host.caller.ip();
-    let store = StoreClient::new(HttpClient::default(), &host.store);
+    let host_address = host.caller_address.ip();
+    let store = StoreClient::new(HttpClient::default(), &host.store_address);
     let router = Arc::new(Router::new(host, policy));
     let control = router.clone();
-    let peers = match router.settings.load().peer {
+    let peers = match router.settings.load().peer_address {
         Some(address) => Some(std::net::TcpListener::bind(address)?),
         None => None,
     };
@@ -154,7 +154,7 @@
 impl RunningRouter {
     /// Takes over the text of the platform's file; one that can't be read changes nothing.
     pub fn reload(&self, text: &str) {
-        match host_settings::read(text) {
+        match host_settings::parse(text) {
             Ok(settings) => {
                 event::SETTINGS_RELOADED.log(format_args!("host={}", settings.host));
                 self.router.settings.store(Arc::new(settings));
@@ -172,7 +172,7 @@
         router.begin_stop();
         event::PROCESS_LEAVING.log(format_args!("in_flight={}", router.in_flight()));
         sleep(BALANCER).await;
-        let grace = router.settings.load().grace;
+        let grace = router.settings.load().shutdown_grace;
         // The balancer may still send callers here when it has nowhere else to send them.
         while router.in_flight() > 0 && elapsed() < grace.saturating_sub(BEFORE_CLOSE) {
             sleep(IDLE_CHECK).await;
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -9,7 +9,7 @@
 use tokio::time::timeout;
 
 use crate::{
-    platform::headers::{read_request, request_id},
+    platform::headers::{parse_request_head, request_id},
     policy::exposure::draw,
     router::{Router, body::AnswerBody, job::Job, refusal::Refusal, relay},
     routing::{CallerLimits, Organisation, Request, RequestHead, Route, RoutingTable},
@@ -77,8 +77,8 @@
     router.notice_suspension();
     let in_flight = InFlight::enter(router);
     let (parts, body) = req.into_parts();
-    let head =
-        read_request(&parts.method, &parts.uri, &parts.headers).map_err(|_| Refusal::Malformed)?;
+    let head = parse_request_head(&parts.method, &parts.uri, &parts.headers)
+        .map_err(|_| Refusal::Malformed)?;
     router.wait_for_view().await;
     let table = router.table.load_full();
     let Some(table) = table.as_ref() else {
@@ -90,7 +90,7 @@
         return Err(Refusal::Leaving { retry_after });
     }
     let body = read_body(body, &table.limits.unwrap_or(DEFAULT_LIMITS)).await?;
-    let wait = head.patience.unwrap_or(route.timeout).min(route.timeout);
+    let wait = head.caller_timeout.unwrap_or(route.timeout).min(route.timeout);
     let service = choose_service(&route, &head);
     router.note_request(&service);
     let req = Request { head, body };
@@ -105,10 +105,10 @@
 ) -> Result<(Arc<Route>, Option<Arc<Organisation>>), Refusal> {
     let route = table.route(&head.host, head.uri.path()).ok_or(Refusal::NoRoute)?;
     let holder = |keys: &std::collections::HashMap<Box<str>, Arc<Organisation>>| {
-        head.key.as_ref().and_then(|key| keys.get(key)).cloned()
+        head.api_key.as_ref().and_then(|key| keys.get(key)).cloned()
     };
-    let organisation = table.keys.as_ref().and_then(holder);
-    if table.keys.is_some() && !route.is_public && organisation.is_none() {
+    let organisation = table.organisations_by_key.as_ref().and_then(holder);
+    if table.organisations_by_key.is_some() && !route.is_public && organisation.is_none() {
         return Err(Refusal::UnknownKey);
     }
     Ok((route.clone(), organisation))
--- a/src/router/silence.rs
+++ b/src/router/silence.rs
@@ -57,13 +57,13 @@
 ) -> Option<F::Output> {
     let Wait { member, deadline, .. } = *wait;
     let Some(patience) = wait.patience else {
-        return router.clock.until(deadline, work).await;
+        return router.clock.timeout_at(deadline, work).await;
     };
     let began = router.now();
     let slow_at = began + patience.slow;
     let mut look = slow_at.min(began + patience.dark);
     loop {
-        if let Some(output) = router.clock.until(deadline.min(look), work.as_mut()).await {
+        if let Some(output) = router.clock.timeout_at(deadline.min(look), work.as_mut()).await {
             return Some(output);
         }
         let now = router.now();
--- a/src/router/stages.rs
+++ b/src/router/stages.rs
@@ -12,7 +12,7 @@
         job::{Ask, Job},
         refusal::Refusal,
     },
-    routing::AnswerKind,
+    routing::ResponseKind,
     telemetry::event,
 };
 
@@ -31,10 +31,10 @@
     let mut in_hand: Option<StageEnd> = None;
     loop {
         let model = cascade.get(stage).filter(|_| job.req.head.model.is_none()).cloned();
-        let ask = Ask { model: model.as_deref(), last_event: job.req.head.last_event };
+        let ask = Ask { model: model.as_deref(), last_event: job.req.head.last_event_id };
         let next = next_answer(router, job, ask).await;
         job.begin_by = None;
-        let has_begun = matches!(&next, Ok(answer) if answer.head.kind == AnswerKind::Success);
+        let has_begun = matches!(&next, Ok(answer) if answer.head.kind == ResponseKind::Success);
         if let Some(earlier) = in_hand.take().filter(|_| !has_begun) {
             note_kept(router, job, &earlier);
             return Ok(earlier);
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -152,7 +152,7 @@
     /// Looks whether the Host was suspended; then what was received before is taken as old, and whoever waits
     /// looks again.
     pub(crate) fn notice_suspension(&self) -> bool {
-        let Some(suspended) = self.clock.notice_suspension() else {
+        let Some(suspended) = self.clock.detect_suspension() else {
             return false;
         };
         event::HOST_RESUMED.log(format_args!("suspended_ms={}", suspended.as_millis()));
@@ -165,8 +165,8 @@
     /// Whether configuration and servers were received since the Host last resumed. Where nobody reports them
     /// in time, what was known before has to do, as where the store is away.
     pub(crate) fn is_view_fresh(&self) -> bool {
-        let woke_at = self.clock.woke_at();
-        self.views.applied_at() >= woke_at || self.now() >= woke_at + FRESH_WITHIN
+        let resumed_at = self.clock.last_resumed_at();
+        self.views.applied_at() >= resumed_at || self.now() >= resumed_at + FRESH_WITHIN
     }
 
     /// Whether this entry knows what is refused, or nobody reported it in time.
@@ -181,7 +181,7 @@
 
     /// Puts a configuration in force.
     pub(crate) fn put_table(&self, table: RoutingTable) {
-        self.fleet.load().set_memories(&table.memories);
+        self.fleet.load().set_memories(&table.kv_cache_tokens);
         self.table.store(Arc::new(Some(table)));
         self.news.notify_waiters();
     }
@@ -189,7 +189,7 @@
     /// Takes over the servers in view.
     pub(crate) fn put_fleet(&self, fleet: Fleet) {
         if let Some(table) = self.table.load().as_ref() {
-            fleet.set_memories(&table.memories);
+            fleet.set_memories(&table.kv_cache_tokens);
         }
         self.kept.apply(&[], &fleet);
         self.limits.forget_gone(&fleet, self.now());
@@ -200,12 +200,12 @@
     /// Whether the settings name this entry as one that others may follow.
     pub(crate) fn is_seed(&self) -> bool {
         let settings = self.settings.load();
-        settings.peer.is_some_and(|peer| settings.seeds.contains(&peer))
+        settings.peer_address.is_some_and(|peer| settings.seed_peers.contains(&peer))
     }
 
     /// Whether the settings name another entry that this one may follow instead of the store.
     pub(crate) fn may_follow(&self) -> bool {
-        !self.is_seed() && !self.settings.load().seeds.is_empty()
+        !self.is_seed() && !self.settings.load().seed_peers.is_empty()
     }
 
     /// Whether this entry should follow another one: always, unless it is a seed that the store
@@ -269,7 +269,7 @@
         let Some(began) = self.stop_began.get() else {
             return true;
         };
-        let end = *began + self.settings.load().grace.saturating_sub(BEFORE_KILL);
+        let end = *began + self.settings.load().shutdown_grace.saturating_sub(BEFORE_KILL);
         still_fits(route, end.saturating_sub(self.now()))
     }
 
@@ -281,7 +281,7 @@
         if connected_at < began + BALANCER {
             return OTHERS_TAKE_IT;
         }
-        (began + self.settings.load().grace + RESTART).saturating_sub(self.now())
+        (began + self.settings.load().shutdown_grace + RESTART).saturating_sub(self.now())
     }
 
     /// Whether a planned stop began.
@@ -343,7 +343,7 @@
     /// Takes in how many entries there are, as far as one knows that all report to. There are as many
     /// as the settings name at least, also where a seed is cut off from the others.
     pub(crate) fn note_entries(&self, entries: usize) {
-        let named = self.settings.load().seeds.len();
+        let named = self.settings.load().seed_peers.len();
         let entries = u32::try_from(entries.max(named)).unwrap_or(u32::MAX);
         let mut share = self.extra_share.lock().expect("no panics under the lock");
         share.note(entries, self.now());
--- a/src/router/trial.rs
+++ b/src/router/trial.rs
@@ -16,7 +16,7 @@
     },
     resources::Guard,
     router::version_rule::VersionRule,
-    routing::{Progress, RequestHead, RollOutOrder, RollOutStatus},
+    routing::{RequestHead, RollOutOrder, RollOutProgress, RollOutStatus},
     telemetry::event,
 };
 
@@ -65,7 +65,7 @@
     pub(super) is_begun: bool,
     /// When this entry found it as it started, until it has learned how far it got.
     pub(super) found_at: Option<Duration>,
-    pub(super) progress: Progress,
+    pub(super) progress: RollOutProgress,
     /// Whether the evidence, our own or that of all entries, says that the version is bad.
     pub(super) is_held: bool,
     pub(super) old: Evidence,
@@ -87,7 +87,7 @@
             began: now,
             is_begun: false,
             found_at: is_found.then_some(now),
-            progress: Progress::Running,
+            progress: RollOutProgress::Running,
             is_held: false,
             old: Evidence::default(),
             new: Evidence::default(),
@@ -108,12 +108,12 @@
         let new = VersionRule::Only(self.order.to.clone());
         let old = VersionRule::Not(self.order.to.clone());
         match self.progress {
-            Progress::Completed => return new,
-            Progress::RolledBack => return old,
-            Progress::Running if self.is_held || !self.has_servers => return old,
-            Progress::Running => {}
+            RollOutProgress::Completed => return new,
+            RollOutProgress::RolledBack => return old,
+            RollOutProgress::Running if self.is_held || !self.has_servers => return old,
+            RollOutProgress::Running => {}
         }
-        let (elapsed, within) = (self.age(now), self.order.within);
+        let (elapsed, within) = (self.age(now), self.order.duration);
         let share = match head.session {
             Some(_) => session_share_at(elapsed, within, terms),
             None => request_share_at(elapsed, within, terms),
@@ -123,7 +123,7 @@
 
     /// Whether it is not known yet how far it got; an end that is known stands.
     pub(super) fn is_unknown(&self) -> bool {
-        self.found_at.is_some() && self.progress == Progress::Running
+        self.found_at.is_some() && self.progress == RollOutProgress::Running
     }
 
     /// Time since it began, as far as this entry knows.
@@ -133,8 +133,8 @@
 
     /// Whether only a trial's share of the requests runs on the new version.
     pub(super) fn is_on_trial(&self, now: Duration, terms: &ExposureTerms) -> bool {
-        let is_running = self.progress == Progress::Running;
-        is_running && !is_beyond_trial(self.age(now), self.order.within, terms)
+        let is_running = self.progress == RollOutProgress::Running;
+        is_running && !is_beyond_trial(self.age(now), self.order.duration, terms)
     }
 
     pub(super) fn judge(&mut self) {
@@ -181,8 +181,8 @@
     pub(super) fn evidence(&self) -> VersionEvidence {
         VersionEvidence {
             service: self.order.service.clone(),
-            revision: self.order.revision.revision,
-            era: self.order.revision.era,
+            revision: self.order.written_at.revision,
+            era: self.order.written_at.era,
             old: self.old,
             new: self.new,
         }
@@ -196,14 +196,14 @@
     }
 
     pub(super) fn verdict(&self, now: Duration, terms: &ExposureTerms) -> Option<Verdict> {
-        if self.progress != Progress::Running {
+        if self.progress != RollOutProgress::Running {
             return None;
         }
         let elapsed = self.age(now);
         let progress = if self.is_held {
-            Progress::RolledBack
-        } else if may_complete(elapsed, self.order.within, terms) && self.is_proved() {
-            Progress::Completed
+            RollOutProgress::RolledBack
+        } else if may_complete(elapsed, self.order.duration, terms) && self.is_proved() {
+            RollOutProgress::Completed
         } else {
             return None;
         };
--- a/src/routing/backend_server.rs
+++ b/src/routing/backend_server.rs
@@ -5,7 +5,7 @@
 use crate::ids::StoreVersion;
 
 /// Start of a server's life, milliseconds since the Unix epoch by the server's own clock.
-pub type BornAt = u64;
+pub type StartTime = u64;
 
 /// Version of the software or weights a server runs.
 pub type ServerVersion = Box<str>;
@@ -16,7 +16,7 @@
     /// Id, which requests name so that no other server runs them.
     pub id: Box<str>,
     /// When this life began; none where the platform does not report it.
-    pub born: Option<BornAt>,
+    pub started_at: Option<StartTime>,
     /// Service it belongs to.
     pub service: Box<str>,
     /// Where it takes requests.
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -8,11 +8,11 @@
 mod roll_out;
 mod table;
 
-pub use answer::{AnswerHead, AnswerKind};
-pub use backend_server::{BackendServer, BornAt, ServerVersion};
+pub use answer::{ResponseHead, ResponseKind};
+pub use backend_server::{BackendServer, ServerVersion, StartTime};
 pub use fingerprint::Fingerprint;
 pub use request::{PromptPart, Request, RequestHead};
-pub use roll_out::{Progress, RollOutOrder, RollOutStatus};
+pub use roll_out::{RollOutOrder, RollOutProgress, RollOutStatus};
 pub use table::{
-    CallerLimits, Organisation, Region, Route, RouteKind, RoutingTable, Target, is_home,
+    CallerLimits, Organisation, Region, Route, RouteKind, RoutingTable, Target, is_permitted_region,
 };
--- a/src/routing/request.rs
+++ b/src/routing/request.rs
@@ -26,21 +26,21 @@
     /// Id of this try of the caller; answers are matched by it.
     pub id: Box<str>,
     /// Key the caller showed.
-    pub key: Option<Box<str>>,
+    pub api_key: Option<Box<str>>,
     /// Time the caller will wait.
-    pub patience: Option<Duration>,
+    pub caller_timeout: Option<Duration>,
     /// Model the caller names; none where it leaves the choice to us.
     pub model: Option<Box<str>>,
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
     /// Tokens the answer may have at most.
-    pub answer_tokens: u64,
+    pub max_answer_tokens: u64,
     /// Parts of the prompt in their order; the last is the request's or its session's own.
-    pub parts: Vec<PromptPart>,
+    pub prompt_parts: Vec<PromptPart>,
     /// Session the request belongs to.
     pub session: Option<Box<str>>,
     /// Last event of an interrupted stream that the caller has.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// Headers to pass on: all but those of the connection, the key and those we set ourselves.
     pub headers: HeaderMap,
 }
@@ -52,9 +52,9 @@
     }
 
     /// The longest run of parts that other requests may share, by its last part.
-    pub fn shared_part(&self) -> Option<&PromptPart> {
-        let shared = self.parts.len().checked_sub(2)?;
-        self.parts.get(shared)
+    pub fn last_shared_part(&self) -> Option<&PromptPart> {
+        let shared = self.prompt_parts.len().checked_sub(2)?;
+        self.prompt_parts.get(shared)
     }
 }
 
--- a/src/routing/roll_out.rs
+++ b/src/routing/roll_out.rs
@@ -12,22 +12,22 @@
     /// The version to move to.
     pub to: ServerVersion,
     /// Time in which it is to be done.
-    pub within: Duration,
+    pub duration: Duration,
     /// When the store's row was written, which distinguishes one order from the next.
-    pub revision: StoreVersion,
+    pub written_at: StoreVersion,
 }
 
 impl RollOutOrder {
     /// Whether this one is the other, written again after the store came back from a copy without it.
-    pub fn is_again(&self, other: &Self) -> bool {
-        let is_same = (&self.to, self.within) == (&other.to, other.within);
-        is_same && self.revision.era != other.revision.era
+    pub fn is_reissue_of(&self, other: &Self) -> bool {
+        let is_same = (&self.to, self.duration) == (&other.to, other.duration);
+        is_same && self.written_at.era != other.written_at.era
     }
 }
 
 /// How far a roll-out got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Progress {
+pub enum RollOutProgress {
     /// Traffic is being moved.
     Running,
     /// All traffic runs on the new version; the platform stops the old servers.
@@ -42,5 +42,5 @@
     /// The version it moves to.
     pub to: ServerVersion,
     /// How far it got.
-    pub progress: Progress,
+    pub progress: RollOutProgress,
 }
--- a/src/routing/table.rs
+++ b/src/routing/table.rs
@@ -14,7 +14,7 @@
     #[default]
     Idempotent,
     /// May run at most once.
-    OnceOnly,
+    AtMostOnce,
     /// Answered by a stream of events; idempotent only where the route allows to resume it.
     Stream,
 }
@@ -44,7 +44,7 @@
     /// Time to the answer, or to a stream's first event, that the operator aims at.
     pub objective: Duration,
     /// Longest pause between two events of a stream that still counts as on time.
-    pub event_gap: Option<Duration>,
+    pub max_event_gap: Option<Duration>,
     /// Rank; 0 is the most urgent.
     pub priority: u8,
     /// Runs that one request may cause.
@@ -56,17 +56,23 @@
     /// Whether a broken stream may go on at another server.
     pub is_resumable: bool,
     /// Regions whose servers may run its requests; empty where all may.
-    pub homes: Vec<Region>,
+    pub permitted_regions: Vec<Region>,
     /// Models of the cascade, smallest first; empty where the caller names the model.
     pub cascade: Vec<Box<str>>,
 }
 
 /// Whether a server in a region may run the requests of a route and an Organisation: where both have homes, both
 /// bind. A region that is not known is nobody's home.
-pub fn is_home(route: &Route, organisation: Option<&Organisation>, region: Option<&str>) -> bool {
-    let of_organisation = organisation.map_or(&[][..], |organisation| &organisation.homes);
-    let mut binding =
-        [&route.homes[..], of_organisation].into_iter().filter(|homes| !homes.is_empty());
+pub fn is_permitted_region(
+    route: &Route,
+    organisation: Option<&Organisation>,
+    region: Option<&str>,
+) -> bool {
+    let of_organisation =
+        organisation.map_or(&[][..], |organisation| &organisation.permitted_regions);
+    let mut binding = [&route.permitted_regions[..], of_organisation]
+        .into_iter()
+        .filter(|homes| !homes.is_empty());
     let holds = |homes: &[Region]| region.is_some_and(|r| homes.iter().any(|home| **home == *r));
     binding.all(holds)
 }
@@ -76,7 +82,7 @@
     pub fn is_idempotent(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
-            RouteKind::OnceOnly => false,
+            RouteKind::AtMostOnce => false,
             RouteKind::Stream => self.is_resumable,
         }
     }
@@ -90,7 +96,7 @@
     /// Rank that replaces the route's, if it has one.
     pub priority: Option<u8>,
     /// Regions whose servers may run its requests; empty where all may.
-    pub homes: Vec<Region>,
+    pub permitted_regions: Vec<Region>,
 }
 
 /// What callers may send.
@@ -114,11 +120,11 @@
     /// Routes by host, the longest prefix first.
     pub routes: HashMap<Box<str>, Vec<Arc<Route>>>,
     /// Tokens that one BackendServer of a service has memory for; none where no model runs.
-    pub memories: HashMap<Box<str>, u64>,
+    pub kv_cache_tokens: HashMap<Box<str>, u64>,
     /// What a cold BackendServer of a service takes; none where they start warm.
-    pub cold: HashMap<Box<str>, ColdTerms>,
+    pub cold_starts: HashMap<Box<str>, ColdTerms>,
     /// Organisations by key; none where requests need no keys at all.
-    pub keys: Option<HashMap<Box<str>, Arc<Organisation>>>,
+    pub organisations_by_key: Option<HashMap<Box<str>, Arc<Organisation>>>,
     /// Limits on callers; none where the operator sets none.
     pub limits: Option<CallerLimits>,
 }
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -43,7 +43,7 @@
 
     async fn lease(&self, me: u128) -> (Lease, Permit) {
         let mut lease = Lease::new("settler", me, LeaseTerms::default());
-        lease.tend(&self.table.client(), &self.health).await.unwrap();
+        lease.acquire_or_renew(&self.table.client(), &self.health).await.unwrap();
         let permit = lease.permit().expect("nobody else holds it");
         (lease, permit)
     }
@@ -147,10 +147,10 @@
 
     // The holder is paused; another takes the lease over and settles.
     let mut second = Lease::new("settler", 2, LeaseTerms::default());
-    second.tend(&stores.table.client(), &stores.health).await.unwrap();
+    second.acquire_or_renew(&stores.table.client(), &stores.health).await.unwrap();
     assert!(second.permit().is_none(), "not before the lease has run out");
     tokio::time::advance(Duration::from_secs(7)).await;
-    second.tend(&stores.table.client(), &stores.health).await.unwrap();
+    second.acquire_or_renew(&stores.table.client(), &stores.health).await.unwrap();
     let new = second.permit().expect("taken over");
     stores.settler().pass(&new, LATER).await.unwrap();
     write(&stores, 1, (5..9).map(|i| record(5, i, Delivery::Whole)).collect()).await;
@@ -168,7 +168,7 @@
     stores.table.faults.set(Faults { down: true, ..Faults::default() });
 
     tokio::time::advance(Duration::from_secs(3)).await;
-    assert!(lease.tend(&stores.table.client(), &stores.health).await.is_err());
+    assert!(lease.acquire_or_renew(&stores.table.client(), &stores.health).await.is_err());
     assert!(lease.permit().is_some(), "still within its time");
     tokio::time::advance(Duration::from_secs(2)).await;
     assert!(lease.permit().is_none());
@@ -179,11 +179,11 @@
     let stores = stores();
     let (mut lease, permit) = stores.lease(1).await;
     stores.table.faults.set(Faults { lose_replies: 1.0, ..Faults::default() });
-    let _ = lease.tend(&stores.table.client(), &stores.health).await;
+    let _ = lease.acquire_or_renew(&stores.table.client(), &stores.health).await;
     stores.table.faults.set(Faults::default());
 
     tokio::time::advance(Duration::from_secs(1)).await;
-    lease.tend(&stores.table.client(), &stores.health).await.unwrap();
+    lease.acquire_or_renew(&stores.table.client(), &stores.health).await.unwrap();
 
     assert_eq!(lease.permit().unwrap().fencing, permit.fencing);
 }
@@ -239,7 +239,7 @@
     let outcome = group.write("claims/1".into(), None, json!(1)).await;
 
     assert_eq!(outcome, InsertOutcome::Refused);
-    assert!(stores.health.is_down());
+    assert!(stores.health.last_call_failed());
 }
 
 #[tokio::test(start_paused = true)]
@@ -247,15 +247,15 @@
     let health = StoreHealth::new(Metrics::default());
     let lost = || async { Err::<(), _>(mintmoor::platform::Error::Unknown("lost".into())) };
 
-    let _ = health.watch("test", lost()).await;
-    assert!(health.is_down() && !health.is_out());
+    let _ = health.track("test", lost()).await;
+    assert!(health.last_call_failed() && !health.is_unavailable());
     tokio::time::advance(Duration::from_secs(1)).await;
-    let _ = health.watch("test", lost()).await;
+    let _ = health.track("test", lost()).await;
     tokio::time::advance(Duration::from_secs(1)).await;
-    assert!(health.is_out(), "counted from the first call without an answer");
-    let _ = health.watch("test", async { Ok(()) }).await;
+    assert!(health.is_unavailable(), "counted from the first call without an answer");
+    let _ = health.track("test", async { Ok(()) }).await;
 
-    assert!(!health.is_down() && !health.is_out());
+    assert!(!health.last_call_failed() && !health.is_unavailable());
 }
 
 #[tokio::test]
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -475,13 +475,13 @@
         kind,
         timeout: Duration::from_secs(2),
         objective: Duration::from_millis(300),
-        event_gap: None,
+        max_event_gap: None,
         priority: 0,
         max_attempts: 2,
         is_public: false,
         is_sticky: false,
         is_resumable: true,
-        homes: Vec::new(),
+        permitted_regions: Vec::new(),
         cascade: Vec::new(),
     }
 }
@@ -490,7 +490,7 @@
 fn a_leaving_entry_takes_what_it_can_finish() {
     let left = Duration::from_secs(3);
 
-    assert!(still_fits(&route(RouteKind::OnceOnly), left));
+    assert!(still_fits(&route(RouteKind::AtMostOnce), left));
     assert!(!still_fits(&route(RouteKind::Stream), left));
     assert!(still_fits(&route(RouteKind::Stream), Duration::from_secs(5)));
 }
--- a/tests/platform/adapter.rs
+++ b/tests/platform/adapter.rs
@@ -6,14 +6,14 @@
 use mintmoor::{
     platform::{
         HttpClient,
-        answers::read_answer,
-        documents::unknown_kind,
-        headers::{AttemptHeaders, HeadError, read_request, write_attempt},
+        answers::parse_response_head,
+        documents::unknown_row_kind,
+        headers::{AttemptHeaders, HeadError, build_attempt_headers, parse_request_head},
         host_settings,
         store::{Put, StoreClient, Table, WriteOutcome},
     },
     policy::{rate_limit::AdvertisedLimit, retry_after::RetryAfter},
-    routing::{AnswerKind, Organisation},
+    routing::{Organisation, ResponseKind},
 };
 
 use crate::store::{Fault, Store};
@@ -25,7 +25,7 @@
 }
 
 fn get(pairs: Pairs<'_>) -> Result<mintmoor::routing::RequestHead, HeadError> {
-    read_request(&Method::GET, &Uri::from_static("/a/b?c"), &headers(pairs))
+    parse_request_head(&Method::GET, &Uri::from_static("/a/b?c"), &headers(pairs))
 }
 
 #[test]
@@ -43,11 +43,14 @@
     ])
     .unwrap();
 
-    assert_eq!((&*head.host, &*head.id, head.key.as_deref()), ("h.example", "r1", Some("k")));
-    assert_eq!(head.patience, Some(Duration::from_millis(2_500)));
-    assert_eq!((head.prompt_tokens, head.answer_tokens, head.last_event), (1_460, 80, Some(12)));
+    assert_eq!((&*head.host, &*head.id, head.api_key.as_deref()), ("h.example", "r1", Some("k")));
+    assert_eq!(head.caller_timeout, Some(Duration::from_millis(2_500)));
+    assert_eq!(
+        (head.prompt_tokens, head.max_answer_tokens, head.last_event_id),
+        (1_460, 80, Some(12))
+    );
     assert_eq!(head.model, None, "the choice is ours");
-    assert_eq!(head.shared_part().map(|part| (part.id, part.tokens)), Some((0x91bd, 410)));
+    assert_eq!(head.last_shared_part().map(|part| (part.id, part.tokens)), Some((0x91bd, 410)));
     assert_eq!(head.session_key(), "s");
 }
 
@@ -82,17 +85,18 @@
 #[test]
 fn an_attempt_names_its_server_its_time_and_its_organisation() {
     let head = get(&[("host", "h"), ("x-request-id", "r"), ("x-model", "*")]).unwrap();
-    let organisation = Organisation { name: "org".into(), priority: None, homes: Vec::new() };
+    let organisation =
+        Organisation { name: "org".into(), priority: None, permitted_regions: Vec::new() };
     let attempt = AttemptHeaders {
         server: "i-1",
         organisation: Some(&organisation),
         time_left: Duration::from_millis(800),
         model: Some("small"),
         priority: 2,
-        last_event: Some(4),
+        last_event_id: Some(4),
     };
 
-    let sent = write_attempt(&head, &attempt);
+    let sent = build_attempt_headers(&head, &attempt);
 
     let value = |name: &str| sent.get(name).unwrap().to_str().unwrap().to_owned();
     assert_eq!(value("x-expect-instance"), "i-1");
@@ -120,19 +124,23 @@
 fn an_answer_proves_no_more_than_it_says() {
     let signed = ("x-instance-stamp", "s");
     let ours = ("x-request-id", "r");
-    let cases: [(u16, Pairs, AnswerKind); 8] = [
-        (200, &[signed, ours], AnswerKind::Success),
-        (500, &[signed, ours], AnswerKind::Failure),
-        (503, &[("x-not-executed", "1")], AnswerKind::NotRun),
-        (503, &[signed, ours], AnswerKind::Failure),
-        (421, &[], AnswerKind::OtherServer),
-        (200, &[ours], AnswerKind::Unsigned),
-        (200, &[signed, ("x-request-id", "other")], AnswerKind::Misplaced),
-        (200, &[signed, ours, ("content-encoding", "gzip")], AnswerKind::Unsigned),
+    let cases: [(u16, Pairs, ResponseKind); 8] = [
+        (200, &[signed, ours], ResponseKind::Success),
+        (500, &[signed, ours], ResponseKind::Failure),
+        (503, &[("x-not-executed", "1")], ResponseKind::NotRun),
+        (503, &[signed, ours], ResponseKind::Failure),
+        (421, &[], ResponseKind::WrongServer),
+        (200, &[ours], ResponseKind::Unsigned),
+        (200, &[signed, ("x-request-id", "other")], ResponseKind::WrongRequest),
+        (200, &[signed, ours, ("content-encoding", "gzip")], ResponseKind::Unsigned),
     ];
     for (status, pairs, kind) in cases {
         let status = StatusCode::from_u16(status).unwrap();
-        assert_eq!(read_answer(status, &headers(pairs), "r").kind, kind, "{status} {pairs:?}");
+        assert_eq!(
+            parse_response_head(status, &headers(pairs), "r").kind,
+            kind,
+            "{status} {pairs:?}"
+        );
     }
 }
 
@@ -155,15 +163,15 @@
         ("x-cold-ms", "0"),
         ("x-instance-id", "i"),
     ]);
-    assert!(read_answer(StatusCode::OK, &known, "r").unread.is_empty());
+    assert!(parse_response_head(StatusCode::OK, &known, "r").unknown_headers.is_empty());
 
     let unknown = headers(&[("x-request-id", "r"), ("server-mood", "grim")]);
-    assert_eq!(read_answer(StatusCode::OK, &unknown, "r").unread, ["server-mood"]);
+    assert_eq!(parse_response_head(StatusCode::OK, &unknown, "r").unknown_headers, ["server-mood"]);
 }
 
 #[test]
 fn a_drain_notice_and_a_pause_are_read() {
-    let read = |pairs| read_answer(StatusCode::SERVICE_UNAVAILABLE, &headers(pairs), "r");
+    let read = |pairs| parse_response_head(StatusCode::SERVICE_UNAVAILABLE, &headers(pairs), "r");
     let draining = |pairs| read(pairs).is_draining;
     assert!(!draining(&[]));
     assert!(draining(&[("server-leaving", "1")]));
@@ -181,10 +189,10 @@
 #[test]
 fn only_known_kinds_of_orders_are_read() {
     for known in ["config", "rollout/app", "evacuate/zone-a"] {
-        assert_eq!(unknown_kind(known), None);
+        assert_eq!(unknown_row_kind(known), None);
     }
-    assert_eq!(unknown_kind("quota/org"), Some("quota"));
-    assert_eq!(unknown_kind("pause"), Some("pause"));
+    assert_eq!(unknown_row_kind("quota/org"), Some("quota"));
+    assert_eq!(unknown_row_kind("pause"), Some("pause"));
 }
 
 #[test]
@@ -207,7 +215,11 @@
         lines.iter().for_each(|line| {
             named.append("server-limit", line.parse().unwrap());
         });
-        assert_eq!(read_answer(StatusCode::OK, &named, "r").rate_limit, wanted, "{lines:?}");
+        assert_eq!(
+            parse_response_head(StatusCode::OK, &named, "r").rate_limit,
+            wanted,
+            "{lines:?}"
+        );
     }
 }
 
@@ -230,21 +242,21 @@
 
 #[test]
 fn the_platforms_settings_are_read_and_unknown_fields_ignored() {
-    let settings = host_settings::read(SETTINGS).unwrap();
+    let settings = host_settings::parse(SETTINGS).unwrap();
 
     assert_eq!((&*settings.host, &*settings.zone), ("edge-a-1", "a"));
-    assert_eq!(settings.caller.port(), 8_227);
-    assert_eq!(settings.seeds.len(), 2);
-    assert_eq!(settings.grace, Duration::from_secs(8));
-    assert_eq!(settings.drain, Duration::from_millis(2_500));
-    assert_eq!(&*settings.store, "10.200.1.7:8223");
+    assert_eq!(settings.caller_address.port(), 8_227);
+    assert_eq!(settings.seed_peers.len(), 2);
+    assert_eq!(settings.shutdown_grace, Duration::from_secs(8));
+    assert_eq!(settings.drain_time, Duration::from_millis(2_500));
+    assert_eq!(&*settings.store_address, "10.200.1.7:8223");
 }
 
 #[test]
 fn all_problems_of_the_platforms_settings_are_told_at_once() {
     let text = SETTINGS.replace("10.1.0.40:8227", "nowhere").replace("address", "adress");
 
-    let error = host_settings::read(&text).unwrap_err().to_string();
+    let error = host_settings::parse(&text).unwrap_err().to_string();
 
     assert!(error.contains("listen.frontend `nowhere`"), "{error}");
     assert!(error.contains("platform.address is missing"), "{error}");
--- a/tests/platform/cold.rs
+++ b/tests/platform/cold.rs
@@ -147,8 +147,8 @@
     let mut sites = Vec::new();
     for number in 0..4 {
         let site = Site::with(store.clone(), |host| {
-            host.seeds = seeds.to_vec();
-            host.peer = seeds.get(number).copied().or(host.peer);
+            host.seed_peers = seeds.to_vec();
+            host.peer_address = seeds.get(number).copied().or(host.peer_address);
         });
         sites.push(Arc::new(site.await));
     }
--- a/tests/platform/crashes.rs
+++ b/tests/platform/crashes.rs
@@ -406,7 +406,7 @@
         let store = store_with(&[]).await;
         list_life(&store, &server, "app", 1_000);
         let change = |host: &mut HostSettings| {
-            (host.seeds, host.peer) = (seeds.to_vec(), Some(seed));
+            (host.seed_peers, host.peer_address) = (seeds.to_vec(), Some(seed));
         };
         let site = Arc::new(Site::with(store, change).await);
         site.until_in_view(1).await;
@@ -425,7 +425,7 @@
     list_life(&sites[1].store, &server, "app", 2_000);
     let is_reborn = || {
         let fleet = sites[1].entry.router.fleet.load();
-        fleet.of_service("app").iter().any(|member| member.server.born == Some(2_000))
+        fleet.of_service("app").iter().any(|member| member.server.started_at == Some(2_000))
     };
     until("the list tells it, too", is_reborn).await;
 
--- a/tests/platform/lives.rs
+++ b/tests/platform/lives.rs
@@ -81,7 +81,7 @@
     let server = always("i-1", WHOLE).await;
     let site = site_with(&server, "llm").await;
     list_life(&site.store, &server, "llm", 2_000);
-    let born = || site.entry.router.fleet.load().of_service("llm")[0].server.born;
+    let born = || site.entry.router.fleet.load().of_service("llm")[0].server.started_at;
     until("the new life is in view", || born() == Some(2_000)).await;
     let mut former = server_row("127.0.0.1:1".parse().unwrap(), "llm", "v0", "draining");
     former["born"] = json!(1_000);
--- a/tests/platform/peers.rs
+++ b/tests/platform/peers.rs
@@ -99,7 +99,7 @@
     let nobody = "127.0.0.1:1".parse().unwrap();
     let store = store_with(&[(&server, "app", "v1")]).await;
 
-    let site = Site::with(store, |host| host.seeds = vec![nobody]).await;
+    let site = Site::with(store, |host| host.seed_peers = vec![nobody]).await;
 
     site.until_in_view(1).await;
     assert_eq!(site.ask("GET", "/safe/a", "").await.status, 200);
@@ -138,7 +138,7 @@
 
     let entry = Site::with(store_after(1).await, |host| {
         host.zone = "zone-b".into();
-        host.seeds = seeds;
+        host.seed_peers = seeds;
     })
     .await;
 
@@ -155,7 +155,7 @@
         until("both are ready", || seeds.iter().all(|seed| seed.entry.router.is_ready())).await;
         let peers = seeds.iter().map(|seed| seed.entry.addresses.peer.unwrap()).collect();
         // Its own store is empty: what it knows is told by a seed.
-        let entry = Site::with(Store::start().await, |host| host.seeds = peers).await;
+        let entry = Site::with(Store::start().await, |host| host.seed_peers = peers).await;
         until("it follows", || follows(&entry)).await;
 
         seeds[lost].store.set_fault(Fault::Down);
--- a/tests/platform/pool.rs
+++ b/tests/platform/pool.rs
@@ -134,8 +134,8 @@
     /// One entry with these seeds, at this address for other entries if it is to be one of them.
     pub async fn entry(&self, seeds: &[SocketAddr], peer: Option<SocketAddr>) -> Site {
         Site::with(self.store.clone(), |host| {
-            host.seeds = seeds.to_vec();
-            host.peer = peer.or(host.peer);
+            host.seed_peers = seeds.to_vec();
+            host.peer_address = peer.or(host.peer_address);
         })
         .await
     }
--- a/tests/platform/restores.rs
+++ b/tests/platform/restores.rs
@@ -278,7 +278,7 @@
 
     let outcome = client.write(&[put(read, "second")], 0).await.unwrap();
 
-    assert_eq!(outcome, WriteOutcome::OtherEra);
+    assert_eq!(outcome, WriteOutcome::EraMismatch);
 }
 
 /// An entry that starts while the store comes back hears the same as the others.
--- a/tests/platform/rows.rs
+++ b/tests/platform/rows.rs
@@ -1,7 +1,7 @@
 //! Rows in the list of servers that no server wrote: each names no server, and all others hold.
 
 use mintmoor::platform::{
-    documents::read_server,
+    documents::parse_server_row,
     store::{Row, Table},
 };
 use proptest::{prelude::*, sample::select};
@@ -29,7 +29,14 @@
 fn read(document: &Value) -> mintmoor::platform::Result<mintmoor::routing::BackendServer> {
     let value = serde_json::to_vec(document).unwrap();
     let key = "i-1".into();
-    read_server(&Row { table: Table::Servers, key, value, version: 1, era: 0, is_removed: false })
+    parse_server_row(&Row {
+        table: Table::Servers,
+        key,
+        value,
+        version: 1,
+        era: 0,
+        is_removed: false,
+    })
 }
 
 /// Documents that no server writes, with what is wrong about each.
@@ -63,7 +70,7 @@
     let server = read(&whole_row()).unwrap();
 
     assert_eq!((&*server.service, server.slots, server.is_draining), ("llm", 8, false));
-    assert_eq!(server.born, Some(1_764_720_000_000));
+    assert_eq!(server.started_at, Some(1_764_720_000_000));
 }
 
 proptest! {
@@ -89,7 +96,7 @@
     #[test]
     fn any_bytes_are_a_server_or_an_error(value in proptest::collection::vec(any::<u8>(), 0..512)) {
         let key = "i-1".into();
-        let _ = read_server(&Row { table: Table::Servers, key, value, version: 1, era: 0, is_removed: false });
+        let _ = parse_server_row(&Row { table: Table::Servers, key, value, version: 1, era: 0, is_removed: false });
     }
 }
 
@@ -160,7 +167,7 @@
 
     until("the two that tell their start are left", || servers(&site) == 2).await;
     let fleet = site.entry.router.fleet.load();
-    assert!(fleet.of_service("app").iter().all(|member| member.server.born == Some(1_000)));
+    assert!(fleet.of_service("app").iter().all(|member| member.server.started_at == Some(1_000)));
 }
 
 /// Whatever another writer left there as the time for which a server is cold.
--- a/tests/platform/sessions.rs
+++ b/tests/platform/sessions.rs
@@ -89,7 +89,7 @@
 fn listed(id: &str, version: &str) -> BackendServer {
     BackendServer {
         id: id.into(),
-        born: None,
+        started_at: None,
         service: "app".into(),
         address: "127.0.0.1:1".parse().unwrap(),
         zone: "zone-a".into(),
--- a/tests/platform/site.rs
+++ b/tests/platform/site.rs
@@ -44,14 +44,14 @@
         host: next_host(),
         zone: "zone-a".into(),
         regions: HashMap::new(),
-        caller: any_address(),
-        readiness: any_address(),
-        peer: Some(any_address()),
-        seeds: Vec::new(),
-        store: store.address.to_string().into(),
-        grace: Duration::from_secs(4),
-        drain: Duration::from_secs(2),
-        catch_up: Duration::from_secs(3),
+        caller_address: any_address(),
+        readiness_address: any_address(),
+        peer_address: Some(any_address()),
+        seed_peers: Vec::new(),
+        store_address: store.address.to_string().into(),
+        shutdown_grace: Duration::from_secs(4),
+        drain_time: Duration::from_secs(2),
+        catch_up_time: Duration::from_secs(3),
         // More than deployments allow: an entry that has just started has no part of the extra yet,
         // and the budget has tests of its own.
         retry_ratio: 4.0,
@@ -121,13 +121,16 @@
     /// An entry that its settings name as one for others to follow, beside a store; it knows
     /// another one as well.
     pub async fn seed(store: Store, other: Option<SocketAddr>) -> Self {
-        Self::with(store, |host| host.seeds = host.peer.into_iter().chain(other).collect()).await
+        Self::with(store, |host| {
+            host.seed_peers = host.peer_address.into_iter().chain(other).collect()
+        })
+        .await
     }
 
     /// An entry beside a store that follows another entry.
     pub async fn following(store: Store, other: &Site) -> Self {
         let seed = other.entry.addresses.peer;
-        Self::with(store, |host| host.seeds = seed.into_iter().collect()).await
+        Self::with(store, |host| host.seed_peers = seed.into_iter().collect()).await
     }
 
     /// An entry beside a store whose settings are changed first.
--- a/tests/platform/suspended.rs
+++ b/tests/platform/suspended.rs
@@ -18,16 +18,16 @@
 #[tokio::test]
 async fn a_clock_goes_on_while_the_host_is_suspended() {
     let clock = Clock::starting_at(Duration::ZERO);
-    assert_eq!(clock.notice_suspension(), None);
+    assert_eq!(clock.detect_suspension(), None);
 
-    clock.suspend_for(LONG);
+    clock.simulate_suspension(LONG);
 
     assert!(clock.now() >= LONG);
     // Both clocks are read one after the other.
-    let noticed = clock.notice_suspension().expect("it is noticed");
+    let noticed = clock.detect_suspension().expect("it is noticed");
     assert!(noticed.abs_diff(LONG) < Duration::from_millis(100), "{noticed:?}");
-    assert!(clock.woke_at() >= LONG);
-    assert_eq!(clock.notice_suspension(), None, "it is told once");
+    assert!(clock.last_resumed_at() >= LONG);
+    assert_eq!(clock.detect_suspension(), None, "it is told once");
 }
 
 #[tokio::test]
@@ -36,11 +36,11 @@
     let waiting = clock.clone();
     let began = Instant::now();
     let never = std::future::pending::<()>();
-    let wait = tokio::spawn(async move { waiting.until(LONG, never).await });
+    let wait = tokio::spawn(async move { waiting.timeout_at(LONG, never).await });
     tokio::task::yield_now().await;
 
-    clock.suspend_for(LONG);
-    clock.notice_suspension();
+    clock.simulate_suspension(LONG);
+    clock.detect_suspension();
 
     assert_eq!(wait.await.unwrap(), None);
     assert!(began.elapsed() < LONG / 2);
@@ -50,9 +50,9 @@
 #[tokio::test]
 async fn what_is_ready_when_the_host_resumes_is_taken() {
     let clock = Clock::starting_at(Duration::ZERO);
-    clock.suspend_for(LONG);
+    clock.simulate_suspension(LONG);
 
-    assert_eq!(clock.until(Duration::from_secs(1), std::future::ready(1)).await, Some(1));
+    assert_eq!(clock.timeout_at(Duration::from_secs(1), std::future::ready(1)).await, Some(1));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -64,7 +64,7 @@
     let asked = tokio::spawn(async move { asking.ask("POST", "/plain/a", "").await });
     until("it is there", || server.seen().len() == 1).await;
 
-    site.entry.router.clock.suspend_for(LONG);
+    site.entry.router.clock.simulate_suspension(LONG);
     let answer = asked.await.unwrap();
 
     assert_eq!(answer.status, 504);
@@ -82,7 +82,7 @@
     list(&site.store, &serves, "app", "v1", "ready");
     until("both are in view", || site.entry.router.fleet.load().len() == 2).await;
 
-    site.entry.router.clock.suspend_for(Duration::from_millis(1_500));
+    site.entry.router.clock.simulate_suspension(Duration::from_millis(1_500));
     dies.crash();
     let answer = asked.await.unwrap();
 
@@ -110,7 +110,7 @@
     for site in [&seed, &follower] {
         // The news has reached nobody yet when the Host resumes.
         list(&store, &leaves, "app", "v1", "draining");
-        site.entry.router.clock.suspend_for(LONG);
+        site.entry.router.clock.simulate_suspension(LONG);
         for i in 0..20 {
             assert_eq!(site.ask("GET", &format!("/safe/{i}"), "").await.status, 200);
         }
@@ -130,7 +130,7 @@
     let idle = || site.entry.router.dump()["servers"][0]["idle_connections"].clone();
     assert_eq!(idle(), 1);
 
-    site.entry.router.clock.suspend_for(LONG);
+    site.entry.router.clock.simulate_suspension(LONG);
     assert_eq!(site.ask("POST", "/once/b", "").await.status, 200);
 
     assert_eq!(idle(), 1, "the old one was dropped, the new one kept");
--- a/tests/platform/unavailable.rs
+++ b/tests/platform/unavailable.rs
@@ -102,7 +102,7 @@
 async fn where_all_servers_drain_they_serve_for_half_of_the_drain_time_and_get_nothing_later() {
     let servers = [busy("i-0").await, busy("i-1").await, busy("i-2").await];
     let pool = pool_of(&servers.each_ref()).await;
-    let site = Site::with(pool.store.clone(), |host| host.drain = 2 * LAST_RESORT).await;
+    let site = Site::with(pool.store.clone(), |host| host.drain_time = 2 * LAST_RESORT).await;
     site.until_in_view(servers.len()).await;
     let sites = [Arc::new(site)];
     servers.iter().for_each(Server::drain);
@@ -212,7 +212,7 @@
     paused.ask_for_pause(None);
     assert_ne!(dump_of(&sites[0], &paused)["paused_ms"], 0);
 
-    sites[0].entry.router.clock.suspend_for(Duration::from_secs(60));
+    sites[0].entry.router.clock.simulate_suspension(Duration::from_secs(60));
 
     let from = Instant::now();
     load(&sites, Duration::from_secs(1)).await;
@@ -231,7 +231,7 @@
     until("both are known", || knows_both(&sites[0], &draining, &paused)).await;
 
     // Until then the draining server may serve what the flaky one did not.
-    sleep(sites[0].entry.router.settings.load().drain / 2 + ON_THEIR_WAY).await;
+    sleep(sites[0].entry.router.settings.load().drain_time / 2 + ON_THEIR_WAY).await;
     let from = Instant::now();
     load(&sites, Duration::from_secs(2)).await;
 
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -7,7 +7,7 @@
 };
 
 use mintmoor::{
-    control::membership::{Scope, has_duty, select_links},
+    control::membership::{Scope, is_assigned, select_links},
     platform::{Host, HostState, Role},
     policy::{
         cascade::{Estimates, StageOutlook, expected_cost, is_good_enough, start_stage},
@@ -437,9 +437,10 @@
     let entries: Vec<Host> = (0..40)
         .map(|i| host(&format!("entry-{i}"), "r", &format!("z{}", i % 4), Role::Entry))
         .collect();
-    let with = |scope| entries.iter().filter(|e| has_duty(e, &entries, "poll", 2, scope)).count();
-    assert_eq!(with(Scope::Everywhere), 2);
+    let with =
+        |scope| entries.iter().filter(|e| is_assigned(e, &entries, "poll", 2, scope)).count();
+    assert_eq!(with(Scope::Global), 2);
     assert_eq!(with(Scope::Zone), 8);
     let stranger = host("stranger", "r", "z0", Role::Entry);
-    assert!(has_duty(&stranger, &entries, "poll", 2, Scope::Zone), "not in the list: does it");
+    assert!(is_assigned(&stranger, &entries, "poll", 2, Scope::Zone), "not in the list: does it");
 }
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -390,7 +390,7 @@
 mod fixture {
     use http::{HeaderMap, Method};
     use mintmoor::{
-        platform::headers::read_request,
+        platform::headers::parse_request_head,
         routing::{Fingerprint, Organisation, Request},
     };
 
@@ -403,9 +403,12 @@
         let mut headers = HeaderMap::new();
         headers.insert("x-request-id", id.parse().unwrap());
         headers.insert("host", "h.example".parse().unwrap());
-        let head = read_request(&Method::POST, &path.parse().unwrap(), &headers).unwrap();
-        let organisation =
-            Organisation { name: organisation.into(), priority: None, homes: Vec::new() };
+        let head = parse_request_head(&Method::POST, &path.parse().unwrap(), &headers).unwrap();
+        let organisation = Organisation {
+            name: organisation.into(),
+            priority: None,
+            permitted_regions: Vec::new(),
+        };
         Fingerprint::of(&Request { head, body: body.into() }, Some(&organisation))
     }
 }
