--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -2,16 +2,16 @@
 //!
 //! A site puts an adapter to its own services here; the shapes are in `docs/PLATFORM.md`.
 
-pub mod answers;
 pub mod documents;
 mod engine;
 mod error;
-pub mod headers;
 pub mod host_settings;
 mod hosts;
 mod http_client;
 mod objects;
 mod ratings;
+pub mod request_headers;
+pub mod response_headers;
 pub mod store;
 mod table;
 
--- a/src/platform/headers.rs
+++ b/src/platform/request_headers.rs
@@ -1,4 +1,5 @@
-//! HTTP headers of requests, read into and written from our types; those of answers are in [`super::answers`].
+//! HTTP headers of requests, read into and written from our types; responses are in
+//! [`super::response_headers`].
 
 use std::time::Duration;
 
--- a/src/platform/answers.rs
+++ b/src/platform/response_headers.rs
@@ -5,7 +5,7 @@
 use http::{HeaderMap, HeaderName, StatusCode, header};
 
 use crate::{
-    platform::headers::{KEEP_ALIVE, REQUEST_ID, number, text, without_hop_by_hop},
+    platform::request_headers::{KEEP_ALIVE, REQUEST_ID, number, text, without_hop_by_hop},
     policy::{load::ReportedLoad, rate_limit::AdvertisedLimit, retry_after::RetryAfter},
     routing::{ResponseHead, ResponseKind},
 };
--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -10,8 +10,8 @@
 
 use crate::{
     platform::{
-        answers::parse_response_head,
-        headers::{AttemptHeaders, build_attempt_headers},
+        request_headers::{AttemptHeaders, build_attempt_headers},
+        response_headers::parse_response_head,
     },
     policy::{availability::Cause, kept::PromptMark, patience::Patience},
     router::{
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use crate::{
-    platform::headers::AttemptHeaders,
+    platform::request_headers::AttemptHeaders,
     policy::{
         attempt::{self, AttemptEvent, AttemptState, Verdict, judge, may_send_again},
         availability::Cause,
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -9,7 +9,7 @@
 use tokio::time::timeout;
 
 use crate::{
-    platform::headers::{parse_request_head, request_id},
+    platform::request_headers::{parse_request_head, request_id},
     policy::exposure::draw,
     router::{Router, body::AnswerBody, job::Job, refusal::Refusal, relay},
     routing::{CallerLimits, Organisation, Request, RequestHead, Route, RoutingTable},
--- a/tests/platform/adapter.rs
+++ b/tests/platform/adapter.rs
@@ -6,10 +6,10 @@
 use mintmoor::{
     platform::{
         HttpClient,
-        answers::parse_response_head,
         documents::unknown_row_kind,
-        headers::{AttemptHeaders, HeadError, build_attempt_headers, parse_request_head},
         host_settings,
+        request_headers::{AttemptHeaders, HeadError, build_attempt_headers, parse_request_head},
+        response_headers::parse_response_head,
         store::{Put, StoreClient, Table, WriteOutcome},
     },
     policy::{rate_limit::AdvertisedLimit, retry_after::RetryAfter},
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -390,7 +390,7 @@
 mod fixture {
     use http::{HeaderMap, Method};
     use mintmoor::{
-        platform::headers::parse_request_head,
+        platform::request_headers::parse_request_head,
         routing::{Fingerprint, Organisation, Request},
     };
 
