--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -17,9 +17,9 @@
     router::{
         Member, Router,
         connection::{self, Checkout, ConnectError, Connection},
-        job::Job,
         kept_board::KeptNote,
-        silence::{Wait, wait_for_answer},
+        request_context::Job,
+        response_wait::{Wait, wait_for_answer},
     },
     routing::{AnswerHead, AnswerKind, Request},
 };
--- a/src/router/member.rs
+++ b/src/router/member.rs
@@ -22,7 +22,7 @@
         rate_limit::{Allowance, LimitedSends},
         send_window::SendWindow,
     },
-    router::{breaks::Breaks, connection::IdleConnection},
+    router::{connection::IdleConnection, server_ends::Breaks},
     routing::BackendServer,
 };
 
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -1,6 +1,6 @@
 //! The request path of an entry on the users' platform.
 //!
-//! A request is admitted ([`serve`]), tried at one BackendServer after another ([`choice`],
+//! A request is admitted ([`serve`]), tried at one BackendServer after another ([`selection`],
 //! [`dispatch`], [`attempt`]), model after model in a cascade ([`stages`]), and its answer passed on
 //! ([`relay`]). What the platform's store says is followed on the control thread ([`feed`], [`driver`]),
 //! or learned from another entry ([`follow`], [`peers`]). The design is in docs/decisions/0008.
@@ -10,8 +10,6 @@
 mod attempt;
 mod availability;
 mod body;
-mod breaks;
-mod choice;
 mod connection;
 mod departed;
 mod dispatch;
@@ -21,7 +19,6 @@
 mod feed;
 mod fleet;
 mod follow;
-mod job;
 mod kept_board;
 mod limit_board;
 mod link;
@@ -30,7 +27,6 @@
 mod load_board;
 mod member;
 mod messages;
-
 mod note_log;
 mod observability;
 mod orders;
@@ -39,19 +35,21 @@
 mod peers;
 mod quarantine;
 mod quarantine_board;
+mod quarantine_release;
 mod quarantine_row;
 mod readings;
 mod refusal;
 mod relay;
-mod release;
 mod reports;
+mod request_context;
+mod response_wait;
 mod restore;
 mod roll_out;
 mod run;
+mod selection;
 mod serve;
+mod server_ends;
 mod servers;
-
-mod silence;
 mod stages;
 mod state;
 mod trial;
@@ -62,6 +60,6 @@
 pub use event_stream::EventSplitter;
 pub use fleet::Fleet;
 pub use member::Member;
-pub use release::Released;
+pub use quarantine_release::Released;
 pub use run::{RouterAddresses, RouterSettings, RunningRouter, start};
 pub use state::Router;
--- a/src/router/quarantine.rs
+++ b/src/router/quarantine.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     policy::quarantine::Standing,
-    router::{Released, Router, job::Job, quarantine_row::TrialRequest},
+    router::{Released, Router, quarantine_row::TrialRequest, request_context::Job},
     routing::Fingerprint,
     telemetry::event,
 };
--- a/src/router/silence.rs
+++ b/src/router/response_wait.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     policy::patience::Patience,
-    router::{Member, Router, job::Job},
+    router::{Member, Router, request_context::Job},
 };
 
 /// Time between looks at whether a slow server still answers others.
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -12,7 +12,8 @@
         store::StoreClient,
     },
     router::{
-        Router, driver, follow, listen, orders, peers, quarantine_row, release, reports, servers,
+        Router, driver, follow, listen, orders, peers, quarantine_release, quarantine_row, reports,
+        servers,
         state::{BALANCER, BEFORE_KILL},
     },
     settings::RouteSettings,
@@ -101,7 +102,7 @@
 
 /// Serves metrics and the state dump on an address of their own.
 fn serve_admin(router: &Arc<Router>, listener: TcpListener) {
-    let app = admin::router(router.admin()).merge(release::routes(router.clone()));
+    let app = admin::router(router.admin()).merge(quarantine_release::routes(router.clone()));
     tokio::spawn(async move {
         if let Err(e) = axum::serve(listener, app).await {
             event::ACCEPT_FAILED.log(format_args!("cause=\"{e}\""));
--- a/src/router/choice.rs
+++ b/src/router/selection.rs
@@ -13,7 +13,7 @@
     },
     router::{
         Fleet, Member, Router,
-        job::{Ask, Job},
+        request_context::{Ask, Job},
     },
     routing::is_home,
 };
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -11,7 +11,7 @@
 use crate::{
     platform::headers::{read_request, request_id},
     policy::exposure::draw,
-    router::{Router, body::AnswerBody, job::Job, refusal::Refusal, relay},
+    router::{Router, body::AnswerBody, refusal::Refusal, relay, request_context::Job},
     routing::{CallerLimits, Organisation, Request, RequestHead, Route, RoutingTable},
     telemetry::event,
 };
--- a/src/router/breaks.rs
+++ b/src/router/server_ends.rs
@@ -9,7 +9,7 @@
 use tokio::{net::TcpStream, time::timeout};
 
 use crate::{
-    router::{Member, Router, job::Job, roll_out::RunOutcome},
+    router::{Member, Router, request_context::Job, roll_out::RunOutcome},
     routing::Fingerprint,
     telemetry::event,
 };
--- a/src/router/servers.rs
+++ b/src/router/servers.rs
@@ -6,10 +6,10 @@
     platform::store::{Rows, StoreClient, Table},
     router::{
         Fleet, Router,
-        breaks::{self, Proof},
         feed::{Contact, PAUSE, follow},
         listing::Listing,
         restore::Extent,
+        server_ends::{self, Proof},
     },
     telemetry::event,
 };
@@ -55,9 +55,9 @@
     for member in before.gone_in(next).filter(|member| !member.is_draining()) {
         let id = &member.server.id;
         if next.has_id(id) {
-            breaks::note_end(router, member, Proof::StartedAgain);
+            server_ends::note_end(router, member, Proof::StartedAgain);
         } else if !listing.is_unreadable(id) {
-            breaks::note_end(router, member, Proof::Dropped);
+            server_ends::note_end(router, member, Proof::Dropped);
         }
     }
 }
--- a/src/router/stages.rs
+++ b/src/router/stages.rs
@@ -7,10 +7,10 @@
     router::{
         Router,
         attempt::OpenAnswer,
-        choice::estimate,
         dispatch::next_answer,
-        job::{Ask, Job},
         refusal::Refusal,
+        request_context::{Ask, Job},
+        selection::estimate,
     },
     routing::AnswerKind,
     telemetry::event,
