--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -18,7 +18,7 @@
         Member, Router,
         connection::{self, Checkout, ConnectError, Connection},
         kept_board::KeptNote,
-        request_context::Job,
+        request_context::RequestContext,
         response_wait::{Wait, wait_for_answer},
     },
     routing::{AnswerHead, AnswerKind, Request},
@@ -154,7 +154,7 @@
 /// Makes the attempt.
 pub(crate) async fn send(
     router: &Router,
-    job: &Job,
+    ctx: &RequestContext,
     plan: &Plan<'_>,
     may_leave: impl FnMut() -> bool,
 ) -> Result<OpenAnswer, AttemptError> {
@@ -163,10 +163,10 @@
     let mut at_server = AtServer::enter(plan.member, reading);
     let sent_at = router.now();
     note_sent(router, plan);
-    router.count_unavailable_send(plan.member, job.kind_of_send());
+    router.count_unavailable_send(plan.member, ctx.send_kind());
     // By the runtime's clock: a suspension says nothing about the server's pace.
     let began = Instant::now();
-    let outcome = exchange(router, job, plan, may_leave).await;
+    let outcome = exchange(router, ctx, plan, may_leave).await;
     if let Err(e) = &outcome {
         note_error(router, plan.member, e);
         plan.member.record().kept.forget(plan.new_marks());
@@ -175,8 +175,8 @@
     at_server.note_begun();
     plan.member.note_received(router.now());
     let (parts, body) = res.into_parts();
-    let head = read_answer(parts.status, &parts.headers, &job.req.head.id);
-    note_head(router, plan.member, &head, &job.req.head.id, sent_at);
+    let head = read_answer(parts.status, &parts.headers, &ctx.req.head.id);
+    note_head(router, plan.member, &head, &ctx.req.head.id, sent_at);
     let (tokens, took) = (plan.unread_tokens, began.elapsed());
     let is_slow = router.readings.get(plan.reading_key).is_slow(tokens, took);
     if head.kind == AnswerKind::Success {
@@ -259,13 +259,13 @@
 
 async fn exchange(
     router: &Router,
-    job: &Job,
+    ctx: &RequestContext,
     plan: &Plan<'_>,
     mut may_leave: impl FnMut() -> bool,
 ) -> Result<Exchanged, AttemptError> {
-    let mut message = build(&job.req, plan);
+    let mut message = build(&ctx.req, plan);
     let wait = Wait {
-        job,
+        ctx,
         member: plan.member,
         patience: plan.patience,
         deadline: plan.deadline,
@@ -281,7 +281,7 @@
         let send = pin!(connection.try_send_request(message));
         let sent = wait_for_answer(router, &wait, send, &mut may_leave).await;
         let given_up = || {
-            if router.is_refused(job) { AttemptError::Quarantined } else { AttemptError::Timeout }
+            if router.is_refused(ctx) { AttemptError::Quarantined } else { AttemptError::Timeout }
         };
         let sent = sent.ok_or_else(given_up)?;
         let mut e = match sent {
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -14,7 +14,7 @@
         attempt::{AttemptError, OpenAnswer, Plan, send},
         availability::Taken,
         refusal::Refusal,
-        request_context::{Ask, Job},
+        request_context::{AttemptParams, RequestContext},
         roll_out::RunOutcome,
         selection::{marks, pick, reading_key, unavailable_for},
         server_ends::{Parting, note_break, note_unanswered},
@@ -35,35 +35,35 @@
 /// Tries servers until one answers; the answer may be the server's own failure.
 pub(crate) async fn next_answer(
     router: &Router,
-    job: &mut Job,
-    ask: Ask<'_>,
+    ctx: &mut RequestContext,
+    params: AttemptParams<'_>,
 ) -> Result<OpenAnswer, Refusal> {
     let mut failed = None;
     loop {
         if router.notice_suspension() || !router.is_view_fresh() {
             router.wait_for_view().await;
         }
-        let Some(member) = next_server(router, job, ask) else {
-            return failed.ok_or_else(|| refusal(router, job, ask));
+        let Some(member) = next_server(router, ctx, params) else {
+            return failed.ok_or_else(|| refusal(router, ctx, params));
         };
-        if job.arrivals > 0 && !job.take_repeat(router) {
-            return failed.ok_or_else(|| refusal(router, job, ask));
+        if ctx.deliveries > 0 && !ctx.take_retry(router) {
+            return failed.ok_or_else(|| refusal(router, ctx, params));
         }
         match router.take_send(&member) {
             Taken::Unlimited => {}
-            Taken::Limited => router.metrics.count_limited(job.kind_of_send()),
+            Taken::Limited => router.metrics.count_limited(ctx.send_kind()),
             // The choice is made anew.
             Taken::Denied => continue,
         }
-        match try_at(router, job, &member, ask).await {
+        match try_at(router, ctx, &member, params).await {
             Ok(answer) if answer.head.kind == AnswerKind::Success => return Ok(answer),
             Ok(answer) => failed = Some(answer),
             Err(e) => {
-                let id = &job.req.head.id;
-                let (route, server, number) = (&job.route.name, &member.server.id, job.runs);
+                let id = &ctx.req.head.id;
+                let (route, server, number) = (&ctx.route.name, &member.server.id, ctx.runs);
                 event::ATTEMPT_FAILED.log(format_args!(
                     "request={id} fingerprint={} route={route} server={server} runs={number} cause=\"{e}\"",
-                    job.fingerprint()
+                    ctx.fingerprint()
                 ));
             }
         }
@@ -71,14 +71,14 @@
 }
 
 /// What the caller gets when nothing more is tried.
-fn refusal(router: &Router, job: &Job, ask: Ask<'_>) -> Refusal {
-    match judge(&job.attempts) {
-        Verdict::NotRun if router.is_refused(job) => {
-            Refusal::EndsServers { retry_after: router.refused_for(job) }
+fn refusal(router: &Router, ctx: &RequestContext, params: AttemptParams<'_>) -> Refusal {
+    match judge(&ctx.attempts) {
+        Verdict::NotRun if router.is_refused(ctx) => {
+            Refusal::EndsServers { retry_after: router.refused_for(ctx) }
         }
         Verdict::NotRun => {
-            let retry_after = router.note_refusal(&job.service, &job.req.head.id);
-            let Some((cause, wait)) = unavailable_for(router, job, ask) else {
+            let retry_after = router.note_refusal(&ctx.service, &ctx.req.head.id);
+            let Some((cause, wait)) = unavailable_for(router, ctx, params) else {
                 return Refusal::NotRun { retry_after };
             };
             if cause == Cause::RateLimited {
@@ -88,51 +88,60 @@
             // Spread, so that callers don't come back together when the first pause ends.
             Refusal::Unavailable { cause, retry_after: wait + retry_after }
         }
-        _ if job.time_left(router) < LEAST_TIME => Refusal::TimedOut,
+        _ if ctx.time_left(router) < LEAST_TIME => Refusal::TimedOut,
         _ => Refusal::Lost,
     }
 }
 
 /// The next server, if another attempt may be made.
-fn next_server(router: &Router, job: &Job, ask: Ask<'_>) -> Option<Arc<Member>> {
-    let may = may_send_again(&job.attempts, job.route.is_idempotent())
-        && job.runs_left() > 0
-        && job.arrivals < MOST_ARRIVALS
-        && job.attempts.len() < MOST_TRIES
-        && router.now() + LEAST_TIME < job.wait_ends()
-        && !router.is_refused(job)
-        && !(job.is_trial && job.runs > 0);
+fn next_server(
+    router: &Router,
+    ctx: &RequestContext,
+    params: AttemptParams<'_>,
+) -> Option<Arc<Member>> {
+    let may = may_send_again(&ctx.attempts, ctx.route.is_idempotent())
+        && ctx.runs_left() > 0
+        && ctx.deliveries < MOST_ARRIVALS
+        && ctx.attempts.len() < MOST_TRIES
+        && router.now() + LEAST_TIME < ctx.attempt_deadline()
+        && !router.is_refused(ctx)
+        && !(ctx.is_quarantine_trial && ctx.runs > 0);
     if !may {
         return None;
     }
-    let untried = pick(router, job, ask, |server| !job.has_tried(server));
-    untried.or_else(|| pick(router, job, ask, |server| !job.is_unreachable(server)))
+    let untried = pick(router, ctx, params, |server| !ctx.has_tried(server));
+    untried.or_else(|| pick(router, ctx, params, |server| !ctx.is_unreachable(server)))
 }
 
 /// Whether the request could go on at another server than this one; takes the repeated send that
 /// it needs from the budget.
-pub(crate) fn may_go_on(router: &Router, job: &Job, ask: Ask<'_>, silent: &str) -> bool {
-    pick(router, job, ask, |server| server != silent && !job.has_tried(server)).is_some()
-        && router.try_repeat(&job.service)
+pub(crate) fn may_go_on(
+    router: &Router,
+    ctx: &RequestContext,
+    params: AttemptParams<'_>,
+    silent: &str,
+) -> bool {
+    pick(router, ctx, params, |server| server != silent && !ctx.has_tried(server)).is_some()
+        && router.try_repeat(&ctx.service)
 }
 
 async fn try_at(
     router: &Router,
-    job: &mut Job,
+    ctx: &mut RequestContext,
     member: &Arc<Member>,
-    ask: Ask<'_>,
+    params: AttemptParams<'_>,
 ) -> Result<OpenAnswer, AttemptError> {
-    let may_go_elsewhere = job.route.is_idempotent() && job.runs_left() > 1;
-    let key = reading_key(job, ask);
+    let may_go_elsewhere = ctx.route.is_idempotent() && ctx.runs_left() > 1;
+    let key = reading_key(ctx, params);
     let belief = router.readings.get(key);
-    let marks = marks(job, ask);
-    let prompt_tokens = job.req.head.prompt_tokens;
+    let marks = marks(ctx, params);
+    let prompt_tokens = ctx.req.head.prompt_tokens;
     let kept_marks = member.record().kept.kept_marks(&marks);
     let kept_tokens: u64 = marks[..kept_marks].iter().map(|mark| mark.tokens).sum();
     let unread_tokens = prompt_tokens.saturating_sub(kept_tokens);
     // What is believed to be kept may be gone: the time for the whole prompt is allowed.
     let reading = belief.reading_time(prompt_tokens);
-    let (kind, objective) = (job.route.kind, job.route.objective);
+    let (kind, objective) = (ctx.route.kind, ctx.route.objective);
     // This one is awaited there, too.
     let awaited = member.awaited() + 1;
     let patience = head_patience(kind, objective, belief.head_time(), reading, awaited);
@@ -140,42 +149,42 @@
         member,
         headers: AttemptHeaders {
             server: &member.server.id,
-            organisation: job.organisation.as_deref(),
-            time_left: job.time_left(router),
-            model: ask.model,
-            priority: job.priority(),
-            last_event: ask.last_event,
+            organisation: ctx.organisation.as_deref(),
+            time_left: ctx.time_left(router),
+            model: params.model,
+            priority: ctx.priority(),
+            last_event: params.last_event,
         },
-        is_once_only: !job.route.is_idempotent(),
+        is_once_only: !ctx.route.is_idempotent(),
         reading_key: key,
         marks: &marks,
         kept_marks,
         unread_tokens,
         patience: may_go_elsewhere.then_some(patience),
-        deadline: job.wait_ends(),
+        deadline: ctx.attempt_deadline(),
     };
-    let mut has_repeat = false;
+    let mut has_retry = false;
     let may_leave = || {
-        has_repeat = may_go_on(router, job, ask, &member.server.id);
-        has_repeat
+        has_retry = may_go_on(router, ctx, params, &member.server.id);
+        has_retry
     };
-    router.roll_outs.log_trial(&member.server, &job.req.head, router.now());
-    let result = send(router, job, &plan, may_leave).await;
+    router.roll_outs.log_trial(&member.server, &ctx.req.head, router.now());
+    let result = send(router, ctx, &plan, may_leave).await;
     let (state, outcome) = sum_up(&result);
     router.metrics.count_attempt(&member.server.version, outcome);
-    job.attempts.push(state);
-    job.tried.push(member.server.id.clone());
+    ctx.attempts.push(state);
+    ctx.tried_servers.push(member.server.id.clone());
     match result {
-        Err(AttemptError::NotSent(_)) => job.unreachable.push(member.server.id.clone()),
+        Err(AttemptError::NotSent(_)) => ctx.unreachable_servers.push(member.server.id.clone()),
         Err(AttemptError::Unavailable(_)) => {}
         _ => {
-            job.arrivals += 1;
-            job.has_repeat = has_repeat;
+            ctx.deliveries += 1;
+            ctx.has_retry = has_retry;
         }
     }
     if !matches!(&result, Err(e) if e.proves_not_run()) {
-        job.runs += 1;
-        judge_run(router, job, member, &result).await;
+        ctx.runs += 1;
+        judge_run(router, ctx, member, &result).await;
     }
     result
 }
@@ -196,23 +205,23 @@
 /// Counts an attempt that may have run for or against its server, its version and the request itself.
 async fn judge_run(
     router: &Router,
-    job: &Job,
+    ctx: &RequestContext,
     member: &Arc<Member>,
     result: &Result<OpenAnswer, AttemptError>,
 ) {
     let outcome = match result {
         // It may have begun to run, and end the server all the same.
         Err(AttemptError::Quarantined) => {
-            return note_unanswered(router, job, member, Parting::Broken);
+            return note_unanswered(router, ctx, member, Parting::Broken);
         }
-        Err(AttemptError::Lost(_)) => return note_break(router, job, member).await,
+        Err(AttemptError::Lost(_)) => return note_break(router, ctx, member).await,
         Err(AttemptError::Timeout) => {
-            note_unanswered(router, job, member, Parting::Left);
+            note_unanswered(router, ctx, member, Parting::Left);
             return router.roll_outs.note_silence(&member.server, router.now());
         }
         Ok(answer) if answer.head.kind == AnswerKind::Success => {
             // Judged when its body has ended, but for a stream that is late already.
-            if !answer.is_slow || job.route.kind != RouteKind::Stream {
+            if !answer.is_slow || ctx.route.kind != RouteKind::Stream {
                 return;
             }
             RunOutcome::Slow
--- a/src/router/quarantine.rs
+++ b/src/router/quarantine.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     policy::quarantine::Standing,
-    router::{Released, Router, quarantine_row::TrialRequest, request_context::Job},
+    router::{Released, Router, quarantine_row::TrialRequest, request_context::RequestContext},
     routing::Fingerprint,
     telemetry::event,
 };
@@ -26,27 +26,27 @@
 
 impl Router {
     /// What may be done with a request, by the servers that ended under it.
-    pub(crate) fn standing(&self, job: &Job) -> Standing {
+    pub(crate) fn standing(&self, ctx: &RequestContext) -> Standing {
         if self.quarantine.is_idle() {
             return Standing::Free;
         }
-        self.quarantine.standing(&job.fingerprint(), self.now())
+        self.quarantine.standing(&ctx.fingerprint(), self.now())
     }
 
     /// Whether a request reaches no more servers because of those that ended under it.
-    pub(crate) fn is_refused(&self, job: &Job) -> bool {
-        !job.is_trial && matches!(self.standing(job), Standing::Refused { .. })
+    pub(crate) fn is_refused(&self, ctx: &RequestContext) -> bool {
+        !ctx.is_quarantine_trial && matches!(self.standing(ctx), Standing::Refused { .. })
     }
 
     /// Whether a refused request gets its trial now, here and nowhere else; the store is asked only when one
     /// is due.
-    pub(crate) async fn gets_trial(&self, job: &Job) -> bool {
-        let is_due = self.standing(job) == Standing::Refused { trial_in: Some(Duration::ZERO) };
+    pub(crate) async fn gets_trial(&self, ctx: &RequestContext) -> bool {
+        let is_due = self.standing(ctx) == Standing::Refused { trial_in: Some(Duration::ZERO) };
         if !is_due {
             return false;
         }
         let (answer, answered) = oneshot::channel();
-        let asked = self.trials.0.try_send((job.fingerprint(), answer));
+        let asked = self.trials.0.try_send((ctx.fingerprint(), answer));
         // A store that is slow to answer does not hold the caller up.
         asked.is_ok() && matches!(timeout(TRIAL_WAIT, answered).await, Ok(Ok(true)))
     }
@@ -64,9 +64,9 @@
     }
 
     /// Waits until a request reaches no more servers.
-    pub(crate) async fn until_refused(&self, job: &Job) {
+    pub(crate) async fn until_refused(&self, ctx: &RequestContext) {
         let mut changes = self.quarantine.changes();
-        while !self.is_refused(job) {
+        while !self.is_refused(ctx) {
             if changes.changed().await.is_err() {
                 return std::future::pending().await;
             }
@@ -74,15 +74,15 @@
     }
 
     /// Notes that a server answered a request whole: it does not end servers.
-    pub(crate) fn note_answered_whole(&self, job: &Job) {
-        if self.standing(job) != Standing::Free {
-            self.quarantine.clear(job.fingerprint(), self.now());
+    pub(crate) fn note_answered_whole(&self, ctx: &RequestContext) {
+        if self.standing(ctx) != Standing::Free {
+            self.quarantine.clear(ctx.fingerprint(), self.now());
         }
     }
 
     /// When the caller of a refused request may come back.
-    pub(crate) fn refused_for(&self, job: &Job) -> Duration {
-        match self.standing(job) {
+    pub(crate) fn refused_for(&self, ctx: &RequestContext) -> Duration {
+        match self.standing(ctx) {
             Standing::Refused { trial_in: Some(trial_in) } => trial_in.max(LEAST_RETRY_AFTER),
             _ => REFUSED_FOR_GOOD,
         }
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -17,7 +17,7 @@
         body::{AnswerBody, Part, StreamBody},
         dispatch::{may_go_on, next_answer},
         refusal::Refusal,
-        request_context::{Ask, Job},
+        request_context::{AttemptParams, RequestContext},
         response_wait::{Wait, wait_for_answer},
         roll_out::RunOutcome,
         selection::reading_key,
@@ -38,20 +38,20 @@
 /// Runs a job and gives the answer for its caller.
 pub(crate) async fn answer(
     router: &Arc<Router>,
-    mut job: Job,
+    mut ctx: RequestContext,
 ) -> Result<Response<AnswerBody>, Refusal> {
-    job.is_trial = router.gets_trial(&job).await;
-    if job.route.kind != RouteKind::Stream {
-        return whole_answer(router, &mut job).await;
+    ctx.is_quarantine_trial = router.gets_trial(&ctx).await;
+    if ctx.route.kind != RouteKind::Stream {
+        return whole_answer(router, &mut ctx).await;
     }
-    let StageEnd { answer, model } = stages::answer(router, &mut job).await?;
+    let StageEnd { answer, model } = stages::answer(router, &mut ctx).await?;
     if answer.head.kind != AnswerKind::Success {
-        return read_whole(router, &job, answer).await.map_err(|()| Refusal::Lost);
+        return read_whole(router, &ctx, answer).await.map_err(|()| Refusal::Lost);
     }
     let mut res = head_of(&answer.head);
     let (tx, rx) = mpsc::channel(PARTS_WAITING);
-    let timing = StreamTiming::new(job.arrived);
-    let relay = Relay { router: router.clone(), job, model, tx, last_event: None, timing };
+    let timing = StreamTiming::new(ctx.arrived_at);
+    let relay = Relay { router: router.clone(), ctx, model, tx, last_event: None, timing };
     let filler = tokio::spawn(relay.run(answer));
     *res.body_mut() = AnswerBody::Stream(StreamBody::new(rx, filler));
     Ok(res)
@@ -59,34 +59,34 @@
 
 async fn whole_answer(
     router: &Arc<Router>,
-    job: &mut Job,
+    ctx: &mut RequestContext,
 ) -> Result<Response<AnswerBody>, Refusal> {
     loop {
-        let answer = next_answer(router, job, Ask::default()).await?;
+        let answer = next_answer(router, ctx, AttemptParams::default()).await?;
         let server = answer.member.clone();
-        match read_until_deadline(router, job, answer).await {
+        match read_until_deadline(router, ctx, answer).await {
             Some(Ok(res)) => return Ok(res),
             Some(Err(())) => {}
             // At the deadline, or when the server has started again: then it may be tried elsewhere.
             None => {
-                note_unanswered(router, job, &server, Parting::Left);
+                note_unanswered(router, ctx, &server, Parting::Left);
                 router.roll_outs.note_silence(&server.server, router.now());
             }
         }
-        job.note_lost();
+        ctx.note_last_attempt_lost();
     }
 }
 
 /// Reads an answer in one piece; none at the deadline, or when its server has started again.
 async fn read_until_deadline(
     router: &Router,
-    job: &Job,
+    ctx: &RequestContext,
     answer: OpenAnswer,
 ) -> Option<Result<Response<AnswerBody>, ()>> {
     let server = answer.member.clone();
     let wait =
-        Wait { job, member: &server, patience: None, deadline: job.deadline, has_begun: true };
-    let read = pin!(read_whole(router, job, answer));
+        Wait { ctx, member: &server, patience: None, deadline: ctx.deadline, has_begun: true };
+    let read = pin!(read_whole(router, ctx, answer));
     wait_for_answer(router, &wait, read, || false).await
 }
 
@@ -100,20 +100,20 @@
 /// Reads an answer to its end, so that nothing of it is passed on unless all of it is here.
 async fn read_whole(
     router: &Router,
-    job: &Job,
+    ctx: &RequestContext,
     mut answer: OpenAnswer,
 ) -> Result<Response<AnswerBody>, ()> {
     let mut res = head_of(&answer.head);
     let body = Limited::new(&mut answer.body, MOST_WHOLE).collect().await;
     let Ok(body) = body else {
-        note_break(router, job, &answer.member).await;
+        note_break(router, ctx, &answer.member).await;
         return Err(());
     };
     if answer.head.kind == AnswerKind::Success {
         let outcome = if answer.is_slow { RunOutcome::Slow } else { RunOutcome::Good };
         router.roll_outs.note_outcome(&answer.member.server, outcome);
     }
-    router.note_answered_whole(job);
+    router.note_answered_whole(ctx);
     *res.body_mut() = AnswerBody::whole(body.to_bytes());
     answer.finish(router.now());
     Ok(res)
@@ -141,21 +141,21 @@
 /// When a stream's events came, on the entry's clock.
 #[derive(Clone, Copy, Debug)]
 struct StreamTiming {
-    arrived: Duration,
+    arrived_at: Duration,
     last: Option<Duration>,
     first_after: Duration,
     longest_pause: Duration,
 }
 
 impl StreamTiming {
-    fn new(arrived: Duration) -> Self {
+    fn new(arrived_at: Duration) -> Self {
         let (first_after, longest_pause) = (Duration::ZERO, Duration::ZERO);
-        Self { arrived, last: None, first_after, longest_pause }
+        Self { arrived_at, last: None, first_after, longest_pause }
     }
 
     fn note_event(&mut self, now: Duration) {
         match self.last.replace(now) {
-            None => self.first_after = now - self.arrived,
+            None => self.first_after = now - self.arrived_at,
             Some(last) => self.longest_pause = self.longest_pause.max(now - last),
         }
     }
@@ -191,7 +191,7 @@
 /// Passes a stream on.
 struct Relay {
     router: Arc<Router>,
-    job: Job,
+    ctx: RequestContext,
     model: Option<Box<str>>,
     tx: mpsc::Sender<Part>,
     /// Last event passed on.
@@ -207,7 +207,7 @@
             let Err(e) = self.pass_on(answer).await else {
                 // A caller that has left no longer minds whether the end arrives.
                 let _ = self.tx.send(Part::End).await;
-                self.router.note_answered_whole(&self.job);
+                self.router.note_answered_whole(&self.ctx);
                 self.log_if_late(&server);
                 return;
             };
@@ -215,13 +215,13 @@
                 return;
             }
             self.judge_break(&server, &e).await;
-            let (id, events) = (&self.job.req.head.id, self.last_event);
+            let (id, events) = (&self.ctx.req.head.id, self.last_event);
             event::STREAM_BROKEN.log(format_args!(
                 "request={id} fingerprint={} server={} last_event={events:?} cause=\"{e}\"",
-                self.job.fingerprint(),
+                self.ctx.fingerprint(),
                 server.server.id
             ));
-            self.job.note_lost();
+            self.ctx.note_last_attempt_lost();
             let Some(next) = self.resume().await else {
                 return;
             };
@@ -231,34 +231,34 @@
 
     /// Counts a stream that broke off against its server, its version and the request itself.
     async fn judge_break(&self, server: &Arc<Member>, e: &StreamError) {
-        let (router, job) = (&self.router, &self.job);
+        let (router, ctx) = (&self.router, &self.ctx);
         match e {
             // It may have begun to run, and end the server all the same.
-            StreamError::Quarantined => note_unanswered(router, job, server, Parting::Broken),
+            StreamError::Quarantined => note_unanswered(router, ctx, server, Parting::Broken),
             StreamError::Silent => {
                 server.note_failure(router.now());
-                note_unanswered(router, job, server, Parting::Left);
+                note_unanswered(router, ctx, server, Parting::Left);
                 router.roll_outs.note_silence(&server.server, router.now());
             }
-            _ => note_break(router, job, server).await,
+            _ => note_break(router, ctx, server).await,
         }
     }
 
     /// Asks another server for the rest.
     async fn resume(&mut self) -> Option<OpenAnswer> {
-        if !self.job.route.is_resumable {
+        if !self.ctx.route.is_resumable {
             return None;
         }
         let model = self.model.clone();
-        let ask = Ask { model: model.as_deref(), ..self.ask() };
-        let answer = next_answer(&self.router, &mut self.job, ask).await.ok()?;
+        let params = AttemptParams { model: model.as_deref(), ..self.params() };
+        let answer = next_answer(&self.router, &mut self.ctx, params).await.ok()?;
         (answer.head.kind == AnswerKind::Success).then_some(answer)
     }
 
     /// What another server is asked for.
-    fn ask(&self) -> Ask<'_> {
-        let last_event = self.last_event.or(self.job.req.head.last_event);
-        Ask { model: self.model.as_deref(), last_event }
+    fn params(&self) -> AttemptParams<'_> {
+        let last_event = self.last_event.or(self.ctx.req.head.last_event);
+        AttemptParams { model: self.model.as_deref(), last_event }
     }
 
     /// Passes one server's events on until its stream ends whole.
@@ -268,21 +268,21 @@
         loop {
             let patience = self.patience(&answer.member);
             let next = pin!(answer.body.frame());
-            let deadline = self.job.deadline;
-            let (router, job, server) = (&self.router, &self.job, &answer.member);
-            let ask = self.ask();
-            let mut has_repeat = false;
+            let deadline = self.ctx.deadline;
+            let (router, ctx, server) = (&self.router, &self.ctx, &answer.member);
+            let params = self.params();
+            let mut has_retry = false;
             let may_leave = || {
-                has_repeat = may_go_on(router, job, ask, &server.server.id);
-                has_repeat
+                has_retry = may_go_on(router, ctx, params, &server.server.id);
+                has_retry
             };
             let has_begun = run.first.is_some();
-            let wait = Wait { job, member: server, patience, deadline, has_begun };
+            let wait = Wait { ctx, member: server, patience, deadline, has_begun };
             let frame = wait_for_answer(router, &wait, next, may_leave).await;
-            if has_repeat {
-                self.job.note_repeat();
+            if has_retry {
+                self.ctx.note_retry_taken();
             }
-            let is_withdrawn = || !has_begun && self.router.is_refused(&self.job);
+            let is_withdrawn = || !has_begun && self.router.is_refused(&self.ctx);
             let given_up =
                 || if is_withdrawn() { StreamError::Quarantined } else { StreamError::Silent };
             let Some(frame) = frame.ok_or_else(given_up)? else {
@@ -340,28 +340,28 @@
     }
 
     fn reading_key(&self) -> &str {
-        reading_key(&self.job, Ask { model: self.model.as_deref(), last_event: None })
+        reading_key(&self.ctx, AttemptParams { model: self.model.as_deref(), last_event: None })
     }
 
     /// Logs a stream that ended whole but came later than its route aims at.
     fn log_if_late(&self, server: &Member) {
         let (first, pause) = (self.timing.first_after, self.timing.longest_pause);
         self.router.metrics.first_token.observe(first.as_secs_f64());
-        let total = self.router.now().saturating_sub(self.job.arrived);
+        let total = self.router.now().saturating_sub(self.ctx.arrived_at);
         self.router.metrics.total_time.observe(total.as_secs_f64());
-        let route = &self.job.route;
+        let route = &self.ctx.route;
         let is_late = first > route.objective;
         if !is_late && route.event_gap.is_none_or(|allowed| pause <= allowed) {
             return;
         }
         event::STREAM_LATE.log(format_args!(
             "request={} route={} server={} model={} runs={} prompt_tokens={} first_ms={} pause_ms={}",
-            self.job.req.head.id,
+            self.ctx.req.head.id,
             route.name,
             server.server.id,
             self.model.as_deref().unwrap_or("-"),
-            self.job.runs,
-            self.job.req.head.prompt_tokens,
+            self.ctx.runs,
+            self.ctx.req.head.prompt_tokens,
             first.as_millis(),
             pause.as_millis()
         ));
@@ -376,7 +376,7 @@
 
     /// How long the server's silence is tolerated; without end where nothing else could be done.
     fn patience(&self, server: &Member) -> Option<Patience> {
-        let may_resume = self.job.route.is_resumable && self.job.runs_left() > 0;
-        may_resume.then(|| event_patience(self.job.route.event_gap, server.awaited()))
+        let may_resume = self.ctx.route.is_resumable && self.ctx.runs_left() > 0;
+        may_resume.then(|| event_patience(self.ctx.route.event_gap, server.awaited()))
     }
 }
--- a/src/router/request_context.rs
+++ b/src/router/request_context.rs
@@ -7,13 +7,13 @@
 
 use crate::{
     policy::attempt::{self, AttemptEvent, AttemptState},
-    router::{Router, serve::InFlight},
+    router::{Router, serve::InFlightGuard},
     routing::{Fingerprint, Organisation, Request, Route},
 };
 
 /// A request on its way through this entry.
 #[derive(Debug)]
-pub(crate) struct Job {
+pub(crate) struct RequestContext {
     pub(crate) req: Request,
     pub(crate) route: Arc<Route>,
     /// Service that runs it.
@@ -22,53 +22,53 @@
     /// When the caller or the route gives up, on the entry's clock as all times here.
     pub(crate) deadline: Duration,
     /// When the next answer has to begin, while an earlier stage's answer is in hand.
-    pub(crate) begin_by: Option<Duration>,
+    pub(crate) head_deadline: Option<Duration>,
     /// When it arrived.
-    pub(crate) arrived: Duration,
+    pub(crate) arrived_at: Duration,
     /// Counts it as in flight, also while its stream is passed on.
-    _in_flight: InFlight,
+    _in_flight: InFlightGuard,
     pub(crate) attempts: Vec<AttemptState>,
     /// Attempts that may have run.
     pub(crate) runs: u32,
     /// Attempts that reached a server.
-    pub(super) arrivals: u32,
+    pub(super) deliveries: u32,
     /// Whether a repeated send was taken from the budget and not used yet.
-    pub(super) has_repeat: bool,
-    pub(super) tried: Vec<Box<str>>,
+    pub(super) has_retry: bool,
+    pub(super) tried_servers: Vec<Box<str>>,
     /// Servers that could not be reached.
-    pub(super) unreachable: Vec<Box<str>>,
+    pub(super) unreachable_servers: Vec<Box<str>>,
     /// Whether it is sent once to see whether it still ends servers.
-    pub(crate) is_trial: bool,
+    pub(crate) is_quarantine_trial: bool,
     /// Computed when it is first asked for: most requests never need it.
     fingerprint: OnceLock<Fingerprint>,
 }
 
-impl Job {
+impl RequestContext {
     pub(crate) fn new(
         req: Request,
         route: Arc<Route>,
         service: Box<str>,
         organisation: Option<Arc<Organisation>>,
         wait: Duration,
-        in_flight: InFlight,
+        in_flight: InFlightGuard,
     ) -> Self {
-        let (attempts, tried) = (Vec::new(), Vec::new());
+        let (attempts, tried_servers) = (Vec::new(), Vec::new());
         Self {
             req,
             route,
             service,
             organisation,
-            deadline: in_flight.arrived + wait,
-            begin_by: None,
-            arrived: in_flight.arrived,
+            deadline: in_flight.arrived_at + wait,
+            head_deadline: None,
+            arrived_at: in_flight.arrived_at,
             _in_flight: in_flight,
             attempts,
             runs: 0,
-            arrivals: 0,
-            has_repeat: false,
-            tried,
-            unreachable: Vec::new(),
-            is_trial: false,
+            deliveries: 0,
+            has_retry: false,
+            tried_servers,
+            unreachable_servers: Vec::new(),
+            is_quarantine_trial: false,
             fingerprint: OnceLock::new(),
         }
     }
@@ -88,38 +88,38 @@
     }
 
     /// When servers are waited for no longer.
-    pub(super) fn wait_ends(&self) -> Duration {
-        self.begin_by.unwrap_or(self.deadline)
+    pub(super) fn attempt_deadline(&self) -> Duration {
+        self.head_deadline.unwrap_or(self.deadline)
     }
 
     /// Takes a repeated send from the budget, unless one is in hand; false when there is none.
-    pub(super) fn take_repeat(&mut self, router: &Router) -> bool {
-        self.has_repeat = self.has_repeat || router.try_repeat(&self.service);
-        self.has_repeat
+    pub(super) fn take_retry(&mut self, router: &Router) -> bool {
+        self.has_retry = self.has_retry || router.try_repeat(&self.service);
+        self.has_retry
     }
 
     /// Whether a server could not be reached for this request. With the last one of a service gone, each request
     /// asked it 10 to 12 times within 40 ms, and logged each time, before it was refused.
     pub(super) fn is_unreachable(&self, server: &str) -> bool {
-        self.unreachable.iter().any(|unreachable| **unreachable == *server)
+        self.unreachable_servers.iter().any(|unreachable_servers| **unreachable_servers == *server)
     }
 
     /// The next send in metrics.
-    pub(crate) fn kind_of_send(&self) -> &'static str {
+    pub(crate) fn send_kind(&self) -> &'static str {
         if self.attempts.is_empty() { "first" } else { "further" }
     }
 
     pub(super) fn has_tried(&self, server: &str) -> bool {
-        self.tried.iter().any(|tried| **tried == *server)
+        self.tried_servers.iter().any(|tried_servers| **tried_servers == *server)
     }
 
     /// Notes that a repeated send was taken from the budget for what comes next.
-    pub(crate) fn note_repeat(&mut self) {
-        self.has_repeat = true;
+    pub(crate) fn note_retry_taken(&mut self) {
+        self.has_retry = true;
     }
 
     /// Notes that an attempt which had been sent came to nothing.
-    pub(crate) fn note_lost(&mut self) {
+    pub(crate) fn note_last_attempt_lost(&mut self) {
         if let Some(last) = self.attempts.last_mut() {
             *last = attempt::advance(*last, AttemptEvent::LinkLost);
         }
@@ -133,7 +133,7 @@
 
 /// What an attempt is to ask for.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Ask<'a> {
+pub(crate) struct AttemptParams<'a> {
     /// Model that we chose.
     pub(crate) model: Option<&'a str>,
     /// Last event the caller has.
--- a/src/router/response_wait.rs
+++ b/src/router/response_wait.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     policy::patience::Patience,
-    router::{Member, Router, request_context::Job},
+    router::{Member, Router, request_context::RequestContext},
 };
 
 /// Time between looks at whether a slow server still answers others.
@@ -13,7 +13,7 @@
 /// What is waited for at a server, and how long.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Wait<'a> {
-    pub(crate) job: &'a Job,
+    pub(crate) ctx: &'a RequestContext,
     pub(crate) member: &'a Member,
     /// How long silence is tolerated; none where nothing else could be done.
     pub(crate) patience: Option<Patience>,
@@ -37,7 +37,7 @@
         if wait.has_begun {
             std::future::pending::<()>().await;
         }
-        router.until_refused(wait.job).await;
+        router.until_refused(wait.ctx).await;
     };
     tokio::select! {
         // What has come is taken, also from a life that has ended since.
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -13,7 +13,7 @@
     },
     router::{
         Fleet, Member, Router,
-        request_context::{Ask, Job},
+        request_context::{AttemptParams, RequestContext},
     },
     routing::is_home,
 };
@@ -21,42 +21,47 @@
 /// The server that an attempt would be sent to now, among those that may be asked.
 pub(crate) fn pick(
     router: &Router,
-    job: &Job,
-    ask: Ask<'_>,
+    ctx: &RequestContext,
+    params: AttemptParams<'_>,
     may_be: impl Fn(&str) -> bool,
 ) -> Option<Arc<Member>> {
     let fleet = router.fleet.load();
     let settings = router.settings.load();
     let now = router.now();
-    let mut members = able(router, job, ask, &fleet);
+    let mut members = able(router, ctx, params, &fleet);
     members.retain(|member| may_be(&member.server.id));
-    let members = available(router, &job.service, members);
-    if router.standing(job) != Standing::Free {
-        return place_suspect(job, &members).cloned();
+    let members = available(router, &ctx.service, members);
+    if router.standing(ctx) != Standing::Free {
+        return place_suspect(ctx, &members).cloned();
     }
-    let marks = marks(job, ask);
+    let marks = marks(ctx, params);
     let candidate = |m: &&Arc<Member>| m.candidate(&settings.zone, &marks, now);
     let candidates: Vec<_> = members.iter().map(candidate).collect();
-    let chosen = place(&candidates, &work(router, job, ask), &router.policy.placement)?;
+    let chosen = place(&candidates, &work(router, ctx, params), &router.policy.placement)?;
     Some(members[chosen].clone())
 }
 
 /// The servers that may run a request, whether they are available or not.
-fn able<'a>(router: &Router, job: &Job, ask: Ask<'_>, fleet: &'a Fleet) -> Vec<&'a Arc<Member>> {
+fn able<'a>(
+    router: &Router,
+    ctx: &RequestContext,
+    params: AttemptParams<'_>,
+    fleet: &'a Fleet,
+) -> Vec<&'a Arc<Member>> {
     let settings = router.settings.load();
     // Asked anew for each attempt: a roll-out may have begun since the last one.
-    let versions = router.roll_outs.rule(&job.service, &job.req.head, router.now());
-    let members = fleet.of_service(&job.service);
+    let versions = router.roll_outs.rule(&ctx.service, &ctx.req.head, router.now());
+    let members = fleet.of_service(&ctx.service);
     let versions = versions.or_any_if_missing(members.iter().map(|m| &*m.server.version));
     let is_able = |member: &&Arc<Member>| {
         let server = &member.server;
-        let has_model = ask.model.is_none_or(|model| {
+        let has_model = params.model.is_none_or(|model| {
             server.models.is_empty() || server.models.iter().any(|m| **m == *model)
         });
         has_model
             && is_home(
-                &job.route,
-                job.organisation.as_deref(),
+                &ctx.route,
+                ctx.organisation.as_deref(),
                 settings.regions.get(&server.zone).map(|region| &**region),
             )
             && versions.allows(&server.version)
@@ -68,12 +73,12 @@
 /// where nobody knows when.
 pub(crate) fn unavailable_for(
     router: &Router,
-    job: &Job,
-    ask: Ask<'_>,
+    ctx: &RequestContext,
+    params: AttemptParams<'_>,
 ) -> Option<(Cause, Duration)> {
-    let check = router.check_service(&job.service);
+    let check = router.check_service(&ctx.service);
     let fleet = router.fleet.load();
-    let members = able(router, job, ask, &fleet).into_iter();
+    let members = able(router, ctx, params, &fleet).into_iter();
     let waits = members.filter_map(|member| {
         let availability = check.availability(member);
         Some((availability.wait(check.now())?, availability))
@@ -105,8 +110,8 @@
 /// The server for a request under which servers crashed, by rendezvous hashing: all entries send it to the same
 /// one, so that it crashes one server at a time, and send what else was there to others, so that the next crash
 /// distinguishes them.
-fn place_suspect<'a>(job: &Job, members: &[&'a Arc<Member>]) -> Option<&'a Arc<Member>> {
-    let seed = job.fingerprint().0 as u64;
+fn place_suspect<'a>(ctx: &RequestContext, members: &[&'a Arc<Member>]) -> Option<&'a Arc<Member>> {
+    let seed = ctx.fingerprint().0 as u64;
     let hash = |member: &&&Arc<Member>| xxh3_64_with_seed(&member.id_hash().to_le_bytes(), seed);
     members.iter().max_by_key(hash).copied()
 }
@@ -121,12 +126,16 @@
 }
 
 /// Estimates a request that would be sent now; a whole prompt with nothing before it where there is no server.
-pub(crate) fn estimate(router: &Router, job: &Job, ask: Ask<'_>) -> Expected {
-    let belief = router.readings.get(reading_key(job, ask));
-    let prompt_tokens = job.req.head.prompt_tokens;
-    let (ahead, kept) = match pick(router, job, ask, |_| true) {
+pub(crate) fn estimate(
+    router: &Router,
+    ctx: &RequestContext,
+    params: AttemptParams<'_>,
+) -> Expected {
+    let belief = router.readings.get(reading_key(ctx, params));
+    let prompt_tokens = ctx.req.head.prompt_tokens;
+    let (ahead, kept) = match pick(router, ctx, params, |_| true) {
         Some(member) => {
-            let kept = member.record().kept.kept_tokens(&marks(job, ask));
+            let kept = member.record().kept.kept_tokens(&marks(ctx, params));
             (member.backlog(router.now()), kept)
         }
         None => (Duration::ZERO, 0),
@@ -139,21 +148,21 @@
 }
 
 /// The parts of the prompt that other requests may share.
-pub(crate) fn marks(job: &Job, ask: Ask<'_>) -> Vec<PromptMark> {
-    if !job.route.is_sticky {
+pub(crate) fn marks(ctx: &RequestContext, params: AttemptParams<'_>) -> Vec<PromptMark> {
+    if !ctx.route.is_sticky {
         return Vec::new();
     }
-    shared_marks(reading_key(job, ask), &job.req.head.parts)
+    shared_marks(reading_key(ctx, params), &ctx.req.head.parts)
 }
 
 /// What is to be placed. Requests for one model that share their prompt's parts belong together.
-fn work(router: &Router, job: &Job, ask: Ask<'_>) -> Work {
-    let key = reading_key(job, ask);
+fn work(router: &Router, ctx: &RequestContext, params: AttemptParams<'_>) -> Work {
+    let key = reading_key(ctx, params);
     let token_time = router.readings.get(key).token_time();
-    let bytes = job.req.body.len();
-    let parts = &job.req.head.parts;
-    let draw = hash_id(&job.req.head.id);
-    let Some(last_shared) = job.req.head.shared_part().filter(|_| job.route.is_sticky) else {
+    let bytes = ctx.req.body.len();
+    let parts = &ctx.req.head.parts;
+    let draw = hash_id(&ctx.req.head.id);
+    let Some(last_shared) = ctx.req.head.shared_part().filter(|_| ctx.route.is_sticky) else {
         return Work { token_time, bytes, draw, ..Work::default() };
     };
     Work {
@@ -166,6 +175,6 @@
 }
 
 /// What head times are learned by: the model, or the service where there is none.
-pub(crate) fn reading_key<'a>(job: &'a Job, ask: Ask<'a>) -> &'a str {
-    ask.model.or(job.req.head.model.as_deref()).unwrap_or(&job.service)
+pub(crate) fn reading_key<'a>(ctx: &'a RequestContext, params: AttemptParams<'a>) -> &'a str {
+    params.model.or(ctx.req.head.model.as_deref()).unwrap_or(&ctx.service)
 }
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -11,7 +11,7 @@
 use crate::{
     platform::headers::{read_request, request_id},
     policy::exposure::draw,
-    router::{Router, body::AnswerBody, refusal::Refusal, relay, request_context::Job},
+    router::{Router, body::AnswerBody, refusal::Refusal, relay, request_context::RequestContext},
     routing::{CallerLimits, Organisation, Request, RequestHead, Route, RoutingTable},
     telemetry::event,
 };
@@ -26,20 +26,20 @@
 
 /// A request that has arrived; leaves the count of requests in flight when dropped.
 #[derive(Debug)]
-pub(crate) struct InFlight {
+pub(crate) struct InFlightGuard {
     router: Arc<Router>,
     /// When it arrived, on the entry's clock.
-    pub(crate) arrived: Duration,
+    pub(crate) arrived_at: Duration,
 }
 
-impl InFlight {
+impl InFlightGuard {
     fn enter(router: &Arc<Router>) -> Self {
         router.enter();
-        Self { router: router.clone(), arrived: router.now() }
+        Self { router: router.clone(), arrived_at: router.now() }
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.router.leave();
     }
@@ -75,7 +75,7 @@
     connected_at: Duration,
 ) -> Result<Response<AnswerBody>, Refusal> {
     router.notice_suspension();
-    let in_flight = InFlight::enter(router);
+    let in_flight = InFlightGuard::enter(router);
     let (parts, body) = req.into_parts();
     let head =
         read_request(&parts.method, &parts.uri, &parts.headers).map_err(|_| Refusal::Malformed)?;
@@ -94,8 +94,8 @@
     let service = choose_service(&route, &head);
     router.note_request(&service);
     let req = Request { head, body };
-    let job = Job::new(req, route, service, organisation, wait, in_flight);
-    relay::answer(router, job).await
+    let ctx = RequestContext::new(req, route, service, organisation, wait, in_flight);
+    relay::answer(router, ctx).await
 }
 
 /// The request's route and Organisation, if the configuration allows it.
--- a/src/router/server_ends.rs
+++ b/src/router/server_ends.rs
@@ -9,7 +9,7 @@
 use tokio::{net::TcpStream, time::timeout};
 
 use crate::{
-    router::{Member, Router, request_context::Job, roll_out::RunOutcome},
+    router::{Member, Router, request_context::RequestContext, roll_out::RunOutcome},
     routing::Fingerprint,
     telemetry::event,
 };
@@ -43,7 +43,7 @@
 
 /// Notes that a request's connection to a server broke before its answer was whole, looks whether the server
 /// ended, and judges its version by it.
-pub(super) async fn note_break(router: &Router, job: &Job, member: &Arc<Member>) {
+pub(super) async fn note_break(router: &Router, ctx: &RequestContext, member: &Arc<Member>) {
     let now = router.now();
     member.note_failure(now);
     if member.is_draining() {
@@ -54,7 +54,7 @@
         router.roll_outs.note_outcome(&member.server, RunOutcome::Failed);
         return;
     }
-    note_unanswered(router, job, member, Parting::Broken);
+    note_unanswered(router, ctx, member, Parting::Broken);
     if has_ended(router, member).await {
         // All that ran there broke off, which says one thing about the version and not thirty.
         router.roll_outs.note_silence(&member.server, router.now());
@@ -64,8 +64,13 @@
 }
 
 /// Notes that a request got no answer from a server, which may end or have ended.
-pub(super) fn note_unanswered(router: &Router, job: &Job, member: &Member, parting: Parting) {
-    let (fingerprint, now) = (job.fingerprint(), router.now());
+pub(super) fn note_unanswered(
+    router: &Router,
+    ctx: &RequestContext,
+    member: &Member,
+    parting: Parting,
+) {
+    let (fingerprint, now) = (ctx.fingerprint(), router.now());
     let mut breaks = member.breaks();
     if breaks.has_ended(now) && parting == Parting::Broken {
         drop(breaks);
