--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -26,36 +26,36 @@
 
 /// Counts a request as being at a server until it is dropped.
 #[derive(Debug)]
-pub(crate) struct AtServer {
+pub(crate) struct OutstandingGuard {
     member: Arc<Member>,
     /// Time for its prompt.
-    reading: Duration,
+    prefill_time: Duration,
     /// Whether its answer has begun.
-    is_answered: bool,
+    has_begun: bool,
 }
 
-impl AtServer {
-    fn enter(member: &Arc<Member>, reading: Duration) -> Self {
+impl OutstandingGuard {
+    fn new(member: &Arc<Member>, prefill_time: Duration) -> Self {
         let mut record = member.record();
         record.load.own += 1;
         record.unanswered += 1;
-        record.backlog += reading;
+        record.backlog += prefill_time;
         drop(record);
-        Self { member: member.clone(), reading, is_answered: false }
+        Self { member: member.clone(), prefill_time, has_begun: false }
     }
 
     /// Notes that an answer has begun, or that none is waited for any more.
     fn note_begun(&mut self) {
-        if std::mem::replace(&mut self.is_answered, true) {
+        if std::mem::replace(&mut self.has_begun, true) {
             return;
         }
         let mut record = self.member.record();
         record.unanswered -= 1;
-        record.backlog = record.backlog.saturating_sub(self.reading);
+        record.backlog = record.backlog.saturating_sub(self.prefill_time);
     }
 }
 
-impl Drop for AtServer {
+impl Drop for OutstandingGuard {
     fn drop(&mut self) {
         self.note_begun();
         self.member.record().load.own -= 1;
@@ -66,17 +66,17 @@
 ///
 /// Dropping it closes the connection, which stops the server's work.
 #[derive(Debug)]
-pub(crate) struct OpenAnswer {
+pub(crate) struct OpenResponse {
     pub(crate) head: AnswerHead,
     pub(crate) body: Incoming,
     pub(crate) member: Arc<Member>,
     /// Whether its head took several times longer than such heads do.
     pub(crate) is_slow: bool,
     connection: Connection,
-    _at_server: AtServer,
+    _outstanding: OutstandingGuard,
 }
 
-impl OpenAnswer {
+impl OpenResponse {
     /// Gives the connection back once the body was read to its end.
     pub(crate) fn finish(self, now: Duration) {
         if !self.head.closes {
@@ -111,7 +111,7 @@
     Quarantined,
     /// What came is not the server's answer to this request; it may have run.
     #[error("the answer is not its server's or belongs to another request")]
-    Foreign,
+    WrongResponse,
 }
 
 impl AttemptError {
@@ -126,25 +126,25 @@
 
 /// How an attempt is to be made.
 #[derive(Debug)]
-pub(crate) struct Plan<'a> {
+pub(crate) struct AttemptPlan<'a> {
     pub(crate) member: &'a Arc<Member>,
     pub(crate) headers: AttemptHeaders<'a>,
     pub(crate) is_once_only: bool,
     /// What head times are learned by: the model, or the service where there is none.
-    pub(crate) reading_key: &'a str,
+    pub(crate) latency_key: &'a str,
     /// Parts of the prompt that other requests may share.
     pub(crate) marks: &'a [PromptMark],
     /// How many of these the server kept before.
     pub(crate) kept_marks: usize,
     /// Tokens of the prompt that the server has to read.
-    pub(crate) unread_tokens: u64,
+    pub(crate) uncached_tokens: u64,
     /// How long its silence is tolerated; none where no other server may be tried after.
     pub(crate) patience: Option<Patience>,
     /// When the request is given up in any case.
     pub(crate) deadline: Duration,
 }
 
-impl Plan<'_> {
+impl AttemptPlan<'_> {
     /// Parts that the server did not keep before this attempt.
     fn new_marks(&self) -> &[PromptMark] {
         &self.marks[self.kept_marks..]
@@ -155,32 +155,32 @@
 pub(crate) async fn send(
     router: &Router,
     ctx: &RequestContext,
-    plan: &Plan<'_>,
-    may_leave: impl FnMut() -> bool,
-) -> Result<OpenAnswer, AttemptError> {
-    let reading = router.readings.get(plan.reading_key).reading_time(plan.unread_tokens);
+    plan: &AttemptPlan<'_>,
+    can_fail_over: impl FnMut() -> bool,
+) -> Result<OpenResponse, AttemptError> {
+    let prefill_time = router.readings.get(plan.latency_key).reading_time(plan.uncached_tokens);
     let ahead = plan.member.backlog(router.now());
-    let mut at_server = AtServer::enter(plan.member, reading);
+    let mut outstanding = OutstandingGuard::new(plan.member, prefill_time);
     let sent_at = router.now();
-    note_sent(router, plan);
+    note_prompt_sent(router, plan);
     router.count_unavailable_send(plan.member, ctx.send_kind());
     // By the runtime's clock: a suspension says nothing about the server's pace.
     let began = Instant::now();
-    let outcome = exchange(router, ctx, plan, may_leave).await;
+    let outcome = send_request(router, ctx, plan, can_fail_over).await;
     if let Err(e) = &outcome {
         note_error(router, plan.member, e);
         plan.member.record().kept.forget(plan.new_marks());
     }
     let (connection, res) = outcome?;
-    at_server.note_begun();
+    outstanding.note_begun();
     plan.member.note_received(router.now());
     let (parts, body) = res.into_parts();
     let head = read_answer(parts.status, &parts.headers, &ctx.req.head.id);
-    note_head(router, plan.member, &head, &ctx.req.head.id, sent_at);
-    let (tokens, took) = (plan.unread_tokens, began.elapsed());
-    let is_slow = router.readings.get(plan.reading_key).is_slow(tokens, took);
+    note_response_head(router, plan.member, &head, &ctx.req.head.id, sent_at);
+    let (tokens, took) = (plan.uncached_tokens, began.elapsed());
+    let is_slow = router.readings.get(plan.latency_key).is_slow(tokens, took);
     if head.kind == AnswerKind::Success {
-        router.readings.note_head_time(plan.reading_key, tokens, ahead, took);
+        router.readings.note_head_time(plan.latency_key, tokens, ahead, took);
     }
     if let Some(load) = head.load {
         plan.member.record().load.note_report(load, router.now());
@@ -189,15 +189,16 @@
     if !matches!(head.kind, AnswerKind::Success) {
         member.record().kept.forget(plan.new_marks());
     }
-    let answer = OpenAnswer { head, body, member, is_slow, connection, _at_server: at_server };
-    sort(answer)
+    let answer =
+        OpenResponse { head, body, member, is_slow, connection, _outstanding: outstanding };
+    check_response(answer)
 }
 
 /// Notes which parts of the prompt the server will keep, and lets the other entries know.
-fn note_sent(router: &Router, plan: &Plan<'_>) {
+fn note_prompt_sent(router: &Router, plan: &AttemptPlan<'_>) {
     let now = router.now();
     let mut record = plan.member.record();
-    record.kept.note_sent(plan.marks, plan.unread_tokens);
+    record.kept.note_sent(plan.marks, plan.uncached_tokens);
     let to_report = record.kept.to_report(plan.marks, now);
     drop(record);
     if let Some(mark) = to_report {
@@ -207,7 +208,7 @@
 }
 
 /// Turns answers that are no answer to this request into errors.
-fn sort(answer: OpenAnswer) -> Result<OpenAnswer, AttemptError> {
+fn check_response(answer: OpenResponse) -> Result<OpenResponse, AttemptError> {
     match answer.head.kind {
         AnswerKind::Success | AnswerKind::Failure => Ok(answer),
         AnswerKind::NotRun => {
@@ -218,11 +219,11 @@
             answer.member.record().is_replaced = true;
             Err(AttemptError::OtherServer)
         }
-        AnswerKind::Misplaced | AnswerKind::Unsigned => Err(AttemptError::Foreign),
+        AnswerKind::Misplaced | AnswerKind::Unsigned => Err(AttemptError::WrongResponse),
     }
 }
 
-fn note_head(
+fn note_response_head(
     router: &Router,
     member: &Member,
     head: &AnswerHead,
@@ -255,15 +256,15 @@
     }
 }
 
-type Exchanged = (Connection, http::Response<Incoming>);
+type ConnectionAndHead = (Connection, http::Response<Incoming>);
 
-async fn exchange(
+async fn send_request(
     router: &Router,
     ctx: &RequestContext,
-    plan: &Plan<'_>,
-    mut may_leave: impl FnMut() -> bool,
-) -> Result<Exchanged, AttemptError> {
-    let mut message = build(&ctx.req, plan);
+    plan: &AttemptPlan<'_>,
+    mut can_fail_over: impl FnMut() -> bool,
+) -> Result<ConnectionAndHead, AttemptError> {
+    let mut message = build_request(&ctx.req, plan);
     let wait = Wait {
         ctx,
         member: plan.member,
@@ -279,7 +280,7 @@
             return Err(AttemptError::Unavailable(cause));
         }
         let send = pin!(connection.try_send_request(message));
-        let sent = wait_for_answer(router, &wait, send, &mut may_leave).await;
+        let sent = wait_for_answer(router, &wait, send, &mut can_fail_over).await;
         let given_up = || {
             if router.is_refused(ctx) { AttemptError::Quarantined } else { AttemptError::Timeout }
         };
@@ -298,7 +299,7 @@
     }
 }
 
-fn build(req: &Request, plan: &Plan<'_>) -> HttpRequest<Full<Bytes>> {
+fn build_request(req: &Request, plan: &AttemptPlan<'_>) -> HttpRequest<Full<Bytes>> {
     let mut message = HttpRequest::new(Full::new(req.body.clone()));
     *message.method_mut() = req.head.method.clone();
     *message.uri_mut() = req.head.uri.clone();
--- a/src/router/body.rs
+++ b/src/router/body.rs
@@ -63,20 +63,20 @@
 
 /// An answer's body.
 #[derive(Debug)]
-pub(crate) enum AnswerBody {
+pub(crate) enum ResponseBody {
     /// All of it is here.
     Whole(Full<Bytes>),
     /// It comes event by event.
     Stream(StreamBody),
 }
 
-impl AnswerBody {
+impl ResponseBody {
     pub(crate) fn whole(bytes: impl Into<Bytes>) -> Self {
         Self::Whole(Full::new(bytes.into()))
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = BrokenOff;
 
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -11,12 +11,12 @@
     },
     router::{
         Member, Router,
-        attempt::{AttemptError, OpenAnswer, Plan, send},
+        attempt::{AttemptError, AttemptPlan, OpenResponse, send},
         availability::Taken,
         refusal::Refusal,
         request_context::{AttemptParams, RequestContext},
         roll_out::RunOutcome,
-        selection::{marks, pick, reading_key, unavailable_for},
+        selection::{latency_key, marks, pick, unavailable_for},
         server_ends::{Parting, note_break, note_unanswered},
     },
     routing::{AnswerKind, RouteKind},
@@ -25,29 +25,29 @@
 
 /// Sends of one request that reach a server at most, refused ones included: with more, a full
 /// pool would be asked over and over.
-const MOST_ARRIVALS: u32 = 5;
+const MAX_DELIVERIES: u32 = 5;
 /// Servers that one request is tried at, those included that can't be reached: these cost a round
 /// trip each, and half of a pool may be gone before the list says so.
-const MOST_TRIES: usize = 12;
+const MAX_ATTEMPTS: usize = 12;
 /// Least time left with which a server is still asked.
-const LEAST_TIME: Duration = Duration::from_millis(20);
+const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
 
 /// Tries servers until one answers; the answer may be the server's own failure.
-pub(crate) async fn next_answer(
+pub(crate) async fn send_until_answered(
     router: &Router,
     ctx: &mut RequestContext,
     params: AttemptParams<'_>,
-) -> Result<OpenAnswer, Refusal> {
+) -> Result<OpenResponse, Refusal> {
     let mut failed = None;
     loop {
         if router.notice_suspension() || !router.is_view_fresh() {
             router.wait_for_view().await;
         }
         let Some(member) = next_server(router, ctx, params) else {
-            return failed.ok_or_else(|| refusal(router, ctx, params));
+            return failed.ok_or_else(|| refusal_after_attempts(router, ctx, params));
         };
         if ctx.deliveries > 0 && !ctx.take_retry(router) {
-            return failed.ok_or_else(|| refusal(router, ctx, params));
+            return failed.ok_or_else(|| refusal_after_attempts(router, ctx, params));
         }
         match router.take_send(&member) {
             Taken::Unlimited => {}
@@ -55,7 +55,7 @@
             // The choice is made anew.
             Taken::Denied => continue,
         }
-        match try_at(router, ctx, &member, params).await {
+        match attempt_at(router, ctx, &member, params).await {
             Ok(answer) if answer.head.kind == AnswerKind::Success => return Ok(answer),
             Ok(answer) => failed = Some(answer),
             Err(e) => {
@@ -71,10 +71,14 @@
 }
 
 /// What the caller gets when nothing more is tried.
-fn refusal(router: &Router, ctx: &RequestContext, params: AttemptParams<'_>) -> Refusal {
+fn refusal_after_attempts(
+    router: &Router,
+    ctx: &RequestContext,
+    params: AttemptParams<'_>,
+) -> Refusal {
     match judge(&ctx.attempts) {
         Verdict::NotRun if router.is_refused(ctx) => {
-            Refusal::EndsServers { retry_after: router.refused_for(ctx) }
+            Refusal::Quarantined { retry_after: router.refused_for(ctx) }
         }
         Verdict::NotRun => {
             let retry_after = router.note_refusal(&ctx.service, &ctx.req.head.id);
@@ -83,12 +87,12 @@
             };
             if cause == Cause::RateLimited {
                 router.metrics.count_limited("refused");
-                return Refusal::Limited { retry_after: retry_after.max(wait) };
+                return Refusal::RateLimited { retry_after: retry_after.max(wait) };
             }
             // Spread, so that callers don't come back together when the first pause ends.
             Refusal::Unavailable { cause, retry_after: wait + retry_after }
         }
-        _ if ctx.time_left(router) < LEAST_TIME => Refusal::TimedOut,
+        _ if ctx.time_left(router) < MIN_TIME_LEFT => Refusal::TimedOut,
         _ => Refusal::Lost,
     }
 }
@@ -101,9 +105,9 @@
 ) -> Option<Arc<Member>> {
     let may = may_send_again(&ctx.attempts, ctx.route.is_idempotent())
         && ctx.runs_left() > 0
-        && ctx.deliveries < MOST_ARRIVALS
-        && ctx.attempts.len() < MOST_TRIES
-        && router.now() + LEAST_TIME < ctx.attempt_deadline()
+        && ctx.deliveries < MAX_DELIVERIES
+        && ctx.attempts.len() < MAX_ATTEMPTS
+        && router.now() + MIN_TIME_LEFT < ctx.attempt_deadline()
         && !router.is_refused(ctx)
         && !(ctx.is_quarantine_trial && ctx.runs > 0);
     if !may {
@@ -115,37 +119,37 @@
 
 /// Whether the request could go on at another server than this one; takes the repeated send that
 /// it needs from the budget.
-pub(crate) fn may_go_on(
+pub(crate) fn reserve_failover(
     router: &Router,
     ctx: &RequestContext,
     params: AttemptParams<'_>,
-    silent: &str,
+    current: &str,
 ) -> bool {
-    pick(router, ctx, params, |server| server != silent && !ctx.has_tried(server)).is_some()
+    pick(router, ctx, params, |server| server != current && !ctx.has_tried(server)).is_some()
         && router.try_repeat(&ctx.service)
 }
 
-async fn try_at(
+async fn attempt_at(
     router: &Router,
     ctx: &mut RequestContext,
     member: &Arc<Member>,
     params: AttemptParams<'_>,
-) -> Result<OpenAnswer, AttemptError> {
-    let may_go_elsewhere = ctx.route.is_idempotent() && ctx.runs_left() > 1;
-    let key = reading_key(ctx, params);
+) -> Result<OpenResponse, AttemptError> {
+    let allows_failover = ctx.route.is_idempotent() && ctx.runs_left() > 1;
+    let key = latency_key(ctx, params);
     let belief = router.readings.get(key);
     let marks = marks(ctx, params);
     let prompt_tokens = ctx.req.head.prompt_tokens;
     let kept_marks = member.record().kept.kept_marks(&marks);
     let kept_tokens: u64 = marks[..kept_marks].iter().map(|mark| mark.tokens).sum();
-    let unread_tokens = prompt_tokens.saturating_sub(kept_tokens);
+    let uncached_tokens = prompt_tokens.saturating_sub(kept_tokens);
     // What is believed to be kept may be gone: the time for the whole prompt is allowed.
-    let reading = belief.reading_time(prompt_tokens);
+    let prefill_time = belief.reading_time(prompt_tokens);
     let (kind, objective) = (ctx.route.kind, ctx.route.objective);
     // This one is awaited there, too.
     let awaited = member.awaited() + 1;
-    let patience = head_patience(kind, objective, belief.head_time(), reading, awaited);
-    let plan = Plan {
+    let patience = head_patience(kind, objective, belief.head_time(), prefill_time, awaited);
+    let plan = AttemptPlan {
         member,
         headers: AttemptHeaders {
             server: &member.server.id,
@@ -156,21 +160,21 @@
             last_event: params.last_event,
         },
         is_once_only: !ctx.route.is_idempotent(),
-        reading_key: key,
+        latency_key: key,
         marks: &marks,
         kept_marks,
-        unread_tokens,
-        patience: may_go_elsewhere.then_some(patience),
+        uncached_tokens,
+        patience: allows_failover.then_some(patience),
         deadline: ctx.attempt_deadline(),
     };
     let mut has_retry = false;
-    let may_leave = || {
-        has_retry = may_go_on(router, ctx, params, &member.server.id);
+    let can_fail_over = || {
+        has_retry = reserve_failover(router, ctx, params, &member.server.id);
         has_retry
     };
     router.roll_outs.log_trial(&member.server, &ctx.req.head, router.now());
-    let result = send(router, ctx, &plan, may_leave).await;
-    let (state, outcome) = sum_up(&result);
+    let result = send(router, ctx, &plan, can_fail_over).await;
+    let (state, outcome) = classify_result(&result);
     router.metrics.count_attempt(&member.server.version, outcome);
     ctx.attempts.push(state);
     ctx.tried_servers.push(member.server.id.clone());
@@ -184,13 +188,13 @@
     }
     if !matches!(&result, Err(e) if e.proves_not_run()) {
         ctx.runs += 1;
-        judge_run(router, ctx, member, &result).await;
+        note_run_outcome(router, ctx, member, &result).await;
     }
     result
 }
 
 /// State of an attempt after its result, and the word for it in metrics.
-fn sum_up(result: &Result<OpenAnswer, AttemptError>) -> (AttemptState, &'static str) {
+fn classify_result(result: &Result<OpenResponse, AttemptError>) -> (AttemptState, &'static str) {
     let sent = attempt::advance(attempt::fresh(), AttemptEvent::Sent);
     match result {
         Ok(answer) if answer.head.kind == AnswerKind::Success => {
@@ -203,11 +207,11 @@
 }
 
 /// Counts an attempt that may have run for or against its server, its version and the request itself.
-async fn judge_run(
+async fn note_run_outcome(
     router: &Router,
     ctx: &RequestContext,
     member: &Arc<Member>,
-    result: &Result<OpenAnswer, AttemptError>,
+    result: &Result<OpenResponse, AttemptError>,
 ) {
     let outcome = match result {
         // It may have begun to run, and end the server all the same.
--- a/src/router/refusal.rs
+++ b/src/router/refusal.rs
@@ -4,7 +4,7 @@
 
 use http::{HeaderValue, Response, StatusCode, header};
 
-use crate::{policy::availability::Cause, router::body::AnswerBody};
+use crate::{policy::availability::Cause, router::body::ResponseBody};
 
 /// Why a request gets no server's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
@@ -16,9 +16,9 @@
     #[error("no key, or one that no organisation has")]
     UnknownKey,
     #[error("the body is too large")]
-    TooLarge,
+    BodyTooLarge,
     #[error("the body did not arrive in time")]
-    SlowBody,
+    BodyTimeout,
     /// Did not run and never will.
     #[error("no configuration yet")]
     NoConfiguration,
@@ -36,7 +36,7 @@
     },
     /// Did not run and never will.
     #[error("its servers take no more requests now, back in {retry_after:?}")]
-    Limited {
+    RateLimited {
         /// When one of them can be expected to take it.
         retry_after: Duration,
     },
@@ -50,7 +50,7 @@
     },
     /// Did not run in this try.
     #[error("servers ended under this request, which is refused for {retry_after:?}")]
-    EndsServers {
+    Quarantined {
         /// When it may be tried again.
         retry_after: Duration,
     },
@@ -63,7 +63,7 @@
 }
 
 /// Time after which a caller may try again that came before the configuration.
-const RETRY_AFTER: Duration = Duration::from_millis(200);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 impl Refusal {
     /// Status of the answer.
@@ -72,14 +72,14 @@
             Self::Malformed => StatusCode::BAD_REQUEST,
             Self::NoRoute => StatusCode::NOT_FOUND,
             Self::UnknownKey => StatusCode::UNAUTHORIZED,
-            Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::SlowBody => StatusCode::REQUEST_TIMEOUT,
+            Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            Self::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
             Self::NoConfiguration
             | Self::Leaving { .. }
             | Self::NotRun { .. }
-            | Self::Limited { .. }
+            | Self::RateLimited { .. }
             | Self::Unavailable { .. }
-            | Self::EndsServers { .. } => StatusCode::SERVICE_UNAVAILABLE,
+            | Self::Quarantined { .. } => StatusCode::SERVICE_UNAVAILABLE,
             Self::Lost => StatusCode::BAD_GATEWAY,
             Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
         }
@@ -91,14 +91,14 @@
             Self::Malformed => "malformed",
             Self::NoRoute => "no_route",
             Self::UnknownKey => "unknown_key",
-            Self::TooLarge => "too_large",
-            Self::SlowBody => "slow_body",
+            Self::BodyTooLarge => "too_large",
+            Self::BodyTimeout => "slow_body",
             Self::NoConfiguration => "no_configuration",
             Self::Leaving { .. } => "leaving",
             Self::NotRun { .. } => "not_run",
-            Self::Limited { .. } => "limited",
+            Self::RateLimited { .. } => "limited",
             Self::Unavailable { .. } => "unavailable",
-            Self::EndsServers { .. } => "ends_servers",
+            Self::Quarantined { .. } => "ends_servers",
             Self::Lost => "lost",
             Self::TimedOut => "timed_out",
         }
@@ -108,16 +108,16 @@
         match self {
             Self::Leaving { retry_after }
             | Self::NotRun { retry_after }
-            | Self::Limited { retry_after }
+            | Self::RateLimited { retry_after }
             | Self::Unavailable { retry_after, .. }
-            | Self::EndsServers { retry_after } => retry_after,
-            _ => RETRY_AFTER,
+            | Self::Quarantined { retry_after } => retry_after,
+            _ => DEFAULT_RETRY_AFTER,
         }
     }
 
     /// The whole answer.
-    pub(crate) fn response(self) -> Response<AnswerBody> {
-        let mut res = Response::new(AnswerBody::whole(format!("{self}\n")));
+    pub(crate) fn response(self) -> Response<ResponseBody> {
+        let mut res = Response::new(ResponseBody::whole(format!("{self}\n")));
         *res.status_mut() = self.status();
         if res.status() == StatusCode::SERVICE_UNAVAILABLE {
             let seconds = format!("{:.3}", self.retry_after().as_secs_f64());
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -13,14 +13,14 @@
     },
     router::{
         EventSplitter, Member, Router,
-        attempt::OpenAnswer,
-        body::{AnswerBody, Part, StreamBody},
-        dispatch::{may_go_on, next_answer},
+        attempt::OpenResponse,
+        body::{Part, ResponseBody, StreamBody},
+        dispatch::{reserve_failover, send_until_answered},
         refusal::Refusal,
         request_context::{AttemptParams, RequestContext},
         response_wait::{Wait, wait_for_answer},
         roll_out::RunOutcome,
-        selection::reading_key,
+        selection::latency_key,
         server_ends::{Parting, note_break, note_unanswered},
         stages::{self, StageEnd},
     },
@@ -36,15 +36,15 @@
 const PARTS_WAITING: usize = 8;
 
 /// Runs a job and gives the answer for its caller.
-pub(crate) async fn answer(
+pub(crate) async fn respond(
     router: &Arc<Router>,
     mut ctx: RequestContext,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     ctx.is_quarantine_trial = router.gets_trial(&ctx).await;
     if ctx.route.kind != RouteKind::Stream {
         return whole_answer(router, &mut ctx).await;
     }
-    let StageEnd { answer, model } = stages::answer(router, &mut ctx).await?;
+    let StageEnd { answer, model } = stages::run_cascade(router, &mut ctx).await?;
     if answer.head.kind != AnswerKind::Success {
         return read_whole(router, &ctx, answer).await.map_err(|()| Refusal::Lost);
     }
@@ -53,16 +53,16 @@
     let timing = StreamTiming::new(ctx.arrived_at);
     let relay = Relay { router: router.clone(), ctx, model, tx, last_event: None, timing };
     let filler = tokio::spawn(relay.run(answer));
-    *res.body_mut() = AnswerBody::Stream(StreamBody::new(rx, filler));
+    *res.body_mut() = ResponseBody::Stream(StreamBody::new(rx, filler));
     Ok(res)
 }
 
 async fn whole_answer(
     router: &Arc<Router>,
     ctx: &mut RequestContext,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     loop {
-        let answer = next_answer(router, ctx, AttemptParams::default()).await?;
+        let answer = send_until_answered(router, ctx, AttemptParams::default()).await?;
         let server = answer.member.clone();
         match read_until_deadline(router, ctx, answer).await {
             Some(Ok(res)) => return Ok(res),
@@ -81,8 +81,8 @@
 async fn read_until_deadline(
     router: &Router,
     ctx: &RequestContext,
-    answer: OpenAnswer,
-) -> Option<Result<Response<AnswerBody>, ()>> {
+    answer: OpenResponse,
+) -> Option<Result<Response<ResponseBody>, ()>> {
     let server = answer.member.clone();
     let wait =
         Wait { ctx, member: &server, patience: None, deadline: ctx.deadline, has_begun: true };
@@ -90,8 +90,8 @@
     wait_for_answer(router, &wait, read, || false).await
 }
 
-fn head_of(head: &AnswerHead) -> Response<AnswerBody> {
-    let mut res = Response::new(AnswerBody::whole(""));
+fn head_of(head: &AnswerHead) -> Response<ResponseBody> {
+    let mut res = Response::new(ResponseBody::whole(""));
     *res.status_mut() = head.status;
     *res.headers_mut() = head.headers.clone();
     res
@@ -101,8 +101,8 @@
 async fn read_whole(
     router: &Router,
     ctx: &RequestContext,
-    mut answer: OpenAnswer,
-) -> Result<Response<AnswerBody>, ()> {
+    mut answer: OpenResponse,
+) -> Result<Response<ResponseBody>, ()> {
     let mut res = head_of(&answer.head);
     let body = Limited::new(&mut answer.body, MOST_WHOLE).collect().await;
     let Ok(body) = body else {
@@ -114,7 +114,7 @@
         router.roll_outs.note_outcome(&answer.member.server, outcome);
     }
     router.note_answered_whole(ctx);
-    *res.body_mut() = AnswerBody::whole(body.to_bytes());
+    *res.body_mut() = ResponseBody::whole(body.to_bytes());
     answer.finish(router.now());
     Ok(res)
 }
@@ -200,7 +200,7 @@
 }
 
 impl Relay {
-    async fn run(mut self, first: OpenAnswer) {
+    async fn run(mut self, first: OpenResponse) {
         let mut answer = first;
         loop {
             let server = answer.member.clone();
@@ -245,13 +245,13 @@
     }
 
     /// Asks another server for the rest.
-    async fn resume(&mut self) -> Option<OpenAnswer> {
+    async fn resume(&mut self) -> Option<OpenResponse> {
         if !self.ctx.route.is_resumable {
             return None;
         }
         let model = self.model.clone();
         let params = AttemptParams { model: model.as_deref(), ..self.params() };
-        let answer = next_answer(&self.router, &mut self.ctx, params).await.ok()?;
+        let answer = send_until_answered(&self.router, &mut self.ctx, params).await.ok()?;
         (answer.head.kind == AnswerKind::Success).then_some(answer)
     }
 
@@ -262,7 +262,7 @@
     }
 
     /// Passes one server's events on until its stream ends whole.
-    async fn pass_on(&mut self, mut answer: OpenAnswer) -> Result<(), StreamError> {
+    async fn pass_on(&mut self, mut answer: OpenResponse) -> Result<(), StreamError> {
         let mut splitter = EventSplitter::default();
         let mut run = RunTiming::default();
         loop {
@@ -272,13 +272,13 @@
             let (router, ctx, server) = (&self.router, &self.ctx, &answer.member);
             let params = self.params();
             let mut has_retry = false;
-            let may_leave = || {
-                has_retry = may_go_on(router, ctx, params, &server.server.id);
+            let can_fail_over = || {
+                has_retry = reserve_failover(router, ctx, params, &server.server.id);
                 has_retry
             };
             let has_begun = run.first.is_some();
             let wait = Wait { ctx, member: server, patience, deadline, has_begun };
-            let frame = wait_for_answer(router, &wait, next, may_leave).await;
+            let frame = wait_for_answer(router, &wait, next, can_fail_over).await;
             if has_retry {
                 self.ctx.note_retry_taken();
             }
@@ -313,7 +313,7 @@
     }
 
     /// Counts a run against its version as soon as its events come far too slowly.
-    fn judge_event(&self, answer: &OpenAnswer, run: &mut RunTiming) {
+    fn judge_event(&self, answer: &OpenResponse, run: &mut RunTiming) {
         run.note_event(Instant::now());
         if run.is_judged || !self.reading().is_trickle(run.pauses, run.took()) {
             return;
@@ -323,12 +323,12 @@
     }
 
     /// Counts a run that ended whole for its version, and learns its pace.
-    fn judge_whole(&self, answer: &OpenAnswer, run: &RunTiming) {
+    fn judge_whole(&self, answer: &OpenResponse, run: &RunTiming) {
         let (server, roll_outs) = (&answer.member.server, &self.router.roll_outs);
         // Slow runs count in the mean, too: without them it falls, and more runs are called slow. A
         // version on trial does not set the pace that it is measured by.
         if run.pauses > 0 && !roll_outs.is_on_trial(server) {
-            self.router.readings.note_pace(self.reading_key(), run.took() / run.pauses);
+            self.router.readings.note_pace(self.latency_key(), run.took() / run.pauses);
         }
         if !run.is_judged {
             roll_outs.note_outcome(server, RunOutcome::Good);
@@ -336,11 +336,11 @@
     }
 
     fn reading(&self) -> ReadingBelief {
-        self.router.readings.get(self.reading_key())
+        self.router.readings.get(self.latency_key())
     }
 
-    fn reading_key(&self) -> &str {
-        reading_key(&self.ctx, AttemptParams { model: self.model.as_deref(), last_event: None })
+    fn latency_key(&self) -> &str {
+        latency_key(&self.ctx, AttemptParams { model: self.model.as_deref(), last_event: None })
     }
 
     /// Logs a stream that ended whole but came later than its route aims at.
--- a/src/router/response_wait.rs
+++ b/src/router/response_wait.rs
@@ -25,13 +25,13 @@
 
 /// Waits for `work`; gives up at the deadline, when the server's life has ended, when the request is found to
 /// end servers, when the patience with a slow server is over, or when the server has been silent on all its
-/// connections for longer than a healthy one is. A server that lives is left only if `may_leave` says that the
+/// connections for longer than a healthy one is. A server that lives is left only if `can_fail_over` says that the
 /// request can go on elsewhere: a slow answer is better than none.
 pub(crate) async fn wait_for_answer<F: Future>(
     router: &Router,
     wait: &Wait<'_>,
     work: Pin<&mut F>,
-    may_leave: impl FnMut() -> bool,
+    can_fail_over: impl FnMut() -> bool,
 ) -> Option<F::Output> {
     let withdrawn = async {
         if wait.has_begun {
@@ -42,7 +42,7 @@
     tokio::select! {
         // What has come is taken, also from a life that has ended since.
         biased;
-        output = wait_while_alive(router, wait, work, may_leave) => output,
+        output = wait_while_alive(router, wait, work, can_fail_over) => output,
         () = wait.member.until_ended() => None,
         // What waits at a server that has not begun to run it is taken back, and the server lives on.
         () = withdrawn => None,
@@ -53,7 +53,7 @@
     router: &Router,
     wait: &Wait<'_>,
     mut work: Pin<&mut F>,
-    mut may_leave: impl FnMut() -> bool,
+    mut can_fail_over: impl FnMut() -> bool,
 ) -> Option<F::Output> {
     let Wait { member, deadline, .. } = *wait;
     let Some(patience) = wait.patience else {
@@ -73,7 +73,7 @@
         let silent_since = member.received_at().max(began);
         // A server that reads a long prompt says nothing meanwhile.
         let dark_at = silent_since + patience.dark + member.backlog_for_choice(now);
-        if (now >= slow_at || now >= dark_at) && may_leave() {
+        if (now >= slow_at || now >= dark_at) && can_fail_over() {
             return None;
         }
         look = now + LOOK_EVERY;
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -131,7 +131,7 @@
     ctx: &RequestContext,
     params: AttemptParams<'_>,
 ) -> Expected {
-    let belief = router.readings.get(reading_key(ctx, params));
+    let belief = router.readings.get(latency_key(ctx, params));
     let prompt_tokens = ctx.req.head.prompt_tokens;
     let (ahead, kept) = match pick(router, ctx, params, |_| true) {
         Some(member) => {
@@ -152,12 +152,12 @@
     if !ctx.route.is_sticky {
         return Vec::new();
     }
-    shared_marks(reading_key(ctx, params), &ctx.req.head.parts)
+    shared_marks(latency_key(ctx, params), &ctx.req.head.parts)
 }
 
 /// What is to be placed. Requests for one model that share their prompt's parts belong together.
 fn work(router: &Router, ctx: &RequestContext, params: AttemptParams<'_>) -> Work {
-    let key = reading_key(ctx, params);
+    let key = latency_key(ctx, params);
     let token_time = router.readings.get(key).token_time();
     let bytes = ctx.req.body.len();
     let parts = &ctx.req.head.parts;
@@ -175,6 +175,6 @@
 }
 
 /// What head times are learned by: the model, or the service where there is none.
-pub(crate) fn reading_key<'a>(ctx: &'a RequestContext, params: AttemptParams<'a>) -> &'a str {
+pub(crate) fn latency_key<'a>(ctx: &'a RequestContext, params: AttemptParams<'a>) -> &'a str {
     params.model.or(ctx.req.head.model.as_deref()).unwrap_or(&ctx.service)
 }
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -11,7 +11,9 @@
 use crate::{
     platform::headers::{read_request, request_id},
     policy::exposure::draw,
-    router::{Router, body::AnswerBody, refusal::Refusal, relay, request_context::RequestContext},
+    router::{
+        Router, body::ResponseBody, refusal::Refusal, relay, request_context::RequestContext,
+    },
     routing::{CallerLimits, Organisation, Request, RequestHead, Route, RoutingTable},
     telemetry::event,
 };
@@ -50,7 +52,7 @@
     router: Arc<Router>,
     req: HttpRequest<Incoming>,
     connected_at: Duration,
-) -> Result<Response<AnswerBody>, Infallible> {
+) -> Result<Response<ResponseBody>, Infallible> {
     let id: Box<str> = request_id(req.headers()).unwrap_or("-").into();
     let mut res = match try_serve(&router, req, connected_at).await {
         Ok(res) => {
@@ -73,7 +75,7 @@
     router: &Arc<Router>,
     req: HttpRequest<Incoming>,
     connected_at: Duration,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     router.notice_suspension();
     let in_flight = InFlightGuard::enter(router);
     let (parts, body) = req.into_parts();
@@ -95,7 +97,7 @@
     router.note_request(&service);
     let req = Request { head, body };
     let ctx = RequestContext::new(req, route, service, organisation, wait, in_flight);
-    relay::answer(router, ctx).await
+    relay::respond(router, ctx).await
 }
 
 /// The request's route and Organisation, if the configuration allows it.
@@ -118,9 +120,9 @@
     let read = Limited::new(body, limits.body_bytes).collect();
     match timeout(limits.idle_timeout, read).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Err(Refusal::TooLarge),
+        Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Err(Refusal::BodyTooLarge),
         Ok(Err(_)) => Err(Refusal::Malformed),
-        Err(_) => Err(Refusal::SlowBody),
+        Err(_) => Err(Refusal::BodyTimeout),
     }
 }
 
--- a/src/router/stages.rs
+++ b/src/router/stages.rs
@@ -6,8 +6,8 @@
     policy::escalation::{StageAnswer, escalate, time_to_begin},
     router::{
         Router,
-        attempt::OpenAnswer,
-        dispatch::next_answer,
+        attempt::OpenResponse,
+        dispatch::send_until_answered,
         refusal::Refusal,
         request_context::{AttemptParams, RequestContext},
         selection::estimate,
@@ -19,13 +19,13 @@
 /// An answer, and the model of the cascade that gave it.
 #[derive(Debug)]
 pub(crate) struct StageEnd {
-    pub(crate) answer: OpenAnswer,
+    pub(crate) answer: OpenResponse,
     /// None where the caller named the model, or there is none.
     pub(crate) model: Option<Box<str>>,
 }
 
 /// The first answer of a cascade that is good enough. An earlier stage's answer is kept until the larger model has begun, and passed on where that does not come in time.
-pub(crate) async fn answer(
+pub(crate) async fn run_cascade(
     router: &Arc<Router>,
     ctx: &mut RequestContext,
 ) -> Result<StageEnd, Refusal> {
@@ -35,7 +35,7 @@
     loop {
         let model = cascade.get(stage).filter(|_| ctx.req.head.model.is_none()).cloned();
         let params = AttemptParams { model: model.as_deref(), last_event: ctx.req.head.last_event };
-        let next = next_answer(router, ctx, params).await;
+        let next = send_until_answered(router, ctx, params).await;
         ctx.head_deadline = None;
         let has_begun = matches!(&next, Ok(answer) if answer.head.kind == AnswerKind::Success);
         if let Some(earlier) = in_hand.take().filter(|_| !has_begun) {
@@ -62,7 +62,7 @@
     ctx: &RequestContext,
     params: AttemptParams<'_>,
     stage: usize,
-    answer: &OpenAnswer,
+    answer: &OpenResponse,
 ) -> StageAnswer {
     let cascade = &ctx.route.cascade;
     let largest = AttemptParams { model: cascade.last().map(|model| &**model), ..params };
