--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -189,9 +189,9 @@
     if !matches!(head.kind, AnswerKind::Success) {
         member.record().kept.forget(plan.new_marks());
     }
-    let answer =
+    let response =
         OpenResponse { head, body, member, is_slow, connection, _outstanding: outstanding };
-    check_response(answer)
+    check_response(response)
 }
 
 /// Notes which parts of the prompt the server will keep, and lets the other entries know.
@@ -208,15 +208,15 @@
 }
 
 /// Turns answers that are no answer to this request into errors.
-fn check_response(answer: OpenResponse) -> Result<OpenResponse, AttemptError> {
-    match answer.head.kind {
-        AnswerKind::Success | AnswerKind::Failure => Ok(answer),
+fn check_response(response: OpenResponse) -> Result<OpenResponse, AttemptError> {
+    match response.head.kind {
+        AnswerKind::Success | AnswerKind::Failure => Ok(response),
         AnswerKind::NotRun => {
-            let status = answer.head.status;
+            let status = response.head.status;
             Err(AttemptError::Refused(status))
         }
         AnswerKind::OtherServer => {
-            answer.member.record().is_replaced = true;
+            response.member.record().is_replaced = true;
             Err(AttemptError::OtherServer)
         }
         AnswerKind::Misplaced | AnswerKind::Unsigned => Err(AttemptError::WrongResponse),
--- a/src/router/body.rs
+++ b/src/router/body.rs
@@ -13,7 +13,7 @@
 
 /// Part of a streamed answer.
 #[derive(Debug)]
-pub(crate) enum Part {
+pub(crate) enum StreamPart {
     /// Whole events.
     Events(Bytes),
     /// The stream ended whole.
@@ -23,29 +23,32 @@
 /// The stream can't be finished; the caller's connection must not end as if it were whole.
 #[derive(Debug, thiserror::Error)]
 #[error("the stream broke off")]
-pub(crate) struct BrokenOff;
+pub(crate) struct StreamInterrupted;
 
 /// A stream that a task of its own fills; dropping it ends the task and with it the server's work.
 #[derive(Debug)]
 pub(crate) struct StreamBody {
-    parts: mpsc::Receiver<Part>,
-    filler: JoinHandle<()>,
+    parts: mpsc::Receiver<StreamPart>,
+    relay_task: JoinHandle<()>,
     /// Whether the connection had a turn to write what came before the break.
     has_yielded: bool,
 }
 
 impl StreamBody {
-    pub(crate) fn new(parts: mpsc::Receiver<Part>, filler: JoinHandle<()>) -> Self {
-        Self { parts, filler, has_yielded: false }
+    pub(crate) fn new(parts: mpsc::Receiver<StreamPart>, relay_task: JoinHandle<()>) -> Self {
+        Self { parts, relay_task, has_yielded: false }
     }
 
     /// The next part; a break is reported one turn late, since the connection drops what it has not
     /// written when it learns of one, and events that are ready are the caller's.
-    fn poll_part(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    fn poll_part(
+        &mut self,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamInterrupted>>> {
         match ready!(self.parts.poll_recv(cx)) {
-            Some(Part::Events(bytes)) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
-            Some(Part::End) => Poll::Ready(None),
-            None if self.has_yielded => Poll::Ready(Some(Err(BrokenOff))),
+            Some(StreamPart::Events(bytes)) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
+            Some(StreamPart::End) => Poll::Ready(None),
+            None if self.has_yielded => Poll::Ready(Some(Err(StreamInterrupted))),
             None => {
                 self.has_yielded = true;
                 cx.waker().wake_by_ref();
@@ -57,7 +60,7 @@
 
 impl Drop for StreamBody {
     fn drop(&mut self) {
-        self.filler.abort();
+        self.relay_task.abort();
     }
 }
 
@@ -78,12 +81,12 @@
 
 impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = StreamInterrupted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamInterrupted>>> {
         match self.get_mut() {
             Self::Whole(body) => {
                 Pin::new(body).poll_frame(cx).map_err(|never: Infallible| match never {})
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -56,8 +56,8 @@
             Taken::Denied => continue,
         }
         match attempt_at(router, ctx, &member, params).await {
-            Ok(answer) if answer.head.kind == AnswerKind::Success => return Ok(answer),
-            Ok(answer) => failed = Some(answer),
+            Ok(response) if response.head.kind == AnswerKind::Success => return Ok(response),
+            Ok(response) => failed = Some(response),
             Err(e) => {
                 let id = &ctx.req.head.id;
                 let (route, server, number) = (&ctx.route.name, &member.server.id, ctx.runs);
@@ -197,7 +197,7 @@
 fn classify_result(result: &Result<OpenResponse, AttemptError>) -> (AttemptState, &'static str) {
     let sent = attempt::advance(attempt::fresh(), AttemptEvent::Sent);
     match result {
-        Ok(answer) if answer.head.kind == AnswerKind::Success => {
+        Ok(response) if response.head.kind == AnswerKind::Success => {
             (attempt::advance(sent, AttemptEvent::Started), "answered")
         }
         Ok(_) => (attempt::advance(sent, AttemptEvent::Failed), "failed"),
@@ -223,9 +223,9 @@
             note_unanswered(router, ctx, member, Parting::Left);
             return router.roll_outs.note_silence(&member.server, router.now());
         }
-        Ok(answer) if answer.head.kind == AnswerKind::Success => {
+        Ok(response) if response.head.kind == AnswerKind::Success => {
             // Judged when its body has ended, but for a stream that is late already.
-            if !answer.is_slow || ctx.route.kind != RouteKind::Stream {
+            if !response.is_slow || ctx.route.kind != RouteKind::Stream {
                 return;
             }
             RunOutcome::Slow
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -14,7 +14,7 @@
     router::{
         EventSplitter, Member, Router,
         attempt::OpenResponse,
-        body::{Part, ResponseBody, StreamBody},
+        body::{ResponseBody, StreamBody, StreamPart},
         dispatch::{reserve_failover, send_until_answered},
         refusal::Refusal,
         request_context::{AttemptParams, RequestContext},
@@ -22,18 +22,18 @@
         roll_out::RunOutcome,
         selection::latency_key,
         server_ends::{Parting, note_break, note_unanswered},
-        stages::{self, StageEnd},
+        stages::{self, StageResponse},
     },
     routing::{AnswerHead, AnswerKind, RouteKind},
     telemetry::event,
 };
 
 /// Largest answer in one piece, bytes; it is held until it is whole.
-const MOST_WHOLE: usize = 4 << 20;
+const MAX_WHOLE_BODY: usize = 4 << 20;
 /// Largest event of a stream, bytes.
-const MOST_EVENT: usize = 1 << 20;
+const MAX_EVENT: usize = 1 << 20;
 /// Parts that may wait for a slow caller before the server is no longer read.
-const PARTS_WAITING: usize = 8;
+const RELAY_QUEUE: usize = 8;
 
 /// Runs a job and gives the answer for its caller.
 pub(crate) async fn respond(
@@ -42,29 +42,29 @@
 ) -> Result<Response<ResponseBody>, Refusal> {
     ctx.is_quarantine_trial = router.gets_trial(&ctx).await;
     if ctx.route.kind != RouteKind::Stream {
-        return whole_answer(router, &mut ctx).await;
+        return respond_whole(router, &mut ctx).await;
     }
-    let StageEnd { answer, model } = stages::run_cascade(router, &mut ctx).await?;
-    if answer.head.kind != AnswerKind::Success {
-        return read_whole(router, &ctx, answer).await.map_err(|()| Refusal::Lost);
+    let StageResponse { response, model } = stages::run_cascade(router, &mut ctx).await?;
+    if response.head.kind != AnswerKind::Success {
+        return read_to_end(router, &ctx, response).await.map_err(|()| Refusal::Lost);
     }
-    let mut res = head_of(&answer.head);
-    let (tx, rx) = mpsc::channel(PARTS_WAITING);
+    let mut res = response_with_head(&response.head);
+    let (tx, rx) = mpsc::channel(RELAY_QUEUE);
     let timing = StreamTiming::new(ctx.arrived_at);
     let relay = Relay { router: router.clone(), ctx, model, tx, last_event: None, timing };
-    let filler = tokio::spawn(relay.run(answer));
-    *res.body_mut() = ResponseBody::Stream(StreamBody::new(rx, filler));
+    let relay_task = tokio::spawn(relay.run(response));
+    *res.body_mut() = ResponseBody::Stream(StreamBody::new(rx, relay_task));
     Ok(res)
 }
 
-async fn whole_answer(
+async fn respond_whole(
     router: &Arc<Router>,
     ctx: &mut RequestContext,
 ) -> Result<Response<ResponseBody>, Refusal> {
     loop {
-        let answer = send_until_answered(router, ctx, AttemptParams::default()).await?;
-        let server = answer.member.clone();
-        match read_until_deadline(router, ctx, answer).await {
+        let response = send_until_answered(router, ctx, AttemptParams::default()).await?;
+        let server = response.member.clone();
+        match read_until_deadline(router, ctx, response).await {
             Some(Ok(res)) => return Ok(res),
             Some(Err(())) => {}
             // At the deadline, or when the server has started again: then it may be tried elsewhere.
@@ -81,16 +81,16 @@
 async fn read_until_deadline(
     router: &Router,
     ctx: &RequestContext,
-    answer: OpenResponse,
+    response: OpenResponse,
 ) -> Option<Result<Response<ResponseBody>, ()>> {
-    let server = answer.member.clone();
+    let server = response.member.clone();
     let wait =
         Wait { ctx, member: &server, patience: None, deadline: ctx.deadline, has_begun: true };
-    let read = pin!(read_whole(router, ctx, answer));
+    let read = pin!(read_to_end(router, ctx, response));
     wait_for_answer(router, &wait, read, || false).await
 }
 
-fn head_of(head: &AnswerHead) -> Response<ResponseBody> {
+fn response_with_head(head: &AnswerHead) -> Response<ResponseBody> {
     let mut res = Response::new(ResponseBody::whole(""));
     *res.status_mut() = head.status;
     *res.headers_mut() = head.headers.clone();
@@ -98,24 +98,24 @@
 }
 
 /// Reads an answer to its end, so that nothing of it is passed on unless all of it is here.
-async fn read_whole(
+async fn read_to_end(
     router: &Router,
     ctx: &RequestContext,
-    mut answer: OpenResponse,
+    mut response: OpenResponse,
 ) -> Result<Response<ResponseBody>, ()> {
-    let mut res = head_of(&answer.head);
-    let body = Limited::new(&mut answer.body, MOST_WHOLE).collect().await;
+    let mut res = response_with_head(&response.head);
+    let body = Limited::new(&mut response.body, MAX_WHOLE_BODY).collect().await;
     let Ok(body) = body else {
-        note_break(router, ctx, &answer.member).await;
+        note_break(router, ctx, &response.member).await;
         return Err(());
     };
-    if answer.head.kind == AnswerKind::Success {
-        let outcome = if answer.is_slow { RunOutcome::Slow } else { RunOutcome::Good };
-        router.roll_outs.note_outcome(&answer.member.server, outcome);
+    if response.head.kind == AnswerKind::Success {
+        let outcome = if response.is_slow { RunOutcome::Slow } else { RunOutcome::Good };
+        router.roll_outs.note_outcome(&response.member.server, outcome);
     }
     router.note_answered_whole(ctx);
     *res.body_mut() = ResponseBody::whole(body.to_bytes());
-    answer.finish(router.now());
+    response.finish(router.now());
     Ok(res)
 }
 
@@ -125,11 +125,11 @@
     #[error("the connection ended: {0}")]
     Lost(#[from] hyper::Error),
     #[error("it ended within an event")]
-    EndedInside,
+    TruncatedEvent,
     #[error("no event in time")]
     Silent,
     #[error("an event is missing")]
-    Gap,
+    MissingEvent,
     #[error("an event is too large")]
     TooLarge,
     #[error("the caller is gone")]
@@ -143,20 +143,20 @@
 struct StreamTiming {
     arrived_at: Duration,
     last: Option<Duration>,
-    first_after: Duration,
-    longest_pause: Duration,
+    time_to_first: Duration,
+    longest_gap: Duration,
 }
 
 impl StreamTiming {
     fn new(arrived_at: Duration) -> Self {
-        let (first_after, longest_pause) = (Duration::ZERO, Duration::ZERO);
-        Self { arrived_at, last: None, first_after, longest_pause }
+        let (time_to_first, longest_gap) = (Duration::ZERO, Duration::ZERO);
+        Self { arrived_at, last: None, time_to_first, longest_gap }
     }
 
     fn note_event(&mut self, now: Duration) {
         match self.last.replace(now) {
-            None => self.first_after = now - self.arrived_at,
-            Some(last) => self.longest_pause = self.longest_pause.max(now - last),
+            None => self.time_to_first = now - self.arrived_at,
+            Some(last) => self.longest_gap = self.longest_gap.max(now - last),
         }
     }
 }
@@ -166,16 +166,16 @@
 struct RunTiming {
     first: Option<Instant>,
     last: Option<Instant>,
-    pauses: u32,
+    gaps: u32,
     /// Whether it was counted against its version already.
-    is_judged: bool,
+    is_counted: bool,
 }
 
 impl RunTiming {
     fn note_event(&mut self, now: Instant) {
         self.first.get_or_insert(now);
         if self.last.replace(now).is_some() {
-            self.pauses += 1;
+            self.gaps += 1;
         }
     }
 
@@ -193,7 +193,7 @@
     router: Arc<Router>,
     ctx: RequestContext,
     model: Option<Box<str>>,
-    tx: mpsc::Sender<Part>,
+    tx: mpsc::Sender<StreamPart>,
     /// Last event passed on.
     last_event: Option<u64>,
     timing: StreamTiming,
@@ -201,12 +201,12 @@
 
 impl Relay {
     async fn run(mut self, first: OpenResponse) {
-        let mut answer = first;
+        let mut response = first;
         loop {
-            let server = answer.member.clone();
-            let Err(e) = self.pass_on(answer).await else {
+            let server = response.member.clone();
+            let Err(e) = self.relay_events(response).await else {
                 // A caller that has left no longer minds whether the end arrives.
-                let _ = self.tx.send(Part::End).await;
+                let _ = self.tx.send(StreamPart::End).await;
                 self.router.note_answered_whole(&self.ctx);
                 self.log_if_late(&server);
                 return;
@@ -214,7 +214,7 @@
             if matches!(e, StreamError::CallerGone) {
                 return;
             }
-            self.judge_break(&server, &e).await;
+            self.note_stream_error(&server, &e).await;
             let (id, events) = (&self.ctx.req.head.id, self.last_event);
             event::STREAM_BROKEN.log(format_args!(
                 "request={id} fingerprint={} server={} last_event={events:?} cause=\"{e}\"",
@@ -225,12 +225,12 @@
             let Some(next) = self.resume().await else {
                 return;
             };
-            answer = next;
+            response = next;
         }
     }
 
     /// Counts a stream that broke off against its server, its version and the request itself.
-    async fn judge_break(&self, server: &Arc<Member>, e: &StreamError) {
+    async fn note_stream_error(&self, server: &Arc<Member>, e: &StreamError) {
         let (router, ctx) = (&self.router, &self.ctx);
         match e {
             // It may have begun to run, and end the server all the same.
@@ -251,8 +251,8 @@
         }
         let model = self.model.clone();
         let params = AttemptParams { model: model.as_deref(), ..self.params() };
-        let answer = send_until_answered(&self.router, &mut self.ctx, params).await.ok()?;
-        (answer.head.kind == AnswerKind::Success).then_some(answer)
+        let response = send_until_answered(&self.router, &mut self.ctx, params).await.ok()?;
+        (response.head.kind == AnswerKind::Success).then_some(response)
     }
 
     /// What another server is asked for.
@@ -262,14 +262,14 @@
     }
 
     /// Passes one server's events on until its stream ends whole.
-    async fn pass_on(&mut self, mut answer: OpenResponse) -> Result<(), StreamError> {
+    async fn relay_events(&mut self, mut response: OpenResponse) -> Result<(), StreamError> {
         let mut splitter = EventSplitter::default();
         let mut run = RunTiming::default();
         loop {
-            let patience = self.patience(&answer.member);
-            let next = pin!(answer.body.frame());
+            let patience = self.patience(&response.member);
+            let next = pin!(response.body.frame());
             let deadline = self.ctx.deadline;
-            let (router, ctx, server) = (&self.router, &self.ctx, &answer.member);
+            let (router, ctx, server) = (&self.router, &self.ctx, &response.member);
             let params = self.params();
             let mut has_retry = false;
             let can_fail_over = || {
@@ -287,50 +287,50 @@
                 || if is_withdrawn() { StreamError::Quarantined } else { StreamError::Silent };
             let Some(frame) = frame.ok_or_else(given_up)? else {
                 if splitter.is_inside_event() {
-                    return Err(StreamError::EndedInside);
+                    return Err(StreamError::TruncatedEvent);
                 }
-                self.judge_whole(&answer, &run);
-                answer.finish(self.router.now());
+                self.note_whole_run(&response, &run);
+                response.finish(self.router.now());
                 return Ok(());
             };
             let Ok(data) = frame?.into_data() else {
                 continue;
             };
-            answer.member.note_received(self.router.now());
+            response.member.note_received(self.router.now());
             splitter.push(&data);
             while let Some(event) = splitter.next_event() {
                 self.check_order(event.id)?;
-                let sent = self.tx.send(Part::Events(event.bytes)).await;
+                let sent = self.tx.send(StreamPart::Events(event.bytes)).await;
                 sent.map_err(|_| StreamError::CallerGone)?;
                 self.last_event = event.id.or(self.last_event);
                 self.timing.note_event(self.router.now());
-                self.judge_event(&answer, &mut run);
+                self.check_pace(&response, &mut run);
             }
-            if splitter.pending() > MOST_EVENT {
+            if splitter.pending() > MAX_EVENT {
                 return Err(StreamError::TooLarge);
             }
         }
     }
 
     /// Counts a run against its version as soon as its events come far too slowly.
-    fn judge_event(&self, answer: &OpenResponse, run: &mut RunTiming) {
+    fn check_pace(&self, response: &OpenResponse, run: &mut RunTiming) {
         run.note_event(Instant::now());
-        if run.is_judged || !self.reading().is_trickle(run.pauses, run.took()) {
+        if run.is_counted || !self.reading().is_trickle(run.gaps, run.took()) {
             return;
         }
-        run.is_judged = true;
-        self.router.roll_outs.note_outcome(&answer.member.server, RunOutcome::Slow);
+        run.is_counted = true;
+        self.router.roll_outs.note_outcome(&response.member.server, RunOutcome::Slow);
     }
 
     /// Counts a run that ended whole for its version, and learns its pace.
-    fn judge_whole(&self, answer: &OpenResponse, run: &RunTiming) {
-        let (server, roll_outs) = (&answer.member.server, &self.router.roll_outs);
+    fn note_whole_run(&self, response: &OpenResponse, run: &RunTiming) {
+        let (server, roll_outs) = (&response.member.server, &self.router.roll_outs);
         // Slow runs count in the mean, too: without them it falls, and more runs are called slow. A
         // version on trial does not set the pace that it is measured by.
-        if run.pauses > 0 && !roll_outs.is_on_trial(server) {
-            self.router.readings.note_pace(self.latency_key(), run.took() / run.pauses);
+        if run.gaps > 0 && !roll_outs.is_on_trial(server) {
+            self.router.readings.note_pace(self.latency_key(), run.took() / run.gaps);
         }
-        if !run.is_judged {
+        if !run.is_counted {
             roll_outs.note_outcome(server, RunOutcome::Good);
         }
     }
@@ -345,7 +345,7 @@
 
     /// Logs a stream that ended whole but came later than its route aims at.
     fn log_if_late(&self, server: &Member) {
-        let (first, pause) = (self.timing.first_after, self.timing.longest_pause);
+        let (first, pause) = (self.timing.time_to_first, self.timing.longest_gap);
         self.router.metrics.first_token.observe(first.as_secs_f64());
         let total = self.router.now().saturating_sub(self.ctx.arrived_at);
         self.router.metrics.total_time.observe(total.as_secs_f64());
@@ -369,7 +369,7 @@
 
     fn check_order(&self, id: Option<u64>) -> Result<(), StreamError> {
         match (id, self.last_event) {
-            (Some(id), Some(last)) if id != last + 1 => Err(StreamError::Gap),
+            (Some(id), Some(last)) if id != last + 1 => Err(StreamError::MissingEvent),
             _ => Ok(()),
         }
     }
--- a/src/router/stages.rs
+++ b/src/router/stages.rs
@@ -18,8 +18,8 @@
 
 /// An answer, and the model of the cascade that gave it.
 #[derive(Debug)]
-pub(crate) struct StageEnd {
-    pub(crate) answer: OpenResponse,
+pub(crate) struct StageResponse {
+    pub(crate) response: OpenResponse,
     /// None where the caller named the model, or there is none.
     pub(crate) model: Option<Box<str>>,
 }
@@ -28,41 +28,41 @@
 pub(crate) async fn run_cascade(
     router: &Arc<Router>,
     ctx: &mut RequestContext,
-) -> Result<StageEnd, Refusal> {
+) -> Result<StageResponse, Refusal> {
     let cascade = ctx.route.cascade.clone();
     let mut stage = 0;
-    let mut in_hand: Option<StageEnd> = None;
+    let mut fallback: Option<StageResponse> = None;
     loop {
         let model = cascade.get(stage).filter(|_| ctx.req.head.model.is_none()).cloned();
         let params = AttemptParams { model: model.as_deref(), last_event: ctx.req.head.last_event };
         let next = send_until_answered(router, ctx, params).await;
         ctx.head_deadline = None;
-        let has_begun = matches!(&next, Ok(answer) if answer.head.kind == AnswerKind::Success);
-        if let Some(earlier) = in_hand.take().filter(|_| !has_begun) {
-            note_kept(router, ctx, &earlier);
+        let has_begun = matches!(&next, Ok(response) if response.head.kind == AnswerKind::Success);
+        if let Some(earlier) = fallback.take().filter(|_| !has_begun) {
+            log_fallback(router, ctx, &earlier);
             return Ok(earlier);
         }
-        let answer = next?;
-        let known = what_is_known(router, ctx, params, stage, &answer);
+        let response = next?;
+        let known = escalation_input(router, ctx, params, stage, &response);
         let next = escalate(&known, &router.policy.escalation);
         let Some(next) = next.filter(|_| router.may_repeat(&ctx.service)) else {
             router.metrics.count_stage(model.as_deref().unwrap_or("-"), "passed");
-            return Ok(StageEnd { answer, model });
+            return Ok(StageResponse { response, model });
         };
         router.metrics.count_stage(model.as_deref().unwrap_or("-"), "escalated");
         ctx.head_deadline = Some(router.now() + time_to_begin(&known));
-        in_hand = Some(StageEnd { answer, model });
+        fallback = Some(StageResponse { response, model });
         stage = next;
     }
 }
 
 /// What decides whether the answer of a stage is passed on.
-fn what_is_known(
+fn escalation_input(
     router: &Router,
     ctx: &RequestContext,
     params: AttemptParams<'_>,
     stage: usize,
-    answer: &OpenResponse,
+    response: &OpenResponse,
 ) -> StageAnswer {
     let cascade = &ctx.route.cascade;
     let largest = AttemptParams { model: cascade.last().map(|model| &**model), ..params };
@@ -70,7 +70,7 @@
     StageAnswer {
         stage,
         stages: if params.model.is_some() { cascade.len() } else { 0 },
-        confidence: answer.head.confidence,
+        confidence: response.head.confidence,
         runs_left: ctx.runs_left(),
         time_left: ctx.time_left(router),
         objective: ctx.route.objective,
@@ -82,16 +82,16 @@
 }
 
 /// Logs an answer that is passed on because the larger model gave none in time.
-fn note_kept(router: &Router, ctx: &RequestContext, earlier: &StageEnd) {
-    let StageEnd { answer, model } = earlier;
+fn log_fallback(router: &Router, ctx: &RequestContext, earlier: &StageResponse) {
+    let StageResponse { response, model } = earlier;
     let model = model.as_deref().unwrap_or("-");
     router.metrics.count_stage(model, "kept");
     event::EARLIER_ANSWER_KEPT.log(format_args!(
         "request={} route={} server={} model={model} confidence={:?} runs={} after_ms={}",
         ctx.req.head.id,
         ctx.route.name,
-        answer.member.server.id,
-        answer.head.confidence,
+        response.member.server.id,
+        response.head.confidence,
         ctx.runs,
         router.now().saturating_sub(ctx.arrived_at).as_millis()
     ));
