--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -19,7 +19,7 @@
         connection::{self, Checkout, ConnectError, Connection},
         kept_board::KeptNote,
         request_context::RequestContext,
-        response_wait::{Wait, wait_for_answer},
+        response_wait::{ResponseWait, wait_for_response},
     },
     routing::{AnswerHead, AnswerKind, Request},
 };
@@ -265,7 +265,7 @@
     mut can_fail_over: impl FnMut() -> bool,
 ) -> Result<ConnectionAndHead, AttemptError> {
     let mut message = build_request(&ctx.req, plan);
-    let wait = Wait {
+    let wait = ResponseWait {
         ctx,
         member: plan.member,
         patience: plan.patience,
@@ -280,7 +280,7 @@
             return Err(AttemptError::Unavailable(cause));
         }
         let send = pin!(connection.try_send_request(message));
-        let sent = wait_for_answer(router, &wait, send, &mut can_fail_over).await;
+        let sent = wait_for_response(router, &wait, send, &mut can_fail_over).await;
         let given_up = || {
             if router.is_refused(ctx) { AttemptError::Quarantined } else { AttemptError::Timeout }
         };
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -16,8 +16,8 @@
         refusal::Refusal,
         request_context::{AttemptParams, RequestContext},
         roll_out::RunOutcome,
-        selection::{latency_key, marks, pick, unavailable_for},
-        server_ends::{Parting, note_break, note_unanswered},
+        selection::{latency_key, marks, select_server, unavailability},
+        server_ends::{LossCause, note_broken_connection, note_lost},
     },
     routing::{AnswerKind, RouteKind},
     telemetry::event,
@@ -82,7 +82,7 @@
         }
         Verdict::NotRun => {
             let retry_after = router.note_refusal(&ctx.service, &ctx.req.head.id);
-            let Some((cause, wait)) = unavailable_for(router, ctx, params) else {
+            let Some((cause, wait)) = unavailability(router, ctx, params) else {
                 return Refusal::NotRun { retry_after };
             };
             if cause == Cause::RateLimited {
@@ -113,8 +113,8 @@
     if !may {
         return None;
     }
-    let untried = pick(router, ctx, params, |server| !ctx.has_tried(server));
-    untried.or_else(|| pick(router, ctx, params, |server| !ctx.is_unreachable(server)))
+    let untried = select_server(router, ctx, params, |server| !ctx.has_tried(server));
+    untried.or_else(|| select_server(router, ctx, params, |server| !ctx.is_unreachable(server)))
 }
 
 /// Whether the request could go on at another server than this one; takes the repeated send that
@@ -125,7 +125,8 @@
     params: AttemptParams<'_>,
     current: &str,
 ) -> bool {
-    pick(router, ctx, params, |server| server != current && !ctx.has_tried(server)).is_some()
+    select_server(router, ctx, params, |server| server != current && !ctx.has_tried(server))
+        .is_some()
         && router.try_repeat(&ctx.service)
 }
 
@@ -216,11 +217,11 @@
     let outcome = match result {
         // It may have begun to run, and end the server all the same.
         Err(AttemptError::Quarantined) => {
-            return note_unanswered(router, ctx, member, Parting::Broken);
+            return note_lost(router, ctx, member, LossCause::Disconnected);
         }
-        Err(AttemptError::Lost(_)) => return note_break(router, ctx, member).await,
+        Err(AttemptError::Lost(_)) => return note_broken_connection(router, ctx, member).await,
         Err(AttemptError::Timeout) => {
-            note_unanswered(router, ctx, member, Parting::Left);
+            note_lost(router, ctx, member, LossCause::Abandoned);
             return router.roll_outs.note_silence(&member.server, router.now());
         }
         Ok(response) if response.head.kind == AnswerKind::Success => {
--- a/src/router/member.rs
+++ b/src/router/member.rs
@@ -22,7 +22,7 @@
         rate_limit::{Allowance, LimitedSends},
         send_window::SendWindow,
     },
-    router::{connection::IdleConnection, server_ends::Breaks},
+    router::{connection::IdleConnection, server_ends::LostRequests},
     routing::BackendServer,
 };
 
@@ -105,7 +105,7 @@
 #[derive(Debug, Default)]
 struct Life {
     record: Mutex<Record>,
-    breaks: Mutex<Breaks>,
+    breaks: Mutex<LostRequests>,
     /// Held by whoever looks whether the server listens.
     look: tokio::sync::Mutex<()>,
     /// Turns true when the server has started again.
@@ -178,7 +178,7 @@
     }
 
     /// Requests whose connection to it broke.
-    pub(super) fn breaks(&self) -> MutexGuard<'_, Breaks> {
+    pub(super) fn breaks(&self) -> MutexGuard<'_, LostRequests> {
         self.life.breaks.lock().expect("no panics under the lock")
     }
 
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -18,10 +18,10 @@
         dispatch::{reserve_failover, send_until_answered},
         refusal::Refusal,
         request_context::{AttemptParams, RequestContext},
-        response_wait::{Wait, wait_for_answer},
+        response_wait::{ResponseWait, wait_for_response},
         roll_out::RunOutcome,
         selection::latency_key,
-        server_ends::{Parting, note_break, note_unanswered},
+        server_ends::{LossCause, note_broken_connection, note_lost},
         stages::{self, StageResponse},
     },
     routing::{AnswerHead, AnswerKind, RouteKind},
@@ -69,7 +69,7 @@
             Some(Err(())) => {}
             // At the deadline, or when the server has started again: then it may be tried elsewhere.
             None => {
-                note_unanswered(router, ctx, &server, Parting::Left);
+                note_lost(router, ctx, &server, LossCause::Abandoned);
                 router.roll_outs.note_silence(&server.server, router.now());
             }
         }
@@ -84,10 +84,15 @@
     response: OpenResponse,
 ) -> Option<Result<Response<ResponseBody>, ()>> {
     let server = response.member.clone();
-    let wait =
-        Wait { ctx, member: &server, patience: None, deadline: ctx.deadline, has_begun: true };
+    let wait = ResponseWait {
+        ctx,
+        member: &server,
+        patience: None,
+        deadline: ctx.deadline,
+        has_begun: true,
+    };
     let read = pin!(read_to_end(router, ctx, response));
-    wait_for_answer(router, &wait, read, || false).await
+    wait_for_response(router, &wait, read, || false).await
 }
 
 fn response_with_head(head: &AnswerHead) -> Response<ResponseBody> {
@@ -106,7 +111,7 @@
     let mut res = response_with_head(&response.head);
     let body = Limited::new(&mut response.body, MAX_WHOLE_BODY).collect().await;
     let Ok(body) = body else {
-        note_break(router, ctx, &response.member).await;
+        note_broken_connection(router, ctx, &response.member).await;
         return Err(());
     };
     if response.head.kind == AnswerKind::Success {
@@ -234,13 +239,13 @@
         let (router, ctx) = (&self.router, &self.ctx);
         match e {
             // It may have begun to run, and end the server all the same.
-            StreamError::Quarantined => note_unanswered(router, ctx, server, Parting::Broken),
+            StreamError::Quarantined => note_lost(router, ctx, server, LossCause::Disconnected),
             StreamError::Silent => {
                 server.note_failure(router.now());
-                note_unanswered(router, ctx, server, Parting::Left);
+                note_lost(router, ctx, server, LossCause::Abandoned);
                 router.roll_outs.note_silence(&server.server, router.now());
             }
-            _ => note_break(router, ctx, server).await,
+            _ => note_broken_connection(router, ctx, server).await,
         }
     }
 
@@ -277,8 +282,8 @@
                 has_retry
             };
             let has_begun = run.first.is_some();
-            let wait = Wait { ctx, member: server, patience, deadline, has_begun };
-            let frame = wait_for_answer(router, &wait, next, can_fail_over).await;
+            let wait = ResponseWait { ctx, member: server, patience, deadline, has_begun };
+            let frame = wait_for_response(router, &wait, next, can_fail_over).await;
             if has_retry {
                 self.ctx.note_retry_taken();
             }
--- a/src/router/response_wait.rs
+++ b/src/router/response_wait.rs
@@ -8,11 +8,11 @@
 };
 
 /// Time between looks at whether a slow server still answers others.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What is waited for at a server, and how long.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Wait<'a> {
+pub(crate) struct ResponseWait<'a> {
     pub(crate) ctx: &'a RequestContext,
     pub(crate) member: &'a Member,
     /// How long silence is tolerated; none where nothing else could be done.
@@ -27,9 +27,9 @@
 /// end servers, when the patience with a slow server is over, or when the server has been silent on all its
 /// connections for longer than a healthy one is. A server that lives is left only if `can_fail_over` says that the
 /// request can go on elsewhere: a slow answer is better than none.
-pub(crate) async fn wait_for_answer<F: Future>(
+pub(crate) async fn wait_for_response<F: Future>(
     router: &Router,
-    wait: &Wait<'_>,
+    wait: &ResponseWait<'_>,
     work: Pin<&mut F>,
     can_fail_over: impl FnMut() -> bool,
 ) -> Option<F::Output> {
@@ -51,19 +51,19 @@
 
 async fn wait_while_alive<F: Future>(
     router: &Router,
-    wait: &Wait<'_>,
+    wait: &ResponseWait<'_>,
     mut work: Pin<&mut F>,
     mut can_fail_over: impl FnMut() -> bool,
 ) -> Option<F::Output> {
-    let Wait { member, deadline, .. } = *wait;
+    let ResponseWait { member, deadline, .. } = *wait;
     let Some(patience) = wait.patience else {
         return router.clock.until(deadline, work).await;
     };
     let began = router.now();
     let slow_at = began + patience.slow;
-    let mut look = slow_at.min(began + patience.dark);
+    let mut next_check = slow_at.min(began + patience.dark);
     loop {
-        if let Some(output) = router.clock.until(deadline.min(look), work.as_mut()).await {
+        if let Some(output) = router.clock.until(deadline.min(next_check), work.as_mut()).await {
             return Some(output);
         }
         let now = router.now();
@@ -72,10 +72,10 @@
         }
         let silent_since = member.received_at().max(began);
         // A server that reads a long prompt says nothing meanwhile.
-        let dark_at = silent_since + patience.dark + member.backlog_for_choice(now);
-        if (now >= slow_at || now >= dark_at) && can_fail_over() {
+        let silent_too_long_at = silent_since + patience.dark + member.backlog_for_choice(now);
+        if (now >= slow_at || now >= silent_too_long_at) && can_fail_over() {
             return None;
         }
-        look = now + LOOK_EVERY;
+        next_check = now + CHECK_INTERVAL;
     }
 }
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -19,7 +19,7 @@
 };
 
 /// The server that an attempt would be sent to now, among those that may be asked.
-pub(crate) fn pick(
+pub(crate) fn select_server(
     router: &Router,
     ctx: &RequestContext,
     params: AttemptParams<'_>,
@@ -28,21 +28,22 @@
     let fleet = router.fleet.load();
     let settings = router.settings.load();
     let now = router.now();
-    let mut members = able(router, ctx, params, &fleet);
+    let mut members = eligible_servers(router, ctx, params, &fleet);
     members.retain(|member| may_be(&member.server.id));
-    let members = available(router, &ctx.service, members);
+    let members = available_servers(router, &ctx.service, members);
     if router.standing(ctx) != Standing::Free {
-        return place_suspect(ctx, &members).cloned();
+        return select_for_suspect(ctx, &members).cloned();
     }
     let marks = marks(ctx, params);
     let candidate = |m: &&Arc<Member>| m.candidate(&settings.zone, &marks, now);
     let candidates: Vec<_> = members.iter().map(candidate).collect();
-    let chosen = place(&candidates, &work(router, ctx, params), &router.policy.placement)?;
+    let chosen =
+        place(&candidates, &placement_input(router, ctx, params), &router.policy.placement)?;
     Some(members[chosen].clone())
 }
 
 /// The servers that may run a request, whether they are available or not.
-fn able<'a>(
+fn eligible_servers<'a>(
     router: &Router,
     ctx: &RequestContext,
     params: AttemptParams<'_>,
@@ -53,7 +54,7 @@
     let versions = router.roll_outs.rule(&ctx.service, &ctx.req.head, router.now());
     let members = fleet.of_service(&ctx.service);
     let versions = versions.or_any_if_missing(members.iter().map(|m| &*m.server.version));
-    let is_able = |member: &&Arc<Member>| {
+    let is_eligible = |member: &&Arc<Member>| {
         let server = &member.server;
         let has_model = params.model.is_none_or(|model| {
             server.models.is_empty() || server.models.iter().any(|m| **m == *model)
@@ -66,19 +67,19 @@
             )
             && versions.allows(&server.version)
     };
-    members.iter().filter(is_able).collect()
+    members.iter().filter(is_eligible).collect()
 }
 
 /// Why none of the servers that may run a request is available, and the time until one is; none where one is, or
 /// where nobody knows when.
-pub(crate) fn unavailable_for(
+pub(crate) fn unavailability(
     router: &Router,
     ctx: &RequestContext,
     params: AttemptParams<'_>,
 ) -> Option<(Cause, Duration)> {
     let check = router.check_service(&ctx.service);
     let fleet = router.fleet.load();
-    let members = able(router, ctx, params, &fleet).into_iter();
+    let members = eligible_servers(router, ctx, params, &fleet).into_iter();
     let waits = members.filter_map(|member| {
         let availability = check.availability(member);
         Some((availability.wait(check.now())?, availability))
@@ -90,7 +91,7 @@
 }
 
 /// Those of the servers that are sent requests now.
-fn available<'a>(
+fn available_servers<'a>(
     router: &Router,
     service: &str,
     members: Vec<&'a Arc<Member>>,
@@ -110,7 +111,10 @@
 /// The server for a request under which servers crashed, by rendezvous hashing: all entries send it to the same
 /// one, so that it crashes one server at a time, and send what else was there to others, so that the next crash
 /// distinguishes them.
-fn place_suspect<'a>(ctx: &RequestContext, members: &[&'a Arc<Member>]) -> Option<&'a Arc<Member>> {
+fn select_for_suspect<'a>(
+    ctx: &RequestContext,
+    members: &[&'a Arc<Member>],
+) -> Option<&'a Arc<Member>> {
     let seed = ctx.fingerprint().0 as u64;
     let hash = |member: &&&Arc<Member>| xxh3_64_with_seed(&member.id_hash().to_le_bytes(), seed);
     members.iter().max_by_key(hash).copied()
@@ -118,22 +122,22 @@
 
 /// What is expected of a request at the server that would be chosen for it.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Expected {
+pub(crate) struct ExpectedLatency {
     /// Time to its answer's head.
-    pub(crate) head: Duration,
+    pub(crate) time_to_head: Duration,
     /// The same if nothing else were to be read there before.
-    pub(crate) head_alone: Duration,
+    pub(crate) unloaded_time_to_head: Duration,
 }
 
 /// Estimates a request that would be sent now; a whole prompt with nothing before it where there is no server.
-pub(crate) fn estimate(
+pub(crate) fn estimate_latency(
     router: &Router,
     ctx: &RequestContext,
     params: AttemptParams<'_>,
-) -> Expected {
+) -> ExpectedLatency {
     let belief = router.readings.get(latency_key(ctx, params));
     let prompt_tokens = ctx.req.head.prompt_tokens;
-    let (ahead, kept) = match pick(router, ctx, params, |_| true) {
+    let (ahead, kept) = match select_server(router, ctx, params, |_| true) {
         Some(member) => {
             let kept = member.record().kept.kept_tokens(&marks(ctx, params));
             (member.backlog(router.now()), kept)
@@ -141,9 +145,9 @@
         None => (Duration::ZERO, 0),
     };
     let unread = prompt_tokens.saturating_sub(kept);
-    Expected {
-        head: belief.expected_head(unread, ahead),
-        head_alone: belief.expected_head(unread, Duration::ZERO),
+    ExpectedLatency {
+        time_to_head: belief.expected_head(unread, ahead),
+        unloaded_time_to_head: belief.expected_head(unread, Duration::ZERO),
     }
 }
 
@@ -156,7 +160,7 @@
 }
 
 /// What is to be placed. Requests for one model that share their prompt's parts belong together.
-fn work(router: &Router, ctx: &RequestContext, params: AttemptParams<'_>) -> Work {
+fn placement_input(router: &Router, ctx: &RequestContext, params: AttemptParams<'_>) -> Work {
     let key = latency_key(ctx, params);
     let token_time = router.readings.get(key).token_time();
     let bytes = ctx.req.body.len();
--- a/src/router/server_ends.rs
+++ b/src/router/server_ends.rs
@@ -16,34 +16,38 @@
 
 /// Time to wait for a refusal; zones are 1.4 ms apart, and a request that waits for it goes on after. A
 /// server that is silent refuses nothing: then the list has to show it.
-const REFUSED_WITHIN: Duration = Duration::from_millis(100);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Time in which a process that is ending closes what it holds, one thing after the other.
-const RESET_WITHIN: Duration = Duration::from_millis(5);
+const RESET_TIMEOUT: Duration = Duration::from_millis(5);
 /// Looks at an address whose connections are taken and reset at once.
-const LOOKS: u32 = 2;
+const PROBES: u32 = 2;
 /// Time for which the answer to one look holds: all connections of a server that ends break within 10 ms.
-const LOOK_LASTS: Duration = Duration::from_millis(300);
+const PROBE_VALID_FOR: Duration = Duration::from_millis(300);
 /// Time before a proof from which on broken requests count as at work when the server ended: a server that
 /// is silent is dropped from the list after three heartbeats of 1.2 s, read 0.8 s later at most.
-const PROVED_AFTER: Duration = Duration::from_secs(6);
+const SUSPECT_WINDOW: Duration = Duration::from_secs(6);
 /// Requests remembered for a server whose end is not proved; it runs 128 at once at most.
-const MOST_LOST: usize = 256;
+const MAX_LOST: usize = 256;
 /// Time by which something that a server said before its end is read after a break was seen.
-const READ_LATE: Duration = Duration::from_millis(250);
+const READ_DELAY: Duration = Duration::from_millis(250);
 
 /// Requests whose connection to a server broke, and what is known of its end.
 #[derive(Debug, Default)]
-pub(super) struct Breaks {
-    lost: Vec<Lost>,
+pub(super) struct LostRequests {
+    lost: Vec<LostRequest>,
     /// When its end was proved; a server may be back before the list shows its next life.
     ended_at: Option<Duration>,
     /// When it was last looked whether the server listens.
-    looked_at: Option<Duration>,
+    probed_at: Option<Duration>,
 }
 
 /// Notes that a request's connection to a server broke before its answer was whole, looks whether the server
 /// ended, and judges its version by it.
-pub(super) async fn note_break(router: &Router, ctx: &RequestContext, member: &Arc<Member>) {
+pub(super) async fn note_broken_connection(
+    router: &Router,
+    ctx: &RequestContext,
+    member: &Arc<Member>,
+) {
     let now = router.now();
     member.note_failure(now);
     if member.is_draining() {
@@ -54,7 +58,7 @@
         router.roll_outs.note_outcome(&member.server, RunOutcome::Failed);
         return;
     }
-    note_unanswered(router, ctx, member, Parting::Broken);
+    note_lost(router, ctx, member, LossCause::Disconnected);
     if has_ended(router, member).await {
         // All that ran there broke off, which says one thing about the version and not thirty.
         router.roll_outs.note_silence(&member.server, router.now());
@@ -64,21 +68,21 @@
 }
 
 /// Notes that a request got no answer from a server, which may end or have ended.
-pub(super) fn note_unanswered(
+pub(super) fn note_lost(
     router: &Router,
     ctx: &RequestContext,
     member: &Member,
-    parting: Parting,
+    loss_cause: LossCause,
 ) {
     let (fingerprint, now) = (ctx.fingerprint(), router.now());
     let mut breaks = member.breaks();
-    if breaks.has_ended(now) && parting == Parting::Broken {
+    if breaks.has_ended(now) && loss_cause == LossCause::Disconnected {
         drop(breaks);
         return router.quarantine.note_ends(&[fingerprint], member.life_hash(), now);
     }
-    breaks.lost.retain(|lost| now < lost.at + PROVED_AFTER);
-    if breaks.lost.len() < MOST_LOST {
-        breaks.lost.push(Lost { fingerprint, at: now, parting });
+    breaks.lost.retain(|lost| now < lost.at + SUSPECT_WINDOW);
+    if breaks.lost.len() < MAX_LOST {
+        breaks.lost.push(LostRequest { fingerprint, at: now, loss_cause });
     }
 }
 
@@ -88,26 +92,26 @@
     {
         let mut breaks = member.breaks();
         let now = router.now();
-        let is_fresh = breaks.looked_at.is_some_and(|at| now < at + LOOK_LASTS);
+        let is_fresh = breaks.probed_at.is_some_and(|at| now < at + PROBE_VALID_FOR);
         if breaks.has_ended(now) || is_fresh {
             return breaks.has_ended(now);
         }
-        breaks.looked_at = Some(now);
+        breaks.probed_at = Some(now);
     }
-    let is_refused = is_refused(member.server.address).await;
-    if is_refused {
-        note_end(router, member, Proof::Refused);
+    let is_connection_refused = is_connection_refused(member.server.address).await;
+    if is_connection_refused {
+        note_server_end(router, member, Proof::Refused);
     }
-    is_refused
+    is_connection_refused
 }
 
 /// Whether nobody listens at an address.
-async fn is_refused(address: SocketAddr) -> bool {
-    for _ in 0..LOOKS {
-        match timeout(REFUSED_WITHIN, TcpStream::connect(address)).await {
+async fn is_connection_refused(address: SocketAddr) -> bool {
+    for _ in 0..PROBES {
+        match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Err(e)) => return e.kind() == ErrorKind::ConnectionRefused,
             // A process that is just ending may have taken it, and resets it.
-            Ok(Ok(stream)) => match timeout(RESET_WITHIN, stream.readable()).await {
+            Ok(Ok(stream)) => match timeout(RESET_TIMEOUT, stream.readable()).await {
                 Ok(_) => {}
                 Err(_) => return false,
             },
@@ -119,25 +123,25 @@
 
 /// How a request and the server that had it parted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Parting {
+pub(super) enum LossCause {
     /// The connection broke, or the request was taken back while the server may have begun to run it.
-    Broken,
+    Disconnected,
     /// The entry no longer waited: the server was silent, or its next life came into view.
-    Left,
+    Abandoned,
 }
 
 /// A request that got no answer.
 #[derive(Clone, Copy, Debug)]
-struct Lost {
+struct LostRequest {
     fingerprint: Fingerprint,
     at: Duration,
-    parting: Parting,
+    loss_cause: LossCause,
 }
 
-impl Breaks {
+impl LostRequests {
     /// Whether what breaks now broke with the end that was proved.
     fn has_ended(&self, now: Duration) -> bool {
-        self.ended_at.is_some_and(|at| now < at + LOOK_LASTS)
+        self.ended_at.is_some_and(|at| now < at + PROBE_VALID_FOR)
     }
 }
 
@@ -154,7 +158,7 @@
 }
 
 /// Notes that a server's life ended: all that was at work there is suspected.
-pub(super) fn note_end(router: &Router, member: &Member, proof: Proof) {
+pub(super) fn note_server_end(router: &Router, member: &Member, proof: Proof) {
     let now = router.now();
     let (lost, ended_at) = {
         let received_at = member.received_at();
@@ -167,13 +171,13 @@
             breaks.ended_at = Some(now);
         }
         let lost = std::mem::take(&mut breaks.lost);
-        let ended_at = first_break(&lost, received_at).unwrap_or(now);
+        let ended_at = first_broken_at(&lost, received_at).unwrap_or(now);
         // Whoever was left before the server last spoke was no longer at work there.
         let lost = lost
             .into_iter()
-            .filter(|lost| now < lost.at + PROVED_AFTER && received_at < lost.at + READ_LATE)
+            .filter(|lost| now < lost.at + SUSPECT_WINDOW && received_at < lost.at + READ_DELAY)
             // What was left for the news of a next life may have been at work in that one.
-            .filter(|lost| lost.parting == Parting::Broken || lost.at + READ_LATE < now)
+            .filter(|lost| lost.loss_cause == LossCause::Disconnected || lost.at + READ_DELAY < now)
             .map(|lost| lost.fingerprint)
             .collect::<Vec<_>>();
         (lost, ended_at)
@@ -200,7 +204,7 @@
 
 /// When the first connection broke after the server last spoke: then it ended. The proof may come a second
 /// later, and then of several servers in one moment, which would count as one event.
-fn first_break(lost: &[Lost], received_at: Duration) -> Option<Duration> {
-    let broken = lost.iter().filter(|lost| lost.parting == Parting::Broken);
-    broken.map(|lost| lost.at).filter(|at| received_at < *at + READ_LATE).min()
+fn first_broken_at(lost: &[LostRequest], received_at: Duration) -> Option<Duration> {
+    let broken = lost.iter().filter(|lost| lost.loss_cause == LossCause::Disconnected);
+    broken.map(|lost| lost.at).filter(|at| received_at < *at + READ_DELAY).min()
 }
--- a/src/router/servers.rs
+++ b/src/router/servers.rs
@@ -55,9 +55,9 @@
     for member in before.gone_in(next).filter(|member| !member.is_draining()) {
         let id = &member.server.id;
         if next.has_id(id) {
-            server_ends::note_end(router, member, Proof::StartedAgain);
+            server_ends::note_server_end(router, member, Proof::StartedAgain);
         } else if !listing.is_unreadable(id) {
-            server_ends::note_end(router, member, Proof::Dropped);
+            server_ends::note_server_end(router, member, Proof::Dropped);
         }
     }
 }
--- a/src/router/stages.rs
+++ b/src/router/stages.rs
@@ -10,7 +10,7 @@
         dispatch::send_until_answered,
         refusal::Refusal,
         request_context::{AttemptParams, RequestContext},
-        selection::estimate,
+        selection::estimate_latency,
     },
     routing::AnswerKind,
     telemetry::event,
@@ -66,7 +66,7 @@
 ) -> StageAnswer {
     let cascade = &ctx.route.cascade;
     let largest = AttemptParams { model: cascade.last().map(|model| &**model), ..params };
-    let largest = estimate(router, ctx, largest);
+    let largest = estimate_latency(router, ctx, largest);
     StageAnswer {
         stage,
         stages: if params.model.is_some() { cascade.len() } else { 0 },
@@ -74,8 +74,8 @@
         runs_left: ctx.runs_left(),
         time_left: ctx.time_left(router),
         objective: ctx.route.objective,
-        expected: largest.head,
-        expected_alone: largest.head_alone,
+        expected: largest.time_to_head,
+        expected_alone: largest.unloaded_time_to_head,
         elapsed: router.now().saturating_sub(ctx.arrived_at),
         priority: ctx.priority(),
     }
