--- a/src/router/advertised_limits.rs
+++ b/src/router/advertised_limits.rs
@@ -37,7 +37,7 @@
         if head.kind == AnswerKind::NotRun && head.rate_limit == AdvertisedLimit::Nothing {
             return;
         }
-        let changed = self.limits.note(member.life_hash(), head.rate_limit, sent_at, now);
+        let changed = self.limits.note(member.incarnation_hash(), head.rate_limit, sent_at, now);
         if let Some(changed) = changed {
             self.log_limit(changed, Source::Answer);
         }
@@ -58,7 +58,7 @@
     fn log_limit(&self, changed: Changed, source: Source) {
         let Changed { life, before, rate } = changed;
         let fleet = self.fleet.load();
-        let server = fleet.by_life(life).map_or("not in view", |member| &member.server.id);
+        let server = fleet.by_incarnation(life).map_or("not in view", |member| &member.server.id);
         let Some(rate) = rate else {
             event::RATE_LIMIT_ENDED
                 .log(format_args!("server={server} before={before:?} source={source:?}"));
--- a/src/router/announcements.rs
+++ b/src/router/announcements.rs
@@ -65,7 +65,7 @@
 
     /// Counts a send to a server that has announced that it should get none.
     pub(crate) fn count_unavailable_send(&self, member: &Member, send: &str) {
-        let announced = member.record().announced;
+        let announced = member.state().announced;
         if announced.draining_since().is_some() {
             self.metrics.count_unavailable_send("draining", send);
         }
--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -36,11 +36,11 @@
 
 impl OutstandingGuard {
     fn new(member: &Arc<Member>, prefill_time: Duration) -> Self {
-        let mut record = member.record();
-        record.load.own += 1;
-        record.unanswered += 1;
-        record.backlog += prefill_time;
-        drop(record);
+        let mut state = member.state();
+        state.load.own += 1;
+        state.unanswered += 1;
+        state.backlog += prefill_time;
+        drop(state);
         Self { member: member.clone(), prefill_time, has_begun: false }
     }
 
@@ -49,16 +49,16 @@
         if std::mem::replace(&mut self.has_begun, true) {
             return;
         }
-        let mut record = self.member.record();
-        record.unanswered -= 1;
-        record.backlog = record.backlog.saturating_sub(self.prefill_time);
+        let mut state = self.member.state();
+        state.unanswered -= 1;
+        state.backlog = state.backlog.saturating_sub(self.prefill_time);
     }
 }
 
 impl Drop for OutstandingGuard {
     fn drop(&mut self) {
         self.note_begun();
-        self.member.record().load.own -= 1;
+        self.member.state().load.own -= 1;
     }
 }
 
@@ -169,7 +169,7 @@
     let outcome = send_request(router, ctx, plan, can_fail_over).await;
     if let Err(e) = &outcome {
         note_error(router, plan.member, e);
-        plan.member.record().kept.forget(plan.new_marks());
+        plan.member.state().kept.forget(plan.new_marks());
     }
     let (connection, res) = outcome?;
     outstanding.note_begun();
@@ -183,11 +183,11 @@
         router.readings.note_head_time(plan.latency_key, tokens, ahead, took);
     }
     if let Some(load) = head.load {
-        plan.member.record().load.note_report(load, router.now());
+        plan.member.state().load.note_report(load, router.now());
     }
     let member = plan.member.clone();
     if !matches!(head.kind, AnswerKind::Success) {
-        member.record().kept.forget(plan.new_marks());
+        member.state().kept.forget(plan.new_marks());
     }
     let response =
         OpenResponse { head, body, member, is_slow, connection, _outstanding: outstanding };
@@ -197,10 +197,10 @@
 /// Notes which parts of the prompt the server will keep, and lets the other entries know.
 fn note_prompt_sent(router: &Router, plan: &AttemptPlan<'_>) {
     let now = router.now();
-    let mut record = plan.member.record();
-    record.kept.note_sent(plan.marks, plan.uncached_tokens);
-    let to_report = record.kept.to_report(plan.marks, now);
-    drop(record);
+    let mut state = plan.member.state();
+    state.kept.note_sent(plan.marks, plan.uncached_tokens);
+    let to_report = state.kept.to_report(plan.marks, now);
+    drop(state);
     if let Some(mark) = to_report {
         let tokens = u32::try_from(mark.tokens).unwrap_or(u32::MAX);
         router.kept.note_own(KeptNote(plan.member.short_hash(), mark.hash, tokens), now);
@@ -216,7 +216,7 @@
             Err(AttemptError::Refused(status))
         }
         AnswerKind::OtherServer => {
-            response.member.record().is_replaced = true;
+            response.member.state().is_replaced = true;
             Err(AttemptError::OtherServer)
         }
         AnswerKind::Misplaced | AnswerKind::Unsigned => Err(AttemptError::WrongResponse),
@@ -274,7 +274,7 @@
     };
     let mut checkout = connection::check_out(plan.member, router.now(), plan.is_once_only).await?;
     loop {
-        let Checkout { mut connection, is_used } = checkout;
+        let Checkout { mut connection, is_reused } = checkout;
         // Connecting takes time.
         if let Some(cause) = router.stops_send(plan.member) {
             return Err(AttemptError::Unavailable(cause));
@@ -290,12 +290,12 @@
             Err(e) => e,
         };
         // A kept connection that the server had closed gives the request back unsent.
-        let Some(unsent) = e.take_message().filter(|_| is_used) else {
+        let Some(unsent) = e.take_message().filter(|_| is_reused) else {
             return Err(AttemptError::Lost(e.into_error()));
         };
         message = unsent;
         let connection = connection::connect(plan.member).await?;
-        checkout = Checkout { connection, is_used: false };
+        checkout = Checkout { connection, is_reused: false };
     }
 }
 
--- a/src/router/availability.rs
+++ b/src/router/availability.rs
@@ -17,11 +17,11 @@
 
 /// Time for which a server that nobody answered for is taken as cold once it answers, beyond the time that a
 /// start takes: it is asked again after 4 s at most, and its row follows a heartbeat later.
-const ASKED_AGAIN: Duration = Duration::from_secs(4);
+const PROBE_INTERVAL: Duration = Duration::from_secs(4);
 
 /// What limits the sends to a server that takes few requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Limit {
+enum SendLimit {
     /// This entry's share.
     Share(Allowance),
     /// The same where no other server can serve: this entry does not know its share.
@@ -32,7 +32,7 @@
 
 /// Whether a send may be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Taken {
+pub(crate) enum SendPermit {
     /// Its server is under no limit.
     Unlimited,
     /// It was taken from this entry's share.
@@ -43,7 +43,7 @@
 
 /// Checks the servers of one service at one moment.
 #[derive(Debug)]
-pub(crate) struct ServiceCheck<'a> {
+pub(crate) struct AvailabilityCheck<'a> {
     router: &'a Router,
     cold: Option<ColdTerms>,
     named: Option<LimitView<'a>>,
@@ -55,12 +55,12 @@
 
 impl Router {
     /// Checks which servers of a service may be sent requests now.
-    pub(crate) fn check_service(&self, service: &str) -> ServiceCheck<'_> {
+    pub(crate) fn check_service(&self, service: &str) -> AvailabilityCheck<'_> {
         let table = self.table.load();
         let cold = table.as_ref().as_ref().and_then(|table| table.cold.get(service)).copied();
         let named = self.limits.view();
         let is_any_limited = cold.is_some() || named.is_some();
-        ServiceCheck {
+        AvailabilityCheck {
             router: self,
             cold,
             named,
@@ -72,8 +72,8 @@
     }
 
     /// Takes a send to a server from what it may get from here.
-    pub(crate) fn take_send(&self, member: &Member) -> Taken {
-        self.check_service(&member.server.service).take_send(member)
+    pub(crate) fn acquire_send(&self, member: &Member) -> SendPermit {
+        self.check_service(&member.server.service).acquire_send(member)
     }
 
     /// Why a request that is about to be sent to a server must not be sent any more.
@@ -82,15 +82,15 @@
     }
 }
 
-impl ServiceCheck<'_> {
+impl AvailabilityCheck<'_> {
     /// Whether a server may be sent a request.
     pub(crate) fn availability(&self, member: &Member) -> Availability {
         let rate = self.limit(member).map_or(RateSignal::Unlimited, |limit| match limit {
-            Limit::Share(allowance) => RateSignal::Share(self.next_at(member, &allowance)),
-            Limit::LastResort(allowance) => {
+            SendLimit::Share(allowance) => RateSignal::Share(self.next_at(member, &allowance)),
+            SendLimit::LastResort(allowance) => {
                 RateSignal::LastResort(self.next_at(member, &allowance))
             }
-            Limit::OfOthers(rate) => {
+            SendLimit::OfOthers(rate) => {
                 RateSignal::OfOthers(self.now + Allowance::least(rate, 1).window)
             }
         });
@@ -105,18 +105,18 @@
         self.now
     }
 
-    fn take_send(&self, member: &Member) -> Taken {
+    fn acquire_send(&self, member: &Member) -> SendPermit {
         if matches!(self.availability(member), Availability::Closed { .. }) {
-            return Taken::Denied;
+            return SendPermit::Denied;
         }
         match self.limit(member) {
-            None => Taken::Unlimited,
-            Some(Limit::Share(allowance) | Limit::LastResort(allowance))
+            None => SendPermit::Unlimited,
+            Some(SendLimit::Share(allowance) | SendLimit::LastResort(allowance))
                 if member.take_limited_send(&allowance, self.now) =>
             {
-                Taken::Limited
+                SendPermit::Limited
             }
-            _ => Taken::Denied,
+            _ => SendPermit::Denied,
         }
     }
 
@@ -130,7 +130,9 @@
         let taken_back = self.router.evacuations.taken_back_at(&member.server.zone);
         self.now < member.cold_until()
             || taken_back.is_some_and(|at| self.now < at + terms.lasts)
-            || member.unreachable_at().is_some_and(|at| self.now < at + terms.lasts + ASKED_AGAIN)
+            || member
+                .unreachable_at()
+                .is_some_and(|at| self.now < at + terms.lasts + PROBE_INTERVAL)
     }
 
     /// Entries that share, where this one does not know its place: as many as were reported, or as the settings name.
@@ -143,7 +145,7 @@
     /// What is known of the limit that a server advertises.
     fn advertised(&self, member: &Member) -> LimitBelief {
         let view = self.named.as_ref();
-        view.map(|view| view.belief(member.life_hash())).unwrap_or_default()
+        view.map(|view| view.belief(member.incarnation_hash())).unwrap_or_default()
     }
 
     /// Requests a second that a server takes from all entries; none where it takes what it has slots for. The
@@ -155,16 +157,16 @@
     }
 
     /// What limits the sends to a server; none where nothing does.
-    fn limit(&self, member: &Member) -> Option<Limit> {
+    fn limit(&self, member: &Member) -> Option<SendLimit> {
         let advertised = self.advertised(member);
         let rate = self.rate(member, &advertised)?;
         let Some(place) = self.place else {
-            return Some(Limit::LastResort(Allowance::least(rate, self.entries())));
+            return Some(SendLimit::LastResort(Allowance::least(rate, self.entries())));
         };
         let silent_for = self.now.saturating_sub(advertised.received_at());
         let server = member.id_hash();
         let share = allowance(rate, place, server)
             .or_else(|| advertised.rate().and_then(|_| stand_in(rate, place, server, silent_for)));
-        Some(share.map_or(Limit::OfOthers(rate), Limit::Share))
+        Some(share.map_or(SendLimit::OfOthers(rate), SendLimit::Share))
     }
 }
--- a/src/router/connection.rs
+++ b/src/router/connection.rs
@@ -15,16 +15,16 @@
 /// trying the next server.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Time after which bytes that nobody acknowledges end a connection.
-const USER_TIMEOUT: Duration = Duration::from_secs(2);
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time between probes of a connection on which nothing is said.
-const KEEPALIVE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Time a connection may have been idle and still carry a request that can be repeated.
-const REUSE_WITHIN: Duration = Duration::from_secs(2);
+const MAX_IDLE_TIME: Duration = Duration::from_secs(2);
 /// The same for a request that may run only once: a server that closes an idle connection just
 /// as the request leaves would make it unknown whether it ran.
-const REUSE_ONCE_ONLY_WITHIN: Duration = Duration::from_millis(800);
+const MAX_IDLE_TIME_ONCE_ONLY: Duration = Duration::from_millis(800);
 /// Idle connections kept to one server.
-const MOST_IDLE: usize = 16;
+const MAX_IDLE: usize = 16;
 
 /// A connection ready for a request.
 pub(crate) type Connection = SendRequest<Full<Bytes>>;
@@ -50,7 +50,7 @@
 /// A connection and whether it has been used before.
 pub(crate) struct Checkout {
     pub(crate) connection: Connection,
-    pub(crate) is_used: bool,
+    pub(crate) is_reused: bool,
 }
 
 /// Takes an idle connection to a server, or makes one.
@@ -60,18 +60,20 @@
     is_once_only: bool,
 ) -> Result<Checkout, ConnectError> {
     if let Some(connection) = take_idle(member, now, is_once_only) {
-        return Ok(Checkout { connection, is_used: true });
+        return Ok(Checkout { connection, is_reused: true });
     }
-    Ok(Checkout { connection: connect(member).await?, is_used: false })
+    Ok(Checkout { connection: connect(member).await?, is_reused: false })
 }
 
 fn take_idle(member: &Member, now: Duration, is_once_only: bool) -> Option<Connection> {
-    let within = if is_once_only { REUSE_ONCE_ONLY_WITHIN } else { REUSE_WITHIN };
-    let mut record = member.record();
-    record.idle.retain(|idle| now < idle.since + REUSE_WITHIN && idle.connection.is_ready());
+    let max_idle_time = if is_once_only { MAX_IDLE_TIME_ONCE_ONLY } else { MAX_IDLE_TIME };
+    let mut state = member.state();
+    state
+        .idle_connections
+        .retain(|idle| now < idle.since + MAX_IDLE_TIME && idle.connection.is_ready());
     // The longest idle first: a second answer to its last request has had time to show.
-    let i = record.idle.iter().position(|idle| now < idle.since + within)?;
-    Some(record.idle.remove(i).connection)
+    let i = state.idle_connections.iter().position(|idle| now < idle.since + max_idle_time)?;
+    Some(state.idle_connections.remove(i).connection)
 }
 
 /// Makes a new connection.
@@ -81,8 +83,11 @@
         .map_err(|_| ConnectError::Timeout)??;
     stream.set_nodelay(true)?;
     let socket = SockRef::from(&stream);
-    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
-    let probes = TcpKeepalive::new().with_time(KEEPALIVE).with_interval(KEEPALIVE).with_retries(1);
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
+    let probes = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(1);
     socket.set_tcp_keepalive(&probes)?;
     let (connection, work) = http1::handshake(TokioIo::new(stream)).await?;
     // What ends a connection shows in the answer that was waited for on it.
@@ -92,9 +97,9 @@
 
 /// Keeps a connection whose answer was read to its end.
 pub(crate) fn check_in(member: &Arc<Member>, connection: Connection, now: Duration) {
-    let mut record = member.record();
-    let is_draining = record.announced.draining_since().is_some();
-    if !is_draining && record.idle.len() < MOST_IDLE {
-        record.idle.push(IdleConnection { connection, since: now });
+    let mut state = member.state();
+    let is_draining = state.announced.draining_since().is_some();
+    if !is_draining && state.idle_connections.len() < MAX_IDLE {
+        state.idle_connections.push(IdleConnection { connection, since: now });
     }
 }
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -12,7 +12,7 @@
     router::{
         Member, Router,
         attempt::{AttemptError, AttemptPlan, OpenResponse, send},
-        availability::Taken,
+        availability::SendPermit,
         refusal::Refusal,
         request_context::{AttemptParams, RequestContext},
         roll_out::RunOutcome,
@@ -49,11 +49,11 @@
         if ctx.deliveries > 0 && !ctx.take_retry(router) {
             return failed.ok_or_else(|| refusal_after_attempts(router, ctx, params));
         }
-        match router.take_send(&member) {
-            Taken::Unlimited => {}
-            Taken::Limited => router.metrics.count_limited(ctx.send_kind()),
+        match router.acquire_send(&member) {
+            SendPermit::Unlimited => {}
+            SendPermit::Limited => router.metrics.count_limited(ctx.send_kind()),
             // The choice is made anew.
-            Taken::Denied => continue,
+            SendPermit::Denied => continue,
         }
         match attempt_at(router, ctx, &member, params).await {
             Ok(response) if response.head.kind == AnswerKind::Success => return Ok(response),
@@ -81,7 +81,7 @@
             Refusal::Quarantined { retry_after: router.refused_for(ctx) }
         }
         Verdict::NotRun => {
-            let retry_after = router.note_refusal(&ctx.service, &ctx.req.head.id);
+            let retry_after = router.note_overload(&ctx.service, &ctx.req.head.id);
             let Some((cause, wait)) = unavailability(router, ctx, params) else {
                 return Refusal::NotRun { retry_after };
             };
@@ -127,7 +127,7 @@
 ) -> bool {
     select_server(router, ctx, params, |server| server != current && !ctx.has_tried(server))
         .is_some()
-        && router.try_repeat(&ctx.service)
+        && router.take_retry(&ctx.service)
 }
 
 async fn attempt_at(
@@ -141,15 +141,15 @@
     let belief = router.readings.get(key);
     let marks = marks(ctx, params);
     let prompt_tokens = ctx.req.head.prompt_tokens;
-    let kept_marks = member.record().kept.kept_marks(&marks);
+    let kept_marks = member.state().kept.kept_marks(&marks);
     let kept_tokens: u64 = marks[..kept_marks].iter().map(|mark| mark.tokens).sum();
     let uncached_tokens = prompt_tokens.saturating_sub(kept_tokens);
     // What is believed to be kept may be gone: the time for the whole prompt is allowed.
     let prefill_time = belief.reading_time(prompt_tokens);
     let (kind, objective) = (ctx.route.kind, ctx.route.objective);
     // This one is awaited there, too.
-    let awaited = member.awaited() + 1;
-    let patience = head_patience(kind, objective, belief.head_time(), prefill_time, awaited);
+    let outstanding = member.outstanding() + 1;
+    let patience = head_patience(kind, objective, belief.head_time(), prefill_time, outstanding);
     let plan = AttemptPlan {
         member,
         headers: AttemptHeaders {
--- a/src/router/event_stream.rs
+++ b/src/router/event_stream.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buf: BytesMut,
-    searched: usize,
+    scanned: usize,
 }
 
 impl EventSplitter {
@@ -26,12 +26,12 @@
 
     /// The next whole event, if it is here.
     pub fn next_event(&mut self) -> Option<Event> {
-        let start = self.searched.saturating_sub(3);
+        let start = self.scanned.saturating_sub(3);
         let Some(end) = find_end(&self.buf[start..]).map(|end| start + end) else {
-            self.searched = self.buf.len();
+            self.scanned = self.buf.len();
             return None;
         };
-        self.searched = 0;
+        self.scanned = 0;
         let bytes = self.buf.split_to(end).freeze();
         Some(Event { id: read_id(&bytes), bytes })
     }
--- a/src/router/fleet.rs
+++ b/src/router/fleet.rs
@@ -15,7 +15,7 @@
 /// serve: the order of its roll-out is read up to 250 ms later than the list of servers. Without it two
 /// sessions ran on a new version within 30 ms (32 entries, a configuration changed 5 ms before the
 /// order).
-const ORDERS_LAG: Duration = Duration::from_millis(500);
+const ROLL_OUT_ORDER_LAG: Duration = Duration::from_millis(500);
 
 /// All servers in view; replaced as a whole when the list changes.
 #[derive(Debug, Default)]
@@ -25,31 +25,36 @@
     by_short_hash: HashMap<u32, Arc<Member>>,
     departed: Departed,
     /// Until when versions wait that came into view beside others, by service and version.
-    waiting: HashMap<(Box<str>, ServerVersion), Duration>,
+    held_versions: HashMap<(Box<str>, ServerVersion), Duration>,
 }
 
 impl Fleet {
     /// The fleet of these servers, which keeps what is known about those already in view.
     #[must_use]
-    pub fn with(&self, servers: impl Iterator<Item = BackendServer>, now: Duration) -> Self {
-        let waiting = self.waiting.iter().filter(|(_, until)| now < **until);
-        let waiting = waiting.map(|(version, until)| (version.clone(), *until)).collect();
-        let mut next = Self { waiting, ..Self::default() };
+    pub fn with_servers(
+        &self,
+        servers: impl Iterator<Item = BackendServer>,
+        now: Duration,
+    ) -> Self {
+        let held_versions = self.held_versions.iter().filter(|(_, until)| now < **until);
+        let held_versions =
+            held_versions.map(|(version, until)| (version.clone(), *until)).collect();
+        let mut next = Self { held_versions, ..Self::default() };
         for server in servers {
             let known = self.members.get(&server.id).or_else(|| self.departed.get(&server.id));
             let member = match known {
                 Some(known) if known.server == server => known.clone(),
                 Some(known) if known.server.born == server.born => {
-                    Arc::new(known.renewed(server, now))
+                    Arc::new(known.with_listing(server, now))
                 }
                 known => {
                     if let Some(known) = known {
-                        known.end();
+                        known.mark_ended();
                         event::SERVER_REBORN
                             .log(format_args!("server={} born={:?}", server.id, server.born));
                     }
-                    let waits_until = next.note_version(self, &server, now);
-                    Arc::new(Member::new(server, waits_until, now))
+                    let held_until = next.hold_new_version(self, &server, now);
+                    Arc::new(Member::new(server, held_until, now))
                 }
             };
             let service = member.server.service.clone();
@@ -72,28 +77,33 @@
     }
 
     /// Until when a server waits that has come into view after this fleet's `before`.
-    fn note_version(&mut self, before: &Self, server: &BackendServer, now: Duration) -> Duration {
+    fn hold_new_version(
+        &mut self,
+        before: &Self,
+        server: &BackendServer,
+        now: Duration,
+    ) -> Duration {
         let version = (server.service.clone(), server.version.clone());
-        if let Some(until) = self.waiting.get(&version) {
+        if let Some(until) = self.held_versions.get(&version) {
             return *until;
         }
         let others = before.of_service(&server.service);
         if others.is_empty() || others.iter().any(|m| m.server.version == server.version) {
             return Duration::ZERO;
         }
-        self.waiting.insert(version, now + ORDERS_LAG);
-        now + ORDERS_LAG
+        self.held_versions.insert(version, now + ROLL_OUT_ORDER_LAG);
+        now + ROLL_OUT_ORDER_LAG
     }
 
     /// Whether a server's life is in view.
-    pub(crate) fn has_life(&self, member: &Member) -> bool {
+    pub(crate) fn has_incarnation(&self, member: &Member) -> bool {
         let listed = self.members.get(&member.server.id);
-        listed.is_some_and(|listed| listed.is_same_life(member))
+        listed.is_some_and(|listed| listed.is_same_incarnation(member))
     }
 
     /// The server whose life has this hash.
-    pub(crate) fn by_life(&self, life: LifeHash) -> Option<&Arc<Member>> {
-        self.by_short_hash(life as u32).filter(|member| member.life_hash() == life)
+    pub(crate) fn by_incarnation(&self, life: LifeHash) -> Option<&Arc<Member>> {
+        self.by_short_hash(life as u32).filter(|member| member.incarnation_hash() == life)
     }
 
     /// Whether a server of this id is in view.
@@ -102,8 +112,11 @@
     }
 
     /// Servers whose life is not in view in a later fleet.
-    pub(crate) fn gone_in<'a>(&'a self, later: &'a Self) -> impl Iterator<Item = &'a Arc<Member>> {
-        self.members.values().filter(|member| !later.has_life(member))
+    pub(crate) fn missing_from<'a>(
+        &'a self,
+        later: &'a Self,
+    ) -> impl Iterator<Item = &'a Arc<Member>> {
+        self.members.values().filter(|member| !later.has_incarnation(member))
     }
 
     /// Servers of a service.
@@ -112,10 +125,10 @@
     }
 
     /// Takes in how many tokens the servers of each service have memory for.
-    pub(crate) fn set_memories(&self, memories: &HashMap<Box<str>, u64>) {
+    pub(crate) fn set_cache_capacities(&self, memories: &HashMap<Box<str>, u64>) {
         for member in self.members.values() {
             if let Some(tokens) = memories.get(&member.server.service) {
-                member.record().kept.set_memory(*tokens);
+                member.state().kept.set_memory(*tokens);
             }
         }
     }
--- a/src/router/follow.rs
+++ b/src/router/follow.rs
@@ -64,7 +64,7 @@
 pub(crate) async fn follow(router: &Router) {
     let mut seeds = Seeds::default();
     loop {
-        if router.wants_link() && follow_next(router, &mut seeds).await {
+        if router.needs_link() && follow_next(router, &mut seeds).await {
             continue;
         }
         let is_starting = router.table.load().is_none();
@@ -125,7 +125,7 @@
         return Ok(Left::OtherZone);
     }
     let mut current_at = router.now();
-    while router.wants_link() {
+    while router.needs_link() {
         let beat = tokio::select! {
             biased;
             _ = wakes.changed() => return Err(resumed()),
--- a/src/router/limit_board.rs
+++ b/src/router/limit_board.rs
@@ -214,7 +214,7 @@
     pub(crate) fn dump(&self, fleet: &Fleet, now: Duration) -> Value {
         let inner = self.lock();
         let one = |(life, known): (&LifeHash, &Known)| {
-            let member = fleet.by_life(*life)?;
+            let member = fleet.by_incarnation(*life)?;
             let received_ms = now.saturating_sub(known.belief.received_at()).as_millis() as u64;
             Some(json!({
                 "server": member.server.id,
@@ -229,7 +229,7 @@
     /// Forgets servers that are long out of view.
     pub(crate) fn forget_gone(&self, fleet: &Fleet, now: Duration) {
         let is_kept = |life: &LifeHash, known: &mut Known| {
-            fleet.by_life(*life).is_some() || now < known.belief.received_at() + REMEMBERED
+            fleet.by_incarnation(*life).is_some() || now < known.belief.received_at() + REMEMBERED
         };
         let mut inner = self.lock();
         inner.servers.retain(is_kept);
--- a/src/router/listen.rs
+++ b/src/router/listen.rs
@@ -22,15 +22,15 @@
 };
 
 /// Least buffer hyper takes for a request's head, bytes.
-const LEAST_BUFFER: usize = 8 << 10;
+const MIN_READ_BUFFER: usize = 8 << 10;
 /// Time an accept that failed is left alone, for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Time that callers may use a connection beyond the limit that they were given.
 const IDLE_SLACK: Duration = Duration::from_secs(2);
 
 /// Takes callers' connections until `closing` says so, then closes those that are idle and waits
 /// for the others.
-pub(crate) async fn callers(
+pub(crate) async fn serve_callers(
     router: Arc<Router>,
     listener: TcpListener,
     mut closing: watch::Receiver<bool>,
@@ -42,10 +42,10 @@
             _ = closing.wait_for(|closing| *closing) => break,
         };
         match accepted {
-            Ok((stream, _)) => take(&router, stream, &open),
+            Ok((stream, _)) => serve_connection(&router, stream, &open),
             Err(e) => {
                 event::ACCEPT_FAILED.log(format_args!("cause=\"{e}\""));
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -53,7 +53,7 @@
     open.shutdown().await;
 }
 
-fn take(router: &Arc<Router>, stream: TcpStream, open: &GracefulShutdown) {
+fn serve_connection(router: &Arc<Router>, stream: TcpStream, open: &GracefulShutdown) {
     // Without it a small event would wait for the caller's acknowledgement of the one before.
     if let Err(e) = stream.set_nodelay(true) {
         event::ACCEPT_FAILED.log(format_args!("cause=\"{e}\""));
@@ -66,7 +66,7 @@
         .timer(TokioTimer::new())
         // Covers the time between requests too, so it is the longer of the two limits.
         .header_read_timeout(limits.idle_timeout.max(limits.header_timeout) + IDLE_SLACK)
-        .max_buf_size(limits.header_bytes.max(LEAST_BUFFER))
+        .max_buf_size(limits.header_bytes.max(MIN_READ_BUFFER))
         .serve_connection(
             TokioIo::new(stream),
             service_fn(move |req| serve(router.clone(), req, connected_at)),
@@ -77,7 +77,10 @@
 }
 
 /// Answers the balancer, and serves metrics and the state dump beside it.
-pub(crate) async fn readiness(router: Arc<Router>, listener: TcpListener) -> std::io::Result<()> {
+pub(crate) async fn serve_readiness(
+    router: Arc<Router>,
+    listener: TcpListener,
+) -> std::io::Result<()> {
     let asked = router.clone();
     let ready = get(move || {
         let is_ready = asked.is_ready();
--- a/src/router/listing.rs
+++ b/src/router/listing.rs
@@ -17,10 +17,10 @@
 };
 
 /// Time for which it is remembered that a server left: a store comes back from a copy some seconds old.
-const LEFT_LASTS: Duration = Duration::from_secs(60);
+const DEPARTED_RETENTION: Duration = Duration::from_secs(60);
 /// Time after which the store has dropped the row of a server that is gone: three heartbeats of 1.2 s, and the
 /// 0.8 s by which the list is read late.
-const DISTRUST: Duration = Duration::from_millis(4_400);
+const RESTORED_ROW_HOLD: Duration = Duration::from_millis(4_400);
 
 /// The servers listed, and those missing since the store came back.
 #[derive(Debug, Default)]
@@ -29,9 +29,9 @@
     /// Servers that may come back until this time.
     missing: HashMap<Box<str>, Duration>,
     /// Servers that left, and when: a store that comes back from an older copy may still have them.
-    left: HashMap<Box<str>, Duration>,
+    departed: HashMap<Box<str>, Duration>,
     /// Such servers, until when the store would have dropped them if they are gone.
-    distrusted: HashMap<Box<str>, (BackendServer, Duration)>,
+    unconfirmed: HashMap<Box<str>, (BackendServer, Duration)>,
     /// Rows that could not be read, by key, at this revision: each is logged once.
     unreadable: HashMap<Box<str>, Revision>,
 }
@@ -45,7 +45,7 @@
         doubtful_until: Option<Duration>,
         now: Duration,
     ) {
-        self.left.retain(|_, at| now < *at + LEFT_LASTS);
+        self.departed.retain(|_, at| now < *at + DEPARTED_RETENTION);
         if extent.is_whole() {
             let listed: HashSet<&str> = rows.rows.iter().map(|row| &*row.key).collect();
             let known = self.servers.keys().chain(self.unreadable.keys());
@@ -69,10 +69,10 @@
         if let Some(known) = self.servers.get(&server.id) {
             return known.born == server.born && server.sequence < known.sequence;
         }
-        let has_left = self.left.contains_key(&server.id);
+        let has_left = self.departed.contains_key(&server.id);
         if has_left {
-            let distrusted = (server.clone(), now + DISTRUST);
-            self.distrusted.insert(server.id.clone(), distrusted);
+            let unconfirmed = (server.clone(), now + RESTORED_ROW_HOLD);
+            self.unconfirmed.insert(server.id.clone(), unconfirmed);
         }
         has_left
     }
@@ -81,7 +81,7 @@
         let known = self.servers.get(&row.key).and_then(|server| server.born);
         match read_server(row) {
             Ok(server) if known.is_some() && server.born.is_none() => {
-                self.pass_over(row, "it does not have its start, as it did before");
+                self.reject_row(row, "it does not have its start, as it did before");
             }
             // What a former life said, and what reached the store after the present one's first report.
             Ok(server) if server.born < known => {
@@ -93,17 +93,17 @@
             Ok(server) if extent == Extent::Restored && self.is_outdated(&server, now) => {}
             Ok(server) => {
                 self.missing.remove(&server.id);
-                self.distrusted.remove(&server.id);
-                self.left.remove(&server.id);
+                self.unconfirmed.remove(&server.id);
+                self.departed.remove(&server.id);
                 self.unreadable.remove(&server.id);
                 self.servers.insert(server.id.clone(), server);
             }
-            Err(e) => self.pass_over(row, &e.to_string()),
+            Err(e) => self.reject_row(row, &e.to_string()),
         }
     }
 
     /// Takes a row as one of another writer: its server is not used until it can be read again.
-    fn pass_over(&mut self, row: &Row, cause: &str) {
+    fn reject_row(&mut self, row: &Row, cause: &str) {
         self.missing.remove(&row.key);
         self.servers.remove(&row.key);
         if self.unreadable.insert(row.key.clone(), row.version) != Some(row.version) {
@@ -130,7 +130,7 @@
 
     fn remove(&mut self, id: &str, doubtful_until: Option<Duration>, now: Duration) {
         self.unreadable.remove(id);
-        self.distrusted.remove(id);
+        self.unconfirmed.remove(id);
         let is_draining = self.servers.get(id).is_none_or(|server| server.is_draining);
         match doubtful_until {
             Some(until) if !is_draining => {
@@ -139,7 +139,7 @@
             _ => {
                 self.missing.remove(id);
                 if self.servers.remove(id).is_some() {
-                    self.left.insert(id.into(), now);
+                    self.departed.insert(id.into(), now);
                 }
             }
         }
@@ -152,11 +152,11 @@
         self.servers.retain(|id, _| self.missing.get(id).is_none_or(|until| now < *until));
         self.missing.retain(|_, until| now < *until);
         let is_any_gone = self.servers.len() != before;
-        let trusted = self.distrusted.extract_if(|_, (_, until)| *until <= now);
-        let trusted: Vec<BackendServer> = trusted.map(|(_, (server, _))| server).collect();
-        let is_any_back = !trusted.is_empty();
-        for server in trusted {
-            self.left.remove(&server.id);
+        let confirmed = self.unconfirmed.extract_if(|_, (_, until)| *until <= now);
+        let confirmed: Vec<BackendServer> = confirmed.map(|(_, (server, _))| server).collect();
+        let is_any_back = !confirmed.is_empty();
+        for server in confirmed {
+            self.departed.remove(&server.id);
             self.servers.insert(server.id.clone(), server);
         }
         is_any_gone || is_any_back
--- a/src/router/load_board.rs
+++ b/src/router/load_board.rs
@@ -91,9 +91,9 @@
     /// What this entry has at the servers now, to be reported.
     pub(crate) fn report(&self, fleet: &Fleet) -> Vec<ServerLoad> {
         let loads = fleet.members().filter_map(|member| {
-            let record = member.record();
-            let requests = record.load.own;
-            let backlog_ms = u32::try_from(record.backlog.as_millis()).unwrap_or(u32::MAX);
+            let state = member.state();
+            let requests = state.load.own;
+            let backlog_ms = u32::try_from(state.backlog.as_millis()).unwrap_or(u32::MAX);
             let server = member.short_hash();
             (requests > 0).then_some(ServerLoad { server, requests, backlog_ms })
         });
@@ -178,7 +178,7 @@
             let (own_requests, own_backlog_ms) = reported(&own);
             let backlog = Duration::from_millis(backlog_ms.saturating_sub(own_backlog_ms).into());
             let requests = requests.saturating_sub(own_requests);
-            member.record().load.note_others(requests, backlog, now);
+            member.state().load.note_others(requests, backlog, now);
         }
     }
 }
--- a/src/router/observability.rs
+++ b/src/router/observability.rs
@@ -25,8 +25,8 @@
         let quarantined = self.quarantine.cases(true, now).len();
         self.metrics.quarantined.set(i64::try_from(quarantined).unwrap_or(i64::MAX));
         let terms = self.send_terms();
-        let mut budgets = self.budgets.lock().expect("no panics under the lock");
-        for (service, budget) in budgets.iter_mut() {
+        let mut retry_budgets = self.retry_budgets.lock().expect("no panics under the lock");
+        for (service, budget) in retry_budgets.iter_mut() {
             let labels = ServiceLabels { service: service.to_string() };
             self.metrics.repeats_left.get_or_create(&labels).set(budget.left(&terms, now) as i64);
         }
@@ -35,7 +35,7 @@
         let rate_limited = i64::try_from(self.limits.rate_limited()).unwrap_or(i64::MAX);
         self.metrics.servers_rate_limited.set(rate_limited);
         let fleet = self.fleet.load();
-        let announced: Vec<_> = fleet.members().map(|m| m.record().announced).collect();
+        let announced: Vec<_> = fleet.members().map(|m| m.state().announced).collect();
         let draining = announced.iter().filter(|a| a.draining_since().is_some()).count();
         let paused = announced.iter().filter(|a| a.is_paused(now)).count();
         self.metrics.servers_draining.set(i64::try_from(draining).unwrap_or(i64::MAX));
--- a/src/router/orders.rs
+++ b/src/router/orders.rs
@@ -106,7 +106,7 @@
         return;
     }
     router.metrics.revision.set(i64::try_from(version).unwrap_or(i64::MAX));
-    router.put_table(table);
+    router.set_table(table);
     event::CONFIG_ADVANCED.log(format_args!("version={version} before={current}"));
     if current == 0 {
         router.advance(LifecycleEvent::Ready);
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -382,6 +382,6 @@
     /// How long the server's silence is tolerated; without end where nothing else could be done.
     fn patience(&self, server: &Member) -> Option<Patience> {
         let may_resume = self.ctx.route.is_resumable && self.ctx.runs_left() > 0;
-        may_resume.then(|| event_patience(self.ctx.route.event_gap, server.awaited()))
+        may_resume.then(|| event_patience(self.ctx.route.event_gap, server.outstanding()))
     }
 }
--- a/src/router/request_context.rs
+++ b/src/router/request_context.rs
@@ -94,7 +94,7 @@
 
     /// Takes a repeated send from the budget, unless one is in hand; false when there is none.
     pub(super) fn take_retry(&mut self, router: &Router) -> bool {
-        self.has_retry = self.has_retry || router.try_repeat(&self.service);
+        self.has_retry = self.has_retry || router.take_retry(&self.service);
         self.has_retry
     }
 
--- a/src/router/response_wait.rs
+++ b/src/router/response_wait.rs
@@ -43,7 +43,7 @@
         // What has come is taken, also from a life that has ended since.
         biased;
         output = wait_while_alive(router, wait, work, can_fail_over) => output,
-        () = wait.member.until_ended() => None,
+        () = wait.member.wait_until_ended() => None,
         // What waits at a server that has not begun to run it is taken back, and the server lives on.
         () = withdrawn => None,
     }
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -14,16 +14,16 @@
     router::{
         Router, driver, follow, listen, orders, peers, quarantine_release, quarantine_row, reports,
         servers,
-        state::{BALANCER, BEFORE_KILL},
+        state::{KILL_MARGIN, READINESS_LAG},
     },
     settings::RouteSettings,
     telemetry::{admin, event},
 };
 
 /// Time before the end of the grace at which idle connections are closed.
-const BEFORE_CLOSE: Duration = Duration::from_millis(700);
+const IDLE_CLOSE_MARGIN: Duration = Duration::from_millis(700);
 /// Time between looks at whether requests are still in flight.
-const IDLE_CHECK: Duration = Duration::from_millis(50);
+const IN_FLIGHT_POLL: Duration = Duration::from_millis(50);
 
 /// What an entry on the platform is started with.
 #[derive(Clone, Debug)]
@@ -90,10 +90,10 @@
         serve_admin(&router, TcpListener::bind(address).await?);
     }
     let (closing, is_closing) = watch::channel(false);
-    let callers = tokio::spawn(listen::callers(router.clone(), callers, is_closing));
+    let callers = tokio::spawn(listen::serve_callers(router.clone(), callers, is_closing));
     let asked = router.clone();
     tokio::spawn(async move {
-        if let Err(e) = listen::readiness(asked, readiness).await {
+        if let Err(e) = listen::serve_readiness(asked, readiness).await {
             event::ACCEPT_FAILED.log(format_args!("cause=\"{e}\""));
         }
     });
@@ -122,10 +122,10 @@
             orders::follow_orders(&router, &store),
             servers::follow_servers(&router, &store),
             driver::drive_roll_outs(&router, &store),
-            answer_peers(router.clone(), peers),
+            serve_peers(router.clone(), peers),
             follow::follow(&router),
             reports::report_load(&router),
-            keep_quarantine(&router, &store),
+            follow_quarantine(&router, &store),
         )
     };
     tokio::select! {
@@ -135,13 +135,13 @@
     }
 }
 
-async fn keep_quarantine(router: &Arc<Router>, store: &StoreClient) {
+async fn follow_quarantine(router: &Arc<Router>, store: &StoreClient) {
     if let Some(trials) = router.take_trials() {
         quarantine_row::keep(router, store, trials).await;
     }
 }
 
-async fn answer_peers(router: Arc<Router>, listener: Option<std::net::TcpListener>) {
+async fn serve_peers(router: Arc<Router>, listener: Option<std::net::TcpListener>) {
     let Some(listener) = listener else {
         return;
     };
@@ -172,16 +172,16 @@
         let elapsed = || router.now().saturating_sub(began);
         router.begin_stop();
         event::PROCESS_LEAVING.log(format_args!("in_flight={}", router.in_flight()));
-        sleep(BALANCER).await;
+        sleep(READINESS_LAG).await;
         let grace = router.settings.load().grace;
         // The balancer may still send callers here when it has nowhere else to send them.
-        while router.in_flight() > 0 && elapsed() < grace.saturating_sub(BEFORE_CLOSE) {
-            sleep(IDLE_CHECK).await;
+        while router.in_flight() > 0 && elapsed() < grace.saturating_sub(IDLE_CLOSE_MARGIN) {
+            sleep(IN_FLIGHT_POLL).await;
         }
         self.closing.send_replace(true);
-        let last = grace.saturating_sub(BEFORE_KILL);
+        let last = grace.saturating_sub(KILL_MARGIN);
         while !self.callers.is_finished() && elapsed() < last {
-            sleep(IDLE_CHECK).await;
+            sleep(IN_FLIGHT_POLL).await;
         }
         let cut = router.in_flight();
         event::PROCESS_STOPPED.log(format_args!("cut={cut}"));
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -101,8 +101,8 @@
     let (mut usable, closed): (Vec<_>, Vec<_>) =
         checked.partition(|(_, availability)| !matches!(availability, Availability::Closed { .. }));
     router.count_avoided(&closed);
-    if usable.iter().any(|(member, _)| !member.is_unannounced(check.now())) {
-        usable.retain(|(member, _)| !member.is_unannounced(check.now()));
+    if usable.iter().any(|(member, _)| !member.awaits_roll_out_order(check.now())) {
+        usable.retain(|(member, _)| !member.awaits_roll_out_order(check.now()));
     }
     retain_first_tier(&mut usable);
     usable.into_iter().map(|(member, _)| member).collect()
@@ -139,7 +139,7 @@
     let prompt_tokens = ctx.req.head.prompt_tokens;
     let (ahead, kept) = match select_server(router, ctx, params, |_| true) {
         Some(member) => {
-            let kept = member.record().kept.kept_tokens(&marks(ctx, params));
+            let kept = member.state().kept.kept_tokens(&marks(ctx, params));
             (member.backlog(router.now()), kept)
         }
         None => (Duration::ZERO, 0),
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -36,14 +36,14 @@
 
 impl InFlightGuard {
     fn enter(router: &Arc<Router>) -> Self {
-        router.enter();
+        router.note_request_started();
         Self { router: router.clone(), arrived_at: router.now() }
     }
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.router.leave();
+        self.router.note_request_finished();
     }
 }
 
@@ -87,7 +87,7 @@
         return Err(Refusal::NoConfiguration);
     };
     let (route, organisation) = admit(table, &head)?;
-    if !router.takes(&route) {
+    if !router.accepts(&route) {
         let retry_after = router.leaving_retry_after(connected_at);
         return Err(Refusal::Leaving { retry_after });
     }
@@ -106,10 +106,10 @@
     head: &RequestHead,
 ) -> Result<(Arc<Route>, Option<Arc<Organisation>>), Refusal> {
     let route = table.route(&head.host, head.uri.path()).ok_or(Refusal::NoRoute)?;
-    let holder = |keys: &std::collections::HashMap<Box<str>, Arc<Organisation>>| {
+    let find_organisation = |keys: &std::collections::HashMap<Box<str>, Arc<Organisation>>| {
         head.key.as_ref().and_then(|key| keys.get(key)).cloned()
     };
-    let organisation = table.keys.as_ref().and_then(holder);
+    let organisation = table.keys.as_ref().and_then(find_organisation);
     if table.keys.is_some() && !route.is_public && organisation.is_none() {
         return Err(Refusal::UnknownKey);
     }
--- a/src/router/server_ends.rs
+++ b/src/router/server_ends.rs
@@ -54,7 +54,7 @@
         // An announced exit is neither a crash nor a failure of the version.
         return;
     }
-    if !router.fleet.load().has_life(member) {
+    if !router.fleet.load().has_incarnation(member) {
         router.roll_outs.note_outcome(&member.server, RunOutcome::Failed);
         return;
     }
@@ -75,28 +75,28 @@
     loss_cause: LossCause,
 ) {
     let (fingerprint, now) = (ctx.fingerprint(), router.now());
-    let mut breaks = member.breaks();
-    if breaks.has_ended(now) && loss_cause == LossCause::Disconnected {
-        drop(breaks);
-        return router.quarantine.note_ends(&[fingerprint], member.life_hash(), now);
+    let mut lost_requests = member.lost_requests();
+    if lost_requests.has_ended(now) && loss_cause == LossCause::Disconnected {
+        drop(lost_requests);
+        return router.quarantine.note_ends(&[fingerprint], member.incarnation_hash(), now);
     }
-    breaks.lost.retain(|lost| now < lost.at + SUSPECT_WINDOW);
-    if breaks.lost.len() < MAX_LOST {
-        breaks.lost.push(LostRequest { fingerprint, at: now, loss_cause });
+    lost_requests.lost.retain(|lost| now < lost.at + SUSPECT_WINDOW);
+    if lost_requests.lost.len() < MAX_LOST {
+        lost_requests.lost.push(LostRequest { fingerprint, at: now, loss_cause });
     }
 }
 
 /// Whether the server ended; one look serves all whose connections broke together.
 async fn has_ended(router: &Router, member: &Member) -> bool {
-    let _one_looks = member.look().await;
+    let _guard = member.lock_probe().await;
     {
-        let mut breaks = member.breaks();
+        let mut lost_requests = member.lost_requests();
         let now = router.now();
-        let is_fresh = breaks.probed_at.is_some_and(|at| now < at + PROBE_VALID_FOR);
-        if breaks.has_ended(now) || is_fresh {
-            return breaks.has_ended(now);
+        let is_fresh = lost_requests.probed_at.is_some_and(|at| now < at + PROBE_VALID_FOR);
+        if lost_requests.has_ended(now) || is_fresh {
+            return lost_requests.has_ended(now);
         }
-        breaks.probed_at = Some(now);
+        lost_requests.probed_at = Some(now);
     }
     let is_connection_refused = is_connection_refused(member.server.address).await;
     if is_connection_refused {
@@ -162,15 +162,15 @@
     let now = router.now();
     let (lost, ended_at) = {
         let received_at = member.received_at();
-        let mut breaks = member.breaks();
-        if proof != Proof::Refused && breaks.ended_at.is_some() {
+        let mut lost_requests = member.lost_requests();
+        if proof != Proof::Refused && lost_requests.ended_at.is_some() {
             // The list is behind: this end is known, and what was sent since is at work in the next life.
             return;
         }
         if proof != Proof::Dropped {
-            breaks.ended_at = Some(now);
+            lost_requests.ended_at = Some(now);
         }
-        let lost = std::mem::take(&mut breaks.lost);
+        let lost = std::mem::take(&mut lost_requests.lost);
         let ended_at = first_broken_at(&lost, received_at).unwrap_or(now);
         // Whoever was left before the server last spoke was no longer at work there.
         let lost = lost
@@ -195,9 +195,9 @@
     ));
     router.metrics.server_ends.inc();
     match proof {
-        Proof::Refused => router.quarantine.note_ends(&lost, member.life_hash(), ended_at),
+        Proof::Refused => router.quarantine.note_ends(&lost, member.incarnation_hash(), ended_at),
         Proof::StartedAgain | Proof::Dropped => {
-            router.quarantine.note_listed_ends(&lost, member.life_hash(), ended_at);
+            router.quarantine.note_listed_ends(&lost, member.incarnation_hash(), ended_at);
         }
     }
 }
--- a/src/router/servers.rs
+++ b/src/router/servers.rs
@@ -21,7 +21,7 @@
         let mut listing = listing.lock().expect("no panics under the lock");
         listing.apply(&rows, extent, contact.doubtful_until(router.now()), router.now());
         if extent.is_whole() || !rows.rows.is_empty() {
-            publish(router, &listing);
+            publish_fleet(router, &listing);
         }
     };
     let expire = async {
@@ -30,29 +30,29 @@
             router.notice_suspension();
             let mut listing = listing.lock().expect("no panics under the lock");
             if listing.expire(router.now()) {
-                publish(router, &listing);
+                publish_fleet(router, &listing);
             }
         }
     };
     tokio::join!(follow(router, store, Table::Servers, apply), expire);
 }
 
-fn publish(router: &Router, listing: &Listing) {
+fn publish_fleet(router: &Router, listing: &Listing) {
     let before = router.fleet.load_full();
-    let next = before.with(listing.usable().cloned(), router.now());
+    let next = before.with_servers(listing.usable().cloned(), router.now());
     let unreadable = listing.unreadable();
     let cold = next.members().filter(|member| router.now() < member.cold_until()).count();
     event::SERVERS_CHANGED
         .log(format_args!("servers={} cold={cold} unreadable={unreadable}", next.len()));
     router.metrics.rows_unreadable.set(i64::try_from(unreadable).unwrap_or(i64::MAX));
-    note_ends(router, listing, &before, &next);
-    router.put_fleet(next);
+    note_ended_servers(router, listing, &before, &next);
+    router.set_fleet(next);
     note_versions(router);
 }
 
 /// Takes servers that have started again, or are gone without having said so, as ended.
-fn note_ends(router: &Router, listing: &Listing, before: &Fleet, next: &Fleet) {
-    for member in before.gone_in(next).filter(|member| !member.is_draining()) {
+fn note_ended_servers(router: &Router, listing: &Listing, before: &Fleet, next: &Fleet) {
+    for member in before.missing_from(next).filter(|member| !member.is_draining()) {
         let id = &member.server.id;
         if next.has_id(id) {
             server_ends::note_server_end(router, member, Proof::StartedAgain);
--- a/src/router/stages.rs
+++ b/src/router/stages.rs
@@ -45,7 +45,7 @@
         let response = next?;
         let known = escalation_input(router, ctx, params, stage, &response);
         let next = escalate(&known, &router.policy.escalation);
-        let Some(next) = next.filter(|_| router.may_repeat(&ctx.service)) else {
+        let Some(next) = next.filter(|_| router.has_retry_left(&ctx.service)) else {
             router.metrics.count_stage(model.as_deref().unwrap_or("-"), "passed");
             return Ok(StageResponse { response, model });
         };
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -38,14 +38,14 @@
 
 /// Time the balancer needs to see that this entry is no longer ready: two questions, a second
 /// apart, and a little more.
-pub(crate) const BALANCER: Duration = Duration::from_millis(2_500);
+pub(crate) const READINESS_LAG: Duration = Duration::from_millis(2_500);
 /// Time after which a caller may try another entry.
-const OTHERS_TAKE_IT: Duration = Duration::from_millis(50);
+const RETRY_OTHER_ENTRY: Duration = Duration::from_millis(50);
 /// Time from the end of a process until the next one on its Host takes requests; 0.5 to 0.6 s in
 /// the logs of the first sites.
-const RESTART: Duration = Duration::from_millis(700);
+const RESTART_TIME: Duration = Duration::from_millis(700);
 /// Time before the end of the grace at which what is left is cut.
-pub(crate) const BEFORE_KILL: Duration = Duration::from_millis(300);
+pub(crate) const KILL_MARGIN: Duration = Duration::from_millis(300);
 
 /// Reading of the entry's clock when the process starts. It leaves room for times before the start,
 /// such as the begin of a roll-out that is under way; none of interest lies a day back.
@@ -53,13 +53,13 @@
 
 /// Longest wait for the first configuration; 0.4 s on the slowest links of the grown sites after
 /// all hosts lost power, and half a second leaves most of a stream's time to its first event.
-const VIEW_WAIT: Duration = Duration::from_millis(500);
+const MAX_VIEW_WAIT: Duration = Duration::from_millis(500);
 
 /// Time in which a process that starts or resumes learns what holds now: a read of the store takes 10 ms and
 /// a link 0.3 s. Later, requests are no longer held for it.
-const FRESH_WITHIN: Duration = Duration::from_secs(2);
+const MAX_REFRESH_WAIT: Duration = Duration::from_secs(2);
 /// Trials that may be asked for at once; a caller beyond them is refused, and the next one asks.
-const TRIALS_WAITING: usize = 16;
+const TRIAL_QUEUE: usize = 16;
 
 /// State of one entry, shared by its control and its traffic thread.
 pub struct Router {
@@ -93,13 +93,13 @@
     pub(crate) link: Link,
     /// Metrics.
     pub metrics: Metrics,
-    pub(super) budgets: Mutex<HashMap<Box<str>, SendBudget>>,
+    pub(super) retry_budgets: Mutex<HashMap<Box<str>, SendBudget>>,
     extra_share: Mutex<ExtraShare>,
     overloads: Mutex<HashMap<Box<str>, Overload>>,
     lifecycle: Mutex<Lifecycle>,
     in_flight: AtomicUsize,
     /// Wakes waiting requests when a configuration or servers come into view.
-    news: Notify,
+    view_changed: Notify,
     stop_began: OnceLock<Duration>,
     /// The entry's clock.
     pub clock: Clock,
@@ -110,7 +110,7 @@
 impl Router {
     /// An entry that has no configuration yet.
     pub fn new(settings: HostSettings, policy: RouteSettings) -> Self {
-        let (tx, rx) = mpsc::channel(TRIALS_WAITING);
+        let (tx, rx) = mpsc::channel(TRIAL_QUEUE);
         Self {
             settings: ArcSwap::from_pointee(settings),
             table: ArcSwap::from_pointee(None),
@@ -126,13 +126,13 @@
             quarantine: QuarantineBoard::default(),
             link: Link::default(),
             metrics: Metrics::default(),
-            budgets: Mutex::default(),
+            retry_budgets: Mutex::default(),
             extra_share: Mutex::new(ExtraShare::started_at(CLOCK_ORIGIN)),
             overloads: Mutex::default(),
             readings: Readings::default(),
             lifecycle: Mutex::new(lifecycle::start()),
             in_flight: AtomicUsize::new(0),
-            news: Notify::new(),
+            view_changed: Notify::new(),
             stop_began: OnceLock::new(),
             clock: Clock::starting_at(CLOCK_ORIGIN),
             trials: (tx, Mutex::new(Some(rx))),
@@ -158,7 +158,7 @@
         event::HOST_RESUMED.log(format_args!("suspended_ms={}", suspended.as_millis()));
         // Followed entries have given this one up meanwhile, and the store's calls are long over.
         self.link.set_current(false);
-        self.news.notify_waiters();
+        self.view_changed.notify_waiters();
         true
     }
 
@@ -166,12 +166,12 @@
     /// in time, what was known before has to do, as where the store is away.
     pub(crate) fn is_view_fresh(&self) -> bool {
         let woke_at = self.clock.woke_at();
-        self.views.applied_at() >= woke_at || self.now() >= woke_at + FRESH_WITHIN
+        self.views.applied_at() >= woke_at || self.now() >= woke_at + MAX_REFRESH_WAIT
     }
 
     /// Whether this entry knows what is refused, or nobody reported it in time.
     fn is_informed(&self) -> bool {
-        self.quarantine.is_informed() || self.now() >= CLOCK_ORIGIN + FRESH_WITHIN
+        self.quarantine.is_informed() || self.now() >= CLOCK_ORIGIN + MAX_REFRESH_WAIT
     }
 
     /// Moves the process on.
@@ -180,21 +180,21 @@
     }
 
     /// Puts a configuration in force.
-    pub(crate) fn put_table(&self, table: RoutingTable) {
-        self.fleet.load().set_memories(&table.memories);
+    pub(crate) fn set_table(&self, table: RoutingTable) {
+        self.fleet.load().set_cache_capacities(&table.memories);
         self.table.store(Arc::new(Some(table)));
-        self.news.notify_waiters();
+        self.view_changed.notify_waiters();
     }
 
     /// Takes over the servers in view.
-    pub(crate) fn put_fleet(&self, fleet: Fleet) {
+    pub(crate) fn set_fleet(&self, fleet: Fleet) {
         if let Some(table) = self.table.load().as_ref() {
-            fleet.set_memories(&table.memories);
+            fleet.set_cache_capacities(&table.memories);
         }
         self.kept.apply(&[], &fleet);
         self.limits.forget_gone(&fleet, self.now());
         self.fleet.store(Arc::new(fleet));
-        self.news.notify_waiters();
+        self.view_changed.notify_waiters();
     }
 
     /// Whether the settings name this entry as one that others may follow.
@@ -210,7 +210,7 @@
 
     /// Whether this entry should follow another one: always, unless it is a seed that the store
     /// answers.
-    pub(crate) fn wants_link(&self) -> bool {
+    pub(crate) fn needs_link(&self) -> bool {
         !self.is_seed() || self.views.is_cut_off() || self.table.load().is_none()
     }
 
@@ -226,7 +226,7 @@
 
     /// Wakes those who wait, since something they may wait for is known.
     pub(crate) fn wake_waiters(&self) {
-        self.news.notify_waiters();
+        self.view_changed.notify_waiters();
     }
 
     /// Waits for the first configuration, the first servers and the state of the roll-outs that were
@@ -236,21 +236,21 @@
     pub(crate) async fn wait_for_view(&self) {
         let work = async {
             loop {
-                let news = self.news.notified();
+                let view_changed = self.view_changed.notified();
                 let has_view = self.table.load().is_some() && !self.fleet.load().is_empty();
                 // Where the store is away this can't be known, and requests are not held for it.
-                let lately = self.now().saturating_sub(VIEW_WAIT);
+                let lately = self.now().saturating_sub(MAX_VIEW_WAIT);
                 let is_known = !self.roll_outs.is_any_unknown(lately);
                 let is_received = self.is_view_fresh() && self.is_informed();
                 if has_view && is_known && is_received {
                     return;
                 }
-                news.await;
+                view_changed.await;
             }
         };
         // Without a view the request is refused by the checks that follow. A view from before a suspension is
         // used where nobody reports a newer one in time.
-        let _ = timeout(VIEW_WAIT, work).await;
+        let _ = timeout(MAX_VIEW_WAIT, work).await;
     }
 
     /// Whether the balancer should send callers here.
@@ -265,11 +265,11 @@
     }
 
     /// Whether a request on this route can still be finished once a planned stop began.
-    pub(crate) fn takes(&self, route: &Route) -> bool {
+    pub(crate) fn accepts(&self, route: &Route) -> bool {
         let Some(began) = self.stop_began.get() else {
             return true;
         };
-        let end = *began + self.settings.load().grace.saturating_sub(BEFORE_KILL);
+        let end = *began + self.settings.load().grace.saturating_sub(KILL_MARGIN);
         still_fits(route, end.saturating_sub(self.now()))
     }
 
@@ -278,10 +278,10 @@
     /// then there is nothing before the next process on this Host.
     pub(crate) fn leaving_retry_after(&self, connected_at: Duration) -> Duration {
         let began = self.stop_began.get().copied().unwrap_or_default();
-        if connected_at < began + BALANCER {
-            return OTHERS_TAKE_IT;
+        if connected_at < began + READINESS_LAG {
+            return RETRY_OTHER_ENTRY;
         }
-        (began + self.settings.load().grace + RESTART).saturating_sub(self.now())
+        (began + self.settings.load().grace + RESTART_TIME).saturating_sub(self.now())
     }
 
     /// Whether a planned stop began.
@@ -299,13 +299,13 @@
     }
 
     /// Counts a request as in flight until the guard is dropped.
-    pub(crate) fn enter(&self) {
+    pub(crate) fn note_request_started(&self) {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         self.metrics.in_flight.inc();
     }
 
     /// Counts a request as no longer in flight.
-    pub(crate) fn leave(&self) {
+    pub(crate) fn note_request_finished(&self) {
         self.in_flight.fetch_sub(1, Ordering::Relaxed);
         self.metrics.in_flight.dec();
     }
@@ -313,31 +313,32 @@
     /// Notes a caller's request for a service.
     pub(crate) fn note_request(&self, service: &str) {
         let terms = self.send_terms();
-        let mut budgets = self.budgets.lock().expect("no panics under the lock");
-        budgets.entry(service.into()).or_default().note_request(&terms, self.now());
+        let mut retry_budgets = self.retry_budgets.lock().expect("no panics under the lock");
+        retry_budgets.entry(service.into()).or_default().note_request(&terms, self.now());
     }
 
     /// Takes one repeated send to a service from the budget.
-    pub(crate) fn try_repeat(&self, service: &str) -> bool {
+    pub(crate) fn take_retry(&self, service: &str) -> bool {
         let terms = self.send_terms();
-        let mut budgets = self.budgets.lock().expect("no panics under the lock");
-        let is_taken = budgets.entry(service.into()).or_default().try_repeat(&terms, self.now());
+        let mut retry_budgets = self.retry_budgets.lock().expect("no panics under the lock");
+        let is_taken =
+            retry_budgets.entry(service.into()).or_default().try_repeat(&terms, self.now());
         self.metrics.count_repeat(service, is_taken);
         is_taken
     }
 
     /// Notes that no server of a service could take a request; when its caller should come back.
-    pub(crate) fn note_refusal(&self, service: &str, request_id: &str) -> Duration {
+    pub(crate) fn note_overload(&self, service: &str, request_id: &str) -> Duration {
         let mut overloads = self.overloads.lock().expect("no panics under the lock");
         let lasted = overloads.entry(service.into()).or_default().note_refusal(self.now());
         retry_after(lasted, draw(request_id, service))
     }
 
     /// Whether the budget still holds a repeated send to a service.
-    pub(crate) fn may_repeat(&self, service: &str) -> bool {
+    pub(crate) fn has_retry_left(&self, service: &str) -> bool {
         let terms = self.send_terms();
-        let mut budgets = self.budgets.lock().expect("no panics under the lock");
-        budgets.entry(service.into()).or_default().left(&terms, self.now()) >= 1.0
+        let mut retry_budgets = self.retry_budgets.lock().expect("no panics under the lock");
+        retry_budgets.entry(service.into()).or_default().left(&terms, self.now()) >= 1.0
     }
 
     /// Takes in how many entries there are, as far as one knows that all report to. There are as many
--- a/src/router/trial.rs
+++ b/src/router/trial.rs
@@ -106,7 +106,7 @@
         terms: &ExposureTerms,
     ) -> VersionRule {
         let new = VersionRule::Only(self.order.to.clone());
-        let old = VersionRule::Not(self.order.to.clone());
+        let old = VersionRule::Except(self.order.to.clone());
         match self.progress {
             Progress::Completed => return new,
             Progress::RolledBack => return old,
--- a/src/router/version_rule.rs
+++ b/src/router/version_rule.rs
@@ -11,7 +11,7 @@
     /// Only this one.
     Only(ServerVersion),
     /// All but this one.
-    Not(ServerVersion),
+    Except(ServerVersion),
 }
 
 impl VersionRule {
@@ -19,7 +19,7 @@
         match self {
             Self::Any => true,
             Self::Only(only) => **only == *version,
-            Self::Not(not) => **not != *version,
+            Self::Except(not) => **not != *version,
         }
     }
 
--- a/tests/platform/sessions.rs
+++ b/tests/platform/sessions.rs
@@ -107,7 +107,7 @@
 fn unannounced(fleet: &Fleet, now: Duration) -> Vec<&str> {
     let members = fleet.of_service("app").iter();
     let mut ids: Vec<&str> =
-        members.filter(|m| m.is_unannounced(now)).map(|m| &*m.server.id).collect();
+        members.filter(|m| m.awaits_roll_out_order(now)).map(|m| &*m.server.id).collect();
     ids.sort_unstable();
     ids
 }
@@ -119,9 +119,9 @@
     let ms = Duration::from_millis;
     let (v1, v2, next_v2) = (listed("i-1", "v1"), listed("i-2", "v2"), listed("i-3", "v2"));
 
-    let first = Fleet::default().with([v1.clone()].into_iter(), ms(1_000));
-    let second = first.with([v1.clone(), v2.clone()].into_iter(), ms(2_000));
-    let third = second.with([v1, v2, next_v2].into_iter(), ms(2_300));
+    let first = Fleet::default().with_servers([v1.clone()].into_iter(), ms(1_000));
+    let second = first.with_servers([v1.clone(), v2.clone()].into_iter(), ms(2_000));
+    let third = second.with_servers([v1, v2, next_v2].into_iter(), ms(2_300));
 
     assert!(unannounced(&first, ms(1_000)).is_empty(), "the first version has nothing to wait for");
     assert_eq!(unannounced(&second, ms(2_000)), ["i-2"]);
