--- a/src/policy/reading.rs
+++ b/src/policy/timing.rs
@@ -33,8 +33,8 @@
 
 /// What was learned about one model, or about a service without models.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ReadingBelief {
-    token_time: f64,
+pub struct TimingEstimate {
+    prefill_token_time: f64,
     /// How many times longer heads take than the prompts before them and their own need for
     /// reading: running streams take their part of each step.
     stretch: f64,
@@ -43,17 +43,22 @@
     pace: Option<f64>,
 }
 
-impl Default for ReadingBelief {
+impl Default for TimingEstimate {
     fn default() -> Self {
-        Self { token_time: FIRST_GUESS, stretch: FIRST_STRETCH, head_time: None, pace: None }
+        Self {
+            prefill_token_time: FIRST_GUESS,
+            stretch: FIRST_STRETCH,
+            head_time: None,
+            pace: None,
+        }
     }
 }
 
-impl ReadingBelief {
+impl TimingEstimate {
     /// Notes the time from a request to its answer's head. The server had to read so many tokens of
     /// its prompt, after other prompts that took so long.
-    pub fn note(&mut self, prompt_tokens: u64, ahead: Duration, took: Duration) {
-        let needed = ahead.as_secs_f64() + self.token_time * prompt_tokens as f64;
+    pub fn record_head(&mut self, prompt_tokens: u64, ahead: Duration, took: Duration) {
+        let needed = ahead.as_secs_f64() + self.prefill_token_time * prompt_tokens as f64;
         if needed > FIXED {
             let stretch = (took.as_secs_f64() - FIXED).max(0.0) / needed;
             let (least, most) = STRETCH_RANGE;
@@ -66,30 +71,30 @@
             return;
         }
         let reading = (took - FIXED).max(0.0) / prompt_tokens as f64;
-        let step = if reading < self.token_time { FASTER } else { SLOWER };
-        self.token_time += (reading - self.token_time) * step;
+        let step = if reading < self.prefill_token_time { FASTER } else { SLOWER };
+        self.prefill_token_time += (reading - self.prefill_token_time) * step;
     }
 
     /// Whether an answer's head took several times longer than such heads do.
-    pub fn is_slow(&self, prompt_tokens: u64, took: Duration) -> bool {
+    pub fn is_slow_head(&self, prompt_tokens: u64, took: Duration) -> bool {
         let Some(mean) = self.head_time else {
             return false;
         };
         let has_prompt = prompt_tokens > 0;
-        let reading = self.token_time * prompt_tokens as f64;
+        let reading = self.prefill_token_time * prompt_tokens as f64;
         let reading = if has_prompt { FIXED + reading } else { 0.0 };
         took.as_secs_f64() > (mean.max(reading) * SLOW_FACTOR).max(SLOW_LEAST)
     }
 
     /// Notes a stream's mean time between two events.
-    pub fn note_pace(&mut self, pace: Duration) {
+    pub fn record_event_interval(&mut self, pace: Duration) {
         let pace = pace.as_secs_f64();
         let mean = self.pace.get_or_insert(pace);
         *mean += (pace - *mean) * MEAN_STEP;
     }
 
     /// Whether so many pauses between events took several times longer than they do.
-    pub fn is_trickle(&self, pauses: u32, took: Duration) -> bool {
+    pub fn is_slow_stream(&self, pauses: u32, took: Duration) -> bool {
         let Some(pace) = self.pace else {
             return false;
         };
@@ -98,23 +103,23 @@
     }
 
     /// Time for one prompt token on an engine with nothing else to read.
-    pub fn token_time(&self) -> Duration {
-        Duration::from_secs_f64(self.token_time)
+    pub fn prefill_token_time(&self) -> Duration {
+        Duration::from_secs_f64(self.prefill_token_time)
     }
 
     /// Time to read a prompt on an engine with nothing else to read.
-    pub fn reading_time(&self, prompt_tokens: u64) -> Duration {
-        Duration::from_secs_f64(self.token_time * prompt_tokens as f64)
+    pub fn prefill_time(&self, prompt_tokens: u64) -> Duration {
+        Duration::from_secs_f64(self.prefill_token_time * prompt_tokens as f64)
     }
 
     /// Time until the head of an answer that is asked for now, after prompts that take so long.
-    pub fn expected_head(&self, prompt_tokens: u64, ahead: Duration) -> Duration {
-        let needed = ahead.as_secs_f64() + self.token_time * prompt_tokens as f64;
+    pub fn expected_head_time(&self, prompt_tokens: u64, ahead: Duration) -> Duration {
+        let needed = ahead.as_secs_f64() + self.prefill_token_time * prompt_tokens as f64;
         Duration::from_secs_f64(FIXED + needed * self.stretch)
     }
 
     /// Mean time to an answer's head; none before the first answer.
-    pub fn head_time(&self) -> Option<Duration> {
+    pub fn mean_head_time(&self) -> Option<Duration> {
         self.head_time.map(Duration::from_secs_f64)
     }
 }
--- a/src/router/advertised_limits.rs
+++ b/src/router/advertised_limits.rs
@@ -8,9 +8,9 @@
     policy::rate_limit::AdvertisedLimit,
     router::{
         Member, Router,
-        limit_board::{Changed, LimitUpdate},
+        shared_limits::{LimitUpdate, RateChange},
     },
-    routing::{AnswerHead, AnswerKind},
+    routing::{ResponseHead, ResponseKind},
     telemetry::event,
 };
 
@@ -26,7 +26,7 @@
     pub(crate) fn note_advertised_limit(
         &self,
         member: &Member,
-        head: &AnswerHead,
+        head: &ResponseHead,
         sent_at: Duration,
     ) {
         let now = self.now();
@@ -34,10 +34,11 @@
             event::RATE_LIMIT_UNREADABLE.log(format_args!("server={}", member.server.id));
         }
         // A refusal that advertises no limit says that the server is full, not that its limit is over.
-        if head.kind == AnswerKind::NotRun && head.rate_limit == AdvertisedLimit::Nothing {
+        if head.kind == ResponseKind::NotRun && head.rate_limit == AdvertisedLimit::Nothing {
             return;
         }
-        let changed = self.limits.note(member.life_hash(), head.rate_limit, sent_at, now);
+        let changed =
+            self.limits.record_answer(member.incarnation_hash(), head.rate_limit, sent_at, now);
         if let Some(changed) = changed {
             self.log_limit(changed, Source::Answer);
         }
@@ -45,7 +46,7 @@
 
     /// Takes in the limits that another entry reports.
     pub(crate) fn take_limit_updates(&self, reported: &[LimitUpdate]) {
-        for changed in self.limits.take_update(reported, self.now()) {
+        for changed in self.limits.apply_updates(reported, self.now()) {
             self.log_limit(changed, Source::Entry);
         }
     }
@@ -55,10 +56,10 @@
         self.limits.dump(&self.fleet.load(), self.now())
     }
 
-    fn log_limit(&self, changed: Changed, source: Source) {
-        let Changed { life, before, rate } = changed;
+    fn log_limit(&self, changed: RateChange, source: Source) {
+        let RateChange { life, before, rate } = changed;
         let fleet = self.fleet.load();
-        let server = fleet.by_life(life).map_or("not in view", |member| &member.server.id);
+        let server = fleet.by_incarnation(life).map_or("not in view", |member| &member.server.id);
         let Some(rate) = rate else {
             event::RATE_LIMIT_ENDED
                 .log(format_args!("server={server} before={before:?} source={source:?}"));
--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -10,55 +10,57 @@
 
 use crate::{
     platform::{
-        answers::read_answer,
-        headers::{AttemptHeaders, write_attempt},
+        request_headers::{AttemptHeaders, build_attempt_headers},
+        response_headers::parse_response_head,
+    },
+    policy::{
+        answer_timeout::AnswerTimeouts, availability::UnavailableCause, prefix_cache::PromptPrefix,
     },
-    policy::{availability::UnavailableCause, kept::PromptMark, patience::Patience},
     router::{
         Member, Router,
         connection::{self, Checkout, ConnectError, Connection},
-        job::Job,
-        kept_board::KeptNote,
-        silence::{Wait, wait_for_answer},
+        prefix_reports::CachedPrefix,
+        request_context::RequestContext,
+        response_wait::{ResponseWait, wait_for_response},
     },
-    routing::{AnswerHead, AnswerKind, Request},
+    routing::{Request, ResponseHead, ResponseKind},
 };
 
 /// Counts a request as being at a server until it is dropped.
 #[derive(Debug)]
-pub(crate) struct AtServer {
+pub(crate) struct OutstandingGuard {
     member: Arc<Member>,
     /// Time for its prompt.
-    reading: Duration,
+    prefill_time: Duration,
     /// Whether its answer has begun.
-    is_answered: bool,
+    has_begun: bool,
 }
 
-impl AtServer {
-    fn enter(member: &Arc<Member>, reading: Duration) -> Self {
-        let mut record = member.record();
-        record.load.own += 1;
-        record.unanswered += 1;
-        record.backlog += reading;
-        drop(record);
-        Self { member: member.clone(), reading, is_answered: false }
+impl OutstandingGuard {
+    fn new(member: &Arc<Member>, prefill_time: Duration) -> Self {
+        let mut state = member.state();
+        state.load.own_requests += 1;
+        state.unanswered += 1;
+        state.backlog += prefill_time;
+        drop(state);
+        Self { member: member.clone(), prefill_time, has_begun: false }
     }
 
     /// Notes that an answer has begun, or that none is waited for any more.
     fn note_begun(&mut self) {
-        if std::mem::replace(&mut self.is_answered, true) {
+        if std::mem::replace(&mut self.has_begun, true) {
             return;
         }
-        let mut record = self.member.record();
-        record.unanswered -= 1;
-        record.backlog = record.backlog.saturating_sub(self.reading);
+        let mut state = self.member.state();
+        state.unanswered -= 1;
+        state.backlog = state.backlog.saturating_sub(self.prefill_time);
     }
 }
 
-impl Drop for AtServer {
+impl Drop for OutstandingGuard {
     fn drop(&mut self) {
         self.note_begun();
-        self.member.record().load.own -= 1;
+        self.member.state().load.own_requests -= 1;
     }
 }
 
@@ -66,20 +68,20 @@
 ///
 /// Dropping it closes the connection, which stops the server's work.
 #[derive(Debug)]
-pub(crate) struct OpenAnswer {
-    pub(crate) head: AnswerHead,
+pub(crate) struct OpenResponse {
+    pub(crate) head: ResponseHead,
     pub(crate) body: Incoming,
     pub(crate) member: Arc<Member>,
     /// Whether its head took several times longer than such heads do.
     pub(crate) is_slow: bool,
     connection: Connection,
-    _at_server: AtServer,
+    _outstanding: OutstandingGuard,
 }
 
-impl OpenAnswer {
+impl OpenResponse {
     /// Gives the connection back once the body was read to its end.
     pub(crate) fn finish(self, now: Duration) {
-        if !self.head.closes {
+        if !self.head.closes_connection {
             connection::check_in(&self.member, self.connection, now);
         }
     }
@@ -111,7 +113,7 @@
     Quarantined,
     /// What came is not the server's answer to this request; it may have run.
     #[error("the answer is not its server's or belongs to another request")]
-    Foreign,
+    WrongResponse,
 }
 
 impl AttemptError {
@@ -126,27 +128,27 @@
 
 /// How an attempt is to be made.
 #[derive(Debug)]
-pub(crate) struct Plan<'a> {
+pub(crate) struct AttemptPlan<'a> {
     pub(crate) member: &'a Arc<Member>,
     pub(crate) headers: AttemptHeaders<'a>,
     pub(crate) is_once_only: bool,
     /// What head times are learned by: the model, or the service where there is none.
-    pub(crate) reading_key: &'a str,
+    pub(crate) latency_key: &'a str,
     /// Parts of the prompt that other requests may share.
-    pub(crate) marks: &'a [PromptMark],
+    pub(crate) marks: &'a [PromptPrefix],
     /// How many of these the server kept before.
     pub(crate) kept_marks: usize,
     /// Tokens of the prompt that the server has to read.
-    pub(crate) unread_tokens: u64,
+    pub(crate) uncached_tokens: u64,
     /// How long its silence is tolerated; none where no other server may be tried after.
-    pub(crate) patience: Option<Patience>,
+    pub(crate) patience: Option<AnswerTimeouts>,
     /// When the request is given up in any case.
     pub(crate) deadline: Duration,
 }
 
-impl Plan<'_> {
+impl AttemptPlan<'_> {
     /// Parts that the server did not keep before this attempt.
-    fn new_marks(&self) -> &[PromptMark] {
+    fn new_marks(&self) -> &[PromptPrefix] {
         &self.marks[self.kept_marks..]
     }
 }
@@ -154,82 +156,83 @@
 /// Makes the attempt.
 pub(crate) async fn send(
     router: &Router,
-    job: &Job,
-    plan: &Plan<'_>,
-    may_leave: impl FnMut() -> bool,
-) -> Result<OpenAnswer, AttemptError> {
-    let reading = router.readings.get(plan.reading_key).reading_time(plan.unread_tokens);
+    ctx: &RequestContext,
+    plan: &AttemptPlan<'_>,
+    can_fail_over: impl FnMut() -> bool,
+) -> Result<OpenResponse, AttemptError> {
+    let prefill_time = router.readings.get(plan.latency_key).prefill_time(plan.uncached_tokens);
     let ahead = plan.member.backlog(router.now());
-    let mut at_server = AtServer::enter(plan.member, reading);
+    let mut outstanding = OutstandingGuard::new(plan.member, prefill_time);
     let sent_at = router.now();
-    note_sent(router, plan);
-    router.count_unavailable_send(plan.member, job.kind_of_send());
+    note_prompt_sent(router, plan);
+    router.count_unavailable_send(plan.member, ctx.send_kind());
     // By the runtime's clock: a suspension says nothing about the server's pace.
     let began = Instant::now();
-    let outcome = exchange(router, job, plan, may_leave).await;
+    let outcome = send_request(router, ctx, plan, can_fail_over).await;
     if let Err(e) = &outcome {
         note_error(router, plan.member, e);
-        plan.member.record().kept.forget(plan.new_marks());
+        plan.member.state().kept.forget(plan.new_marks());
     }
     let (connection, res) = outcome?;
-    at_server.note_begun();
+    outstanding.note_begun();
     plan.member.note_received(router.now());
     let (parts, body) = res.into_parts();
-    let head = read_answer(parts.status, &parts.headers, &job.req.head.id);
-    note_head(router, plan.member, &head, &job.req.head.id, sent_at);
-    let (tokens, took) = (plan.unread_tokens, began.elapsed());
-    let is_slow = router.readings.get(plan.reading_key).is_slow(tokens, took);
-    if head.kind == AnswerKind::Success {
-        router.readings.note_head_time(plan.reading_key, tokens, ahead, took);
+    let head = parse_response_head(parts.status, &parts.headers, &ctx.req.head.id);
+    note_response_head(router, plan.member, &head, &ctx.req.head.id, sent_at);
+    let (tokens, took) = (plan.uncached_tokens, began.elapsed());
+    let is_slow = router.readings.get(plan.latency_key).is_slow_head(tokens, took);
+    if head.kind == ResponseKind::Success {
+        router.readings.record_head_time(plan.latency_key, tokens, ahead, took);
     }
     if let Some(load) = head.load {
-        plan.member.record().load.note_report(load, router.now());
+        plan.member.state().load.record_report(load, router.now());
     }
     let member = plan.member.clone();
-    if !matches!(head.kind, AnswerKind::Success) {
-        member.record().kept.forget(plan.new_marks());
+    if !matches!(head.kind, ResponseKind::Success) {
+        member.state().kept.forget(plan.new_marks());
     }
-    let answer = OpenAnswer { head, body, member, is_slow, connection, _at_server: at_server };
-    sort(answer)
+    let response =
+        OpenResponse { head, body, member, is_slow, connection, _outstanding: outstanding };
+    check_response(response)
 }
 
 /// Notes which parts of the prompt the server will keep, and lets the other entries know.
-fn note_sent(router: &Router, plan: &Plan<'_>) {
+fn note_prompt_sent(router: &Router, plan: &AttemptPlan<'_>) {
     let now = router.now();
-    let mut record = plan.member.record();
-    record.kept.note_sent(plan.marks, plan.unread_tokens);
-    let to_report = record.kept.to_report(plan.marks, now);
-    drop(record);
+    let mut state = plan.member.state();
+    state.kept.record_sent(plan.marks, plan.uncached_tokens);
+    let to_report = state.kept.take_report(plan.marks, now);
+    drop(state);
     if let Some(mark) = to_report {
         let tokens = u32::try_from(mark.tokens).unwrap_or(u32::MAX);
-        router.kept.note_own(KeptNote(plan.member.short_hash(), mark.hash, tokens), now);
+        router.kept.record_own(CachedPrefix(plan.member.short_hash(), mark.hash, tokens), now);
     }
 }
 
 /// Turns answers that are no answer to this request into errors.
-fn sort(answer: OpenAnswer) -> Result<OpenAnswer, AttemptError> {
-    match answer.head.kind {
-        AnswerKind::Success | AnswerKind::Failure => Ok(answer),
-        AnswerKind::NotRun => {
-            let status = answer.head.status;
+fn check_response(response: OpenResponse) -> Result<OpenResponse, AttemptError> {
+    match response.head.kind {
+        ResponseKind::Success | ResponseKind::Failure => Ok(response),
+        ResponseKind::NotRun => {
+            let status = response.head.status;
             Err(AttemptError::Refused(status))
         }
-        AnswerKind::OtherServer => {
-            answer.member.record().is_replaced = true;
+        ResponseKind::WrongServer => {
+            response.member.state().is_replaced = true;
             Err(AttemptError::OtherServer)
         }
-        AnswerKind::Misplaced | AnswerKind::Unsigned => Err(AttemptError::Foreign),
+        ResponseKind::WrongRequest | ResponseKind::Unsigned => Err(AttemptError::WrongResponse),
     }
 }
 
-fn note_head(
+fn note_response_head(
     router: &Router,
     member: &Member,
-    head: &AnswerHead,
+    head: &ResponseHead,
     request_id: &str,
     sent_at: Duration,
 ) {
-    let is_foreign = matches!(head.kind, AnswerKind::Misplaced | AnswerKind::Unsigned);
+    let is_foreign = matches!(head.kind, ResponseKind::WrongRequest | ResponseKind::Unsigned);
     if is_foreign || (head.status.is_server_error() && !head.announces_rejection()) {
         member.note_failure(router.now());
     } else if !head.announces_rejection() {
@@ -255,17 +258,17 @@
     }
 }
 
-type Exchanged = (Connection, http::Response<Incoming>);
+type ConnectionAndHead = (Connection, http::Response<Incoming>);
 
-async fn exchange(
+async fn send_request(
     router: &Router,
-    job: &Job,
-    plan: &Plan<'_>,
-    mut may_leave: impl FnMut() -> bool,
-) -> Result<Exchanged, AttemptError> {
-    let mut message = build(&job.req, plan);
-    let wait = Wait {
-        job,
+    ctx: &RequestContext,
+    plan: &AttemptPlan<'_>,
+    mut can_fail_over: impl FnMut() -> bool,
+) -> Result<ConnectionAndHead, AttemptError> {
+    let mut message = build_request(&ctx.req, plan);
+    let wait = ResponseWait {
+        ctx,
         member: plan.member,
         patience: plan.patience,
         deadline: plan.deadline,
@@ -273,15 +276,15 @@
     };
     let mut checkout = connection::check_out(plan.member, router.now(), plan.is_once_only).await?;
     loop {
-        let Checkout { mut connection, is_used } = checkout;
+        let Checkout { mut connection, is_reused } = checkout;
         // Connecting takes time.
         if let Some(cause) = router.stops_send(plan.member) {
             return Err(AttemptError::Unavailable(cause));
         }
         let send = pin!(connection.try_send_request(message));
-        let sent = wait_for_answer(router, &wait, send, &mut may_leave).await;
+        let sent = wait_for_response(router, &wait, send, &mut can_fail_over).await;
         let given_up = || {
-            if router.is_refused(job) { AttemptError::Quarantined } else { AttemptError::Timeout }
+            if router.is_refused(ctx) { AttemptError::Quarantined } else { AttemptError::Timeout }
         };
         let sent = sent.ok_or_else(given_up)?;
         let mut e = match sent {
@@ -289,19 +292,19 @@
             Err(e) => e,
         };
         // A kept connection that the server had closed gives the request back unsent.
-        let Some(unsent) = e.take_message().filter(|_| is_used) else {
+        let Some(unsent) = e.take_message().filter(|_| is_reused) else {
             return Err(AttemptError::Lost(e.into_error()));
         };
         message = unsent;
         let connection = connection::connect(plan.member).await?;
-        checkout = Checkout { connection, is_used: false };
+        checkout = Checkout { connection, is_reused: false };
     }
 }
 
-fn build(req: &Request, plan: &Plan<'_>) -> HttpRequest<Full<Bytes>> {
+fn build_request(req: &Request, plan: &AttemptPlan<'_>) -> HttpRequest<Full<Bytes>> {
     let mut message = HttpRequest::new(Full::new(req.body.clone()));
     *message.method_mut() = req.head.method.clone();
     *message.uri_mut() = req.head.uri.clone();
-    *message.headers_mut() = write_attempt(&req.head, &plan.headers);
+    *message.headers_mut() = build_attempt_headers(&req.head, &plan.headers);
     message
 }
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -3,67 +3,67 @@
 use std::{sync::Arc, time::Duration};
 
 use crate::{
-    platform::headers::AttemptHeaders,
+    platform::request_headers::AttemptHeaders,
     policy::{
-        attempt::{self, AttemptEvent, AttemptState, Verdict, judge, may_send_again},
+        answer_timeout::head_timeouts,
+        attempt::{self, AttemptEvent, AttemptState, RequestOutcome, may_retry, request_outcome},
         availability::UnavailableCause,
-        patience::head_patience,
     },
     router::{
         Member, Router,
-        attempt::{AttemptError, OpenAnswer, Plan, send},
-        availability::Taken,
-        breaks::{Parting, note_break, note_unanswered},
-        choice::{marks, pick, reading_key, unavailable_for},
-        job::{Ask, Job},
+        attempt::{AttemptError, AttemptPlan, OpenResponse, send},
+        availability::SendPermit,
         refusal::Refusal,
+        request_context::{AttemptParams, RequestContext},
         roll_out::RunOutcome,
+        selection::{latency_key, marks, select_server, unavailability},
+        server_ends::{LossCause, note_broken_connection, note_lost},
     },
-    routing::{AnswerKind, RouteKind},
+    routing::{ResponseKind, RouteKind},
     telemetry::event,
 };
 
 /// Sends of one request that reach a server at most, refused ones included: with more, a full
 /// pool would be asked over and over.
-const MOST_ARRIVALS: u32 = 5;
+const MAX_DELIVERIES: u32 = 5;
 /// Servers that one request is tried at, those included that can't be reached: these cost a round
 /// trip each, and half of a pool may be gone before the list says so.
-const MOST_TRIES: usize = 12;
+const MAX_ATTEMPTS: usize = 12;
 /// Least time left with which a server is still asked.
-const LEAST_TIME: Duration = Duration::from_millis(20);
+const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
 
 /// Tries servers until one answers; the answer may be the server's own failure.
-pub(crate) async fn next_answer(
+pub(crate) async fn send_until_answered(
     router: &Router,
-    job: &mut Job,
-    ask: Ask<'_>,
-) -> Result<OpenAnswer, Refusal> {
+    ctx: &mut RequestContext,
+    params: AttemptParams<'_>,
+) -> Result<OpenResponse, Refusal> {
     let mut failed = None;
     loop {
         if router.notice_suspension() || !router.is_view_fresh() {
             router.wait_for_view().await;
         }
-        let Some(member) = next_server(router, job, ask) else {
-            return failed.ok_or_else(|| refusal(router, job, ask));
+        let Some(member) = next_server(router, ctx, params) else {
+            return failed.ok_or_else(|| refusal_after_attempts(router, ctx, params));
         };
-        if job.arrivals > 0 && !job.take_repeat(router) {
-            return failed.ok_or_else(|| refusal(router, job, ask));
+        if ctx.deliveries > 0 && !ctx.take_retry(router) {
+            return failed.ok_or_else(|| refusal_after_attempts(router, ctx, params));
         }
-        match router.take_send(&member) {
-            Taken::Unlimited => {}
-            Taken::Limited => router.metrics.count_limited(job.kind_of_send()),
+        match router.acquire_send(&member) {
+            SendPermit::Unlimited => {}
+            SendPermit::Limited => router.metrics.count_limited(ctx.send_kind()),
             // The choice is made anew.
-            Taken::Denied => continue,
+            SendPermit::Denied => continue,
         }
-        match try_at(router, job, &member, ask).await {
-            Ok(answer) if answer.head.kind == AnswerKind::Success => return Ok(answer),
-            Ok(answer) => failed = Some(answer),
+        match attempt_at(router, ctx, &member, params).await {
+            Ok(response) if response.head.kind == ResponseKind::Success => return Ok(response),
+            Ok(response) => failed = Some(response),
             Err(e) => {
-                let id = &job.req.head.id;
-                let (route, server, number) = (&job.route.name, &member.server.id, job.runs);
+                let id = &ctx.req.head.id;
+                let (route, server, number) = (&ctx.route.name, &member.server.id, ctx.runs);
                 event::ATTEMPT_FAILED.log(format_args!(
                     "request={id} fingerprint={} route={route} server={server} runs={number} cause=\"{e}\"",
-                    job.fingerprint()
+                    ctx.fingerprint()
                 ));
             }
         }
@@ -71,120 +71,135 @@
 }
 
 /// What the caller gets when nothing more is tried.
-fn refusal(router: &Router, job: &Job, ask: Ask<'_>) -> Refusal {
-    match judge(&job.attempts) {
-        Verdict::NotRun if router.is_refused(job) => {
-            Refusal::EndsServers { retry_after: router.refused_for(job) }
+fn refusal_after_attempts(
+    router: &Router,
+    ctx: &RequestContext,
+    params: AttemptParams<'_>,
+) -> Refusal {
+    match request_outcome(&ctx.attempts) {
+        RequestOutcome::NotRun if router.is_refused(ctx) => {
+            Refusal::Quarantined { retry_after: router.refusal_retry_after(ctx) }
         }
-        Verdict::NotRun => {
-            let retry_after = router.note_refusal(&job.service, &job.req.head.id);
-            let Some((cause, wait)) = unavailable_for(router, job, ask) else {
+        RequestOutcome::NotRun => {
+            let retry_after = router.note_overload(&ctx.service, &ctx.req.head.id);
+            let Some((cause, wait)) = unavailability(router, ctx, params) else {
                 return Refusal::NotRun { retry_after };
             };
             if cause == UnavailableCause::RateLimited {
                 router.metrics.count_limited("refused");
-                return Refusal::Limited { retry_after: retry_after.max(wait) };
+                return Refusal::RateLimited { retry_after: retry_after.max(wait) };
             }
             // Spread, so that callers don't come back together when the first pause ends.
             Refusal::Unavailable { cause, retry_after: wait + retry_after }
         }
-        _ if job.time_left(router) < LEAST_TIME => Refusal::TimedOut,
+        _ if ctx.time_left(router) < MIN_TIME_LEFT => Refusal::TimedOut,
         _ => Refusal::Lost,
     }
 }
 
 /// The next server, if another attempt may be made.
-fn next_server(router: &Router, job: &Job, ask: Ask<'_>) -> Option<Arc<Member>> {
-    let may = may_send_again(&job.attempts, job.route.is_idempotent())
-        && job.runs_left() > 0
-        && job.arrivals < MOST_ARRIVALS
-        && job.attempts.len() < MOST_TRIES
-        && router.now() + LEAST_TIME < job.wait_ends()
-        && !router.is_refused(job)
-        && !(job.is_trial && job.runs > 0);
+fn next_server(
+    router: &Router,
+    ctx: &RequestContext,
+    params: AttemptParams<'_>,
+) -> Option<Arc<Member>> {
+    let may = may_retry(&ctx.attempts, ctx.route.is_idempotent())
+        && ctx.runs_left() > 0
+        && ctx.deliveries < MAX_DELIVERIES
+        && ctx.attempts.len() < MAX_ATTEMPTS
+        && router.now() + MIN_TIME_LEFT < ctx.attempt_deadline()
+        && !router.is_refused(ctx)
+        && !(ctx.is_quarantine_trial && ctx.runs > 0);
     if !may {
         return None;
     }
-    let untried = pick(router, job, ask, |server| !job.has_tried(server));
-    untried.or_else(|| pick(router, job, ask, |server| !job.is_unreachable(server)))
+    let untried = select_server(router, ctx, params, |server| !ctx.has_tried(server));
+    untried.or_else(|| select_server(router, ctx, params, |server| !ctx.is_unreachable(server)))
 }
 
 /// Whether the request could go on at another server than this one; takes the repeated send that
 /// it needs from the budget.
-pub(crate) fn may_go_on(router: &Router, job: &Job, ask: Ask<'_>, silent: &str) -> bool {
-    pick(router, job, ask, |server| server != silent && !job.has_tried(server)).is_some()
-        && router.try_repeat(&job.service)
+pub(crate) fn reserve_failover(
+    router: &Router,
+    ctx: &RequestContext,
+    params: AttemptParams<'_>,
+    current: &str,
+) -> bool {
+    select_server(router, ctx, params, |server| server != current && !ctx.has_tried(server))
+        .is_some()
+        && router.take_retry(&ctx.service)
 }
 
-async fn try_at(
+async fn attempt_at(
     router: &Router,
-    job: &mut Job,
+    ctx: &mut RequestContext,
     member: &Arc<Member>,
-    ask: Ask<'_>,
-) -> Result<OpenAnswer, AttemptError> {
-    let may_go_elsewhere = job.route.is_idempotent() && job.runs_left() > 1;
-    let key = reading_key(job, ask);
+    params: AttemptParams<'_>,
+) -> Result<OpenResponse, AttemptError> {
+    let allows_failover = ctx.route.is_idempotent() && ctx.runs_left() > 1;
+    let key = latency_key(ctx, params);
     let belief = router.readings.get(key);
-    let marks = marks(job, ask);
-    let prompt_tokens = job.req.head.prompt_tokens;
-    let kept_marks = member.record().kept.kept_marks(&marks);
-    let kept_tokens: u64 = marks[..kept_marks].iter().map(|mark| mark.tokens).sum();
-    let unread_tokens = prompt_tokens.saturating_sub(kept_tokens);
+    let marks = marks(ctx, params);
+    let prompt_tokens = ctx.req.head.prompt_tokens;
+    let kept_marks = member.state().kept.cached_prefix_count(&marks);
+    let cached_tokens: u64 = marks[..kept_marks].iter().map(|mark| mark.tokens).sum();
+    let uncached_tokens = prompt_tokens.saturating_sub(cached_tokens);
     // What is believed to be kept may be gone: the time for the whole prompt is allowed.
-    let reading = belief.reading_time(prompt_tokens);
-    let (kind, objective) = (job.route.kind, job.route.objective);
+    let prefill_time = belief.prefill_time(prompt_tokens);
+    let (kind, objective) = (ctx.route.kind, ctx.route.objective);
     // This one is awaited there, too.
-    let awaited = member.awaited() + 1;
-    let patience = head_patience(kind, objective, belief.head_time(), reading, awaited);
-    let plan = Plan {
+    let outstanding = member.outstanding() + 1;
+    let patience =
+        head_timeouts(kind, objective, belief.mean_head_time(), prefill_time, outstanding);
+    let plan = AttemptPlan {
         member,
         headers: AttemptHeaders {
             server: &member.server.id,
-            organisation: job.organisation.as_deref(),
-            time_left: job.time_left(router),
-            model: ask.model,
-            priority: job.priority(),
-            last_event: ask.last_event,
+            organisation: ctx.organisation.as_deref(),
+            time_left: ctx.time_left(router),
+            model: params.model,
+            priority: ctx.priority(),
+            last_event_id: params.last_event,
         },
-        is_once_only: !job.route.is_idempotent(),
-        reading_key: key,
+        is_once_only: !ctx.route.is_idempotent(),
+        latency_key: key,
         marks: &marks,
         kept_marks,
-        unread_tokens,
-        patience: may_go_elsewhere.then_some(patience),
-        deadline: job.wait_ends(),
+        uncached_tokens,
+        patience: allows_failover.then_some(patience),
+        deadline: ctx.attempt_deadline(),
     };
-    let mut has_repeat = false;
-    let may_leave = || {
-        has_repeat = may_go_on(router, job, ask, &member.server.id);
-        has_repeat
+    let mut has_retry = false;
+    let can_fail_over = || {
+        has_retry = reserve_failover(router, ctx, params, &member.server.id);
+        has_retry
     };
-    router.roll_outs.log_trial(&member.server, &job.req.head, router.now());
-    let result = send(router, job, &plan, may_leave).await;
-    let (state, outcome) = sum_up(&result);
+    router.roll_outs.log_trial_session(&member.server, &ctx.req.head, router.now());
+    let result = send(router, ctx, &plan, can_fail_over).await;
+    let (state, outcome) = classify_result(&result);
     router.metrics.count_attempt(&member.server.version, outcome);
-    job.attempts.push(state);
-    job.tried.push(member.server.id.clone());
+    ctx.attempts.push(state);
+    ctx.tried_servers.push(member.server.id.clone());
     match result {
-        Err(AttemptError::NotSent(_)) => job.unreachable.push(member.server.id.clone()),
+        Err(AttemptError::NotSent(_)) => ctx.unreachable_servers.push(member.server.id.clone()),
         Err(AttemptError::Unavailable(_)) => {}
         _ => {
-            job.arrivals += 1;
-            job.has_repeat = has_repeat;
+            ctx.deliveries += 1;
+            ctx.has_retry = has_retry;
         }
     }
     if !matches!(&result, Err(e) if e.proves_not_run()) {
-        job.runs += 1;
-        judge_run(router, job, member, &result).await;
+        ctx.runs += 1;
+        note_run_outcome(router, ctx, member, &result).await;
     }
     result
 }
 
 /// State of an attempt after its result, and the word for it in metrics.
-fn sum_up(result: &Result<OpenAnswer, AttemptError>) -> (AttemptState, &'static str) {
-    let sent = attempt::advance(attempt::fresh(), AttemptEvent::Sent);
+fn classify_result(result: &Result<OpenResponse, AttemptError>) -> (AttemptState, &'static str) {
+    let sent = attempt::advance(attempt::initial_state(), AttemptEvent::Sent);
     match result {
-        Ok(answer) if answer.head.kind == AnswerKind::Success => {
+        Ok(response) if response.head.kind == ResponseKind::Success => {
             (attempt::advance(sent, AttemptEvent::Started), "answered")
         }
         Ok(_) => (attempt::advance(sent, AttemptEvent::Failed), "failed"),
@@ -194,30 +209,30 @@
 }
 
 /// Counts an attempt that may have run for or against its server, its version and the request itself.
-async fn judge_run(
+async fn note_run_outcome(
     router: &Router,
-    job: &Job,
+    ctx: &RequestContext,
     member: &Arc<Member>,
-    result: &Result<OpenAnswer, AttemptError>,
+    result: &Result<OpenResponse, AttemptError>,
 ) {
     let outcome = match result {
         // It may have begun to run, and end the server all the same.
         Err(AttemptError::Quarantined) => {
-            return note_unanswered(router, job, member, Parting::Broken);
+            return note_lost(router, ctx, member, LossCause::Disconnected);
         }
-        Err(AttemptError::Lost(_)) => return note_break(router, job, member).await,
+        Err(AttemptError::Lost(_)) => return note_broken_connection(router, ctx, member).await,
         Err(AttemptError::Timeout) => {
-            note_unanswered(router, job, member, Parting::Left);
-            return router.roll_outs.note_silence(&member.server, router.now());
+            note_lost(router, ctx, member, LossCause::Abandoned);
+            return router.roll_outs.record_timeout(&member.server, router.now());
         }
-        Ok(answer) if answer.head.kind == AnswerKind::Success => {
+        Ok(response) if response.head.kind == ResponseKind::Success => {
             // Judged when its body has ended, but for a stream that is late already.
-            if !answer.is_slow || job.route.kind != RouteKind::Stream {
+            if !response.is_slow || ctx.route.kind != RouteKind::Stream {
                 return;
             }
             RunOutcome::Slow
         }
         _ => RunOutcome::Failed,
     };
-    router.roll_outs.note_outcome(&member.server, outcome);
+    router.roll_outs.record_outcome(&member.server, outcome);
 }
--- a/src/router/feed.rs
+++ b/src/router/feed.rs
@@ -7,14 +7,14 @@
 use crate::{
     ids::{Era, StoreVersion},
     platform::{
-        documents::is_configuration,
-        store::{Feed, Rows, StoreClient, Table},
+        documents::is_config_key,
+        store::{FeedReply, Rows, StoreClient, Table},
     },
     policy::replication::{TablePosition, UpdateAction, UpdateHeader},
     router::{
         Router,
         restore::{self, Extent},
-        views::TableUpdate,
+        table_views::TableUpdate,
     },
     telemetry::event,
 };
@@ -32,7 +32,7 @@
 /// them to ask the store themselves while a new configuration still has time.
 const WAIT_FOR_OTHERS: Duration = Duration::from_millis(1_000);
 /// Pause after a call that failed.
-pub(super) const PAUSE: Duration = Duration::from_millis(250);
+pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// The same for an entry that follows another one, which reports the store's return: in an outage
 /// of several seconds, 32 entries that asked four times a second made a third of a day's calls.
 const PAUSE_OF_FOLLOWERS: Duration = Duration::from_millis(2_000);
@@ -56,12 +56,12 @@
 const RETURN_TIME: Duration = Duration::from_millis(1_900);
 /// Whether the store answers, for events and for judging removals.
 #[derive(Debug, Default)]
-pub(super) struct Contact {
+pub(super) struct StoreReachability {
     is_lost: bool,
     back_at: Option<Duration>,
 }
 
-impl Contact {
+impl StoreReachability {
     fn note_answer(&mut self, table: Table, now: Duration) {
         if self.is_lost {
             self.is_lost = false;
@@ -78,7 +78,7 @@
 
     fn note_failure(&mut self, router: &Router, table: Table, cause: &str) {
         router.metrics.count_store_error("follow");
-        router.views.note_lost(table);
+        router.views.record_failure(table);
         if !self.is_lost {
             self.is_lost = true;
             event::STORE_UNREACHABLE.log(format_args!("table={table:?} cause=\"{cause}\""));
@@ -87,19 +87,19 @@
 
     /// Until when a server that is removed now may come back: its row may only have lapsed while
     /// the store was away. None when removals are sure.
-    pub(super) fn doubtful_until(&self, now: Duration) -> Option<Duration> {
+    pub(super) fn removals_uncertain_until(&self, now: Duration) -> Option<Duration> {
         self.back_at.map(|back| back + RETURN_TIME).filter(|until| now < *until)
     }
 }
 
 /// A table that is followed.
-struct Followed {
+struct FollowedTable {
     table: Table,
     position: TablePosition,
-    contact: Contact,
+    contact: StoreReachability,
 }
 
-impl Followed {
+impl FollowedTable {
     /// Takes in rows that are shown, as far as they are newer than what is known, and hands them on to what they
     /// are for; false where they are older than what another entry reported.
     fn take(
@@ -107,13 +107,13 @@
         router: &Router,
         mut rows: Rows,
         offer: UpdateHeader,
-        apply: &mut impl FnMut(Rows, Extent, &Contact),
+        apply: &mut impl FnMut(Rows, Extent, &StoreReachability),
     ) -> bool {
         let known = self.position.at;
         let extent = match self.position.action_for(&offer) {
             UpdateAction::Ignore => return Some(offer.version.era) >= self.position.era,
             UpdateAction::ConfigurationOnly => {
-                rows.rows.retain(|row| is_configuration(&row.key));
+                rows.rows.retain(|row| is_config_key(&row.key));
                 apply(rows, Extent::Changes, &self.contact);
                 return true;
             }
@@ -131,13 +131,17 @@
             self.contact.note_restored(self.table, offer.version.era, router.now());
         }
         let is_amended = is_restored && restore::amend(router, self.table, &mut rows);
-        router.views.note_amended(self.table, &rows, offer.is_whole, is_amended);
+        router.views.update_amended(self.table, &rows, offer.is_whole, is_amended);
         apply(rows, extent, &self.contact);
         true
     }
 
     /// Takes in all that another entry has passed on so far.
-    fn take_waiting(&mut self, router: &Router, apply: &mut impl FnMut(Rows, Extent, &Contact)) {
+    fn take_waiting(
+        &mut self,
+        router: &Router,
+        apply: &mut impl FnMut(Rows, Extent, &StoreReachability),
+    ) {
         while let Some(update) = router.link.take(self.table) {
             take_in(router, update, self, apply);
         }
@@ -147,7 +151,7 @@
     async fn follow_link(
         &mut self,
         router: &Router,
-        apply: &mut impl FnMut(Rows, Extent, &Contact),
+        apply: &mut impl FnMut(Rows, Extent, &StoreReachability),
     ) {
         // The store answers the entry that is followed; whether it answers this one no longer matters.
         self.contact.note_answer(self.table, router.now());
@@ -161,14 +165,14 @@
 }
 
 /// Follows a table for ever; `apply` gets all rows first and then what changed.
-pub(super) async fn follow(
+pub(super) async fn follow_table(
     router: &Router,
     store: &StoreClient,
     table: Table,
-    mut apply: impl FnMut(Rows, Extent, &Contact),
+    mut apply: impl FnMut(Rows, Extent, &StoreReachability),
 ) {
-    let (position, contact) = (TablePosition::default(), Contact::default());
-    let mut followed = Followed { table, position, contact };
+    let (position, contact) = (TablePosition::default(), StoreReachability::default());
+    let mut followed = FollowedTable { table, position, contact };
     wait_for_first_link(router).await;
     loop {
         if router.follows_link() {
@@ -177,7 +181,7 @@
         }
         router.metrics.count_store_call("follow");
         let is_urgent = followed.contact.is_lost || !router.is_view_fresh();
-        let mut wakes = router.clock.wakes();
+        let mut wakes = router.clock.subscribe_suspensions();
         let news = tokio::select! {
             biased;
             // What the call was to wait for is long over.
@@ -188,11 +192,11 @@
             continue;
         }
         let (rows, is_whole) = match news {
-            Ok(News::Rows(rows, is_whole)) => {
+            Ok(StoreAnswer::Rows(rows, is_whole)) => {
                 followed.contact.note_answer(table, router.now());
                 (rows, is_whole)
             }
-            Ok(News::HistoryGone) => {
+            Ok(StoreAnswer::HistoryGone) => {
                 followed.position.at = None;
                 continue;
             }
@@ -208,7 +212,7 @@
         let offer = UpdateHeader { version: rows.version, is_whole, is_amended: false };
         if !followed.take(router, rows, offer, &mut apply) {
             // An answer from before the store came back, which another entry reported meanwhile.
-            sleep(PAUSE).await;
+            sleep(RETRY_PAUSE).await;
             continue;
         }
         note_applied(router, table);
@@ -224,7 +228,7 @@
 /// Notes that all that was received of a table is in force; requests may wait for that after a suspension.
 fn note_applied(router: &Router, table: Table) {
     let was_fresh = router.is_view_fresh();
-    router.views.note_answer(table, router.now());
+    router.views.record_answer(table, router.now());
     if !was_fresh {
         router.wake_waiters();
     }
@@ -247,27 +251,28 @@
 /// Waits for a link that stands in for the store; without one the store is asked.
 async fn wait_for_link(router: &Router, most: Duration) {
     if router.may_follow() {
-        let _ = timeout(most, router.link.until_current()).await;
+        let _ = timeout(most, router.link.wait_until_current()).await;
     }
 }
 
 /// Pauses after a call that failed; a follower learns of the store's return from the entry it follows.
 async fn rest(router: &Router, table: Table) {
-    sleep(PAUSE).await;
+    sleep(RETRY_PAUSE).await;
     if router.is_seed() || router.table.load().is_none() {
         return;
     }
     // Either way the store is asked next.
     let _ =
-        timeout(PAUSE_OF_FOLLOWERS.saturating_sub(PAUSE), router.link.until_changed(table)).await;
+        timeout(PAUSE_OF_FOLLOWERS.saturating_sub(RETRY_PAUSE), router.link.wait_for_change(table))
+            .await;
 }
 
 /// Takes in what another entry passed on, as far as it is newer than what is known.
 fn take_in(
     router: &Router,
     update: TableUpdate,
-    followed: &mut Followed,
-    apply: &mut impl FnMut(Rows, Extent, &Contact),
+    followed: &mut FollowedTable,
+    apply: &mut impl FnMut(Rows, Extent, &StoreReachability),
 ) {
     let TableUpdate { version, is_whole, is_amended, .. } = update;
     let known = followed.position.at;
@@ -286,7 +291,7 @@
 }
 
 /// What is new about a table.
-enum News {
+enum StoreAnswer {
     /// Rows of the store: all of them, or those that changed.
     Rows(Rows, bool),
     /// The table has to be read anew.
@@ -299,19 +304,19 @@
     table: Table,
     at: Option<StoreVersion>,
     is_urgent: bool,
-) -> crate::platform::Result<News> {
+) -> crate::platform::Result<StoreAnswer> {
     let Some(after) = at else {
-        return Ok(News::Rows(store.read(table).await?, true));
+        return Ok(StoreAnswer::Rows(store.read_table(table).await?, true));
     };
     // A store that was lost, or a Host that was suspended: what holds now has to show at once.
-    let catch_up = router.settings.load().catch_up;
+    let catch_up = router.settings.load().catch_up_time;
     let wait = match () {
         () if is_urgent => Duration::ZERO,
         () if router.views.has_subscribers() => WAIT_FOR_OTHERS,
         () => catch_up.saturating_sub(CATCH_UP),
     };
-    Ok(match store.follow(table, after, wait).await? {
-        Feed::Changes(rows) => News::Rows(rows, false),
-        Feed::HistoryGone => News::HistoryGone,
+    Ok(match store.poll_changes(table, after, wait).await? {
+        FeedReply::Changes(rows) => StoreAnswer::Rows(rows, false),
+        FeedReply::ResyncRequired => StoreAnswer::HistoryGone,
     })
 }
--- a/src/router/load_board.rs
+++ b/src/router/load_reports.rs
@@ -45,7 +45,7 @@
 
 /// The last report of one entry.
 #[derive(Debug)]
-struct HeardReport {
+struct ReceivedReport {
     at: Duration,
     /// The link it came over.
     link: u64,
@@ -53,7 +53,7 @@
     loads: Vec<ServerLoad>,
 }
 
-impl HeardReport {
+impl ReceivedReport {
     fn is_fresh(&self, now: Duration) -> bool {
         now < self.at + REPORT_LASTS
     }
@@ -62,7 +62,7 @@
 #[derive(Debug, Default)]
 struct Inner {
     /// Reports by the Host they came from.
-    reports: HashMap<Box<str>, HeardReport>,
+    reports: HashMap<Box<str>, ReceivedReport>,
     /// Number of the next link that brings reports.
     next_link: u64,
     /// What was last reported of this entry.
@@ -71,7 +71,7 @@
 
 /// The reports an entry has, and its own.
 #[derive(Debug, Default)]
-pub(crate) struct LoadBoard {
+pub(crate) struct LoadReports {
     inner: Mutex<Inner>,
 }
 
@@ -83,17 +83,17 @@
     loads
 }
 
-impl LoadBoard {
+impl LoadReports {
     fn lock(&self) -> std::sync::MutexGuard<'_, Inner> {
         self.inner.lock().expect("no panics under the lock")
     }
 
     /// What this entry has at the servers now, to be reported.
-    pub(crate) fn report(&self, fleet: &Fleet) -> Vec<ServerLoad> {
+    pub(crate) fn collect_own(&self, fleet: &Fleet) -> Vec<ServerLoad> {
         let loads = fleet.members().filter_map(|member| {
-            let record = member.record();
-            let requests = record.load.own;
-            let backlog_ms = u32::try_from(record.backlog.as_millis()).unwrap_or(u32::MAX);
+            let state = member.state();
+            let requests = state.load.own_requests;
+            let backlog_ms = u32::try_from(state.backlog.as_millis()).unwrap_or(u32::MAX);
             let server = member.short_hash();
             (requests > 0).then_some(ServerLoad { server, requests, backlog_ms })
         });
@@ -103,14 +103,14 @@
     }
 
     /// A number for a link that brings reports.
-    pub(crate) fn number_link(&self) -> u64 {
+    pub(crate) fn next_link_id(&self) -> u64 {
         let mut inner = self.lock();
         inner.next_link += 1;
         inner.next_link
     }
 
     /// Takes in another entry's report.
-    pub(crate) fn take_report(
+    pub(crate) fn apply_report(
         &self,
         host: &str,
         link: u64,
@@ -120,12 +120,12 @@
     ) {
         let mut inner = self.lock();
         inner.reports.retain(|_, report| report.is_fresh(now));
-        inner.reports.insert(host.into(), HeardReport { at: now, link, is_settled, loads });
+        inner.reports.insert(host.into(), ReceivedReport { at: now, link, is_settled, loads });
     }
 
     /// Forgets the entry whose link has ended, unless it has reported over another one since: its process is
     /// gone, which its silence would show a second later.
-    pub(crate) fn forget_report(&self, host: &str, link: u64) {
+    pub(crate) fn remove_report(&self, host: &str, link: u64) {
         let mut inner = self.lock();
         if inner.reports.get(host).is_some_and(|report| report.link == link) {
             inner.reports.remove(host);
@@ -133,7 +133,7 @@
     }
 
     /// Entries that report here, and this one.
-    pub(crate) fn entries(&self, now: Duration) -> usize {
+    pub(crate) fn entry_count(&self, now: Duration) -> usize {
         let inner = self.lock();
         inner.reports.values().filter(|report| report.is_fresh(now)).count() + 1
     }
@@ -179,7 +179,7 @@
             let (own_requests, own_backlog_ms) = reported(&own);
             let backlog = Duration::from_millis(backlog_ms.saturating_sub(own_backlog_ms).into());
             let requests = requests.saturating_sub(own_requests);
-            member.record().load.note_others(requests, backlog, now);
+            member.state().load.record_peer_load(requests, backlog, now);
         }
     }
 }
--- a/src/router/orders.rs
+++ b/src/router/orders.rs
@@ -4,11 +4,14 @@
 
 use crate::{
     platform::{
-        documents::{OperatorChange, evacuated_zone, read_operator_row, status_key, unknown_kind},
+        documents::{
+            OperatorChange, evacuated_zone, parse_operator_row, roll_out_status_key,
+            unknown_row_kind,
+        },
         store::{Rows, StoreClient, Table},
     },
     policy::lifecycle::LifecycleEvent,
-    router::{Router, feed::follow, restore::Extent, servers::note_versions},
+    router::{Router, feed::follow_table, restore::Extent, servers::note_versions},
     routing::RoutingTable,
     telemetry::event,
 };
@@ -19,7 +22,7 @@
 /// Follows the operator's orders.
 pub(crate) async fn follow_orders(router: &Router, store: &StoreClient) {
     let mut unread = BTreeSet::new();
-    follow(router, store, Table::Orders, |rows, extent, _| {
+    follow_table(router, store, Table::Orders, |rows, extent, _| {
         note_unread_kinds(&rows, &mut unread);
         if extent.is_whole() {
             withdraw_missing(router, &rows);
@@ -40,7 +43,7 @@
 
 /// Logs each kind of orders once that nothing here reads.
 fn note_unread_kinds(rows: &Rows, logged: &mut BTreeSet<Box<str>>) {
-    for kind in rows.rows.iter().filter_map(|row| unknown_kind(&row.key)) {
+    for kind in rows.rows.iter().filter_map(|row| unknown_row_kind(&row.key)) {
         if logged.len() < MOST_UNREAD && logged.insert(kind.into()) {
             event::ORDER_UNREAD.log(format_args!("kind={kind}"));
         }
@@ -53,7 +56,7 @@
 }
 
 fn read_changes(rows: &Rows) -> impl Iterator<Item = OperatorChange> {
-    rows.rows.iter().filter_map(|row| match read_operator_row(row) {
+    rows.rows.iter().filter_map(|row| match parse_operator_row(row) {
         Ok(change) => change,
         Err(e) => {
             event::DOCUMENT_UNREADABLE.log(format_args!("cause=\"{e}\""));
@@ -70,7 +73,7 @@
         }
     }
     for order in router.roll_outs.orders() {
-        let key = status_key(&order.service);
+        let key = roll_out_status_key(&order.service);
         if !rows.rows.iter().any(|row| row.key == key) {
             router.roll_outs.withdraw(&order.service);
         }
@@ -79,23 +82,23 @@
 
 fn apply_change(router: &Router, change: OperatorChange, is_start: bool) {
     match change {
-        OperatorChange::Configuration(table) => put_in_force(router, *table),
+        OperatorChange::Configuration(table) => apply_configuration(router, *table),
         OperatorChange::RollOut(order) => {
             let reported =
-                format!("service={} to={} within={:?}", order.service, order.to, order.within);
-            if router.roll_outs.order(order, router.now(), is_start) {
+                format!("service={} to={} within={:?}", order.service, order.to, order.duration);
+            if router.roll_outs.add_order(order, router.now(), is_start) {
                 event::ROLL_OUT_ORDERED.log(format_args!("{reported}"));
                 note_versions(router);
             }
         }
         OperatorChange::RollOutWithdrawn(service) => router.roll_outs.withdraw(&service),
         OperatorChange::ZoneEvacuated(zone) => router.evacuations.begin(&zone, router.now()),
-        OperatorChange::ZoneTakenBack(zone) => router.evacuations.end(&zone, router.now()),
+        OperatorChange::EvacuationWithdrawn(zone) => router.evacuations.end(&zone, router.now()),
     }
 }
 
 /// Puts a configuration in force if it is newer than the one that is.
-pub(crate) fn put_in_force(router: &Router, table: RoutingTable) {
+pub(crate) fn apply_configuration(router: &Router, table: RoutingTable) {
     let current = router.table.load().as_ref().as_ref().map_or(0, |t| t.version);
     let version = table.version;
     if version < current {
@@ -106,7 +109,7 @@
         return;
     }
     router.metrics.revision.set(i64::try_from(version).unwrap_or(i64::MAX));
-    router.put_table(table);
+    router.set_table(table);
     event::CONFIG_ADVANCED.log(format_args!("version={version} before={current}"));
     if current == 0 {
         router.advance(LifecycleEvent::Ready);
--- a/src/router/link.rs
+++ b/src/router/peer_link.rs
@@ -7,7 +7,7 @@
 
 use tokio::sync::Notify;
 
-use crate::{platform::store::Table, router::views::TableUpdate};
+use crate::{platform::store::Table, router::table_views::TableUpdate};
 
 /// Updates that wait for whoever follows a table; more than that means that nobody takes them, and
 /// a new link begins with all rows anyway.
@@ -24,12 +24,12 @@
 /// While it is current it stands in for the store: the other entry receives the store's answers and
 /// passes on what they say (docs/decisions/0009).
 #[derive(Debug, Default)]
-pub(crate) struct Link {
+pub(crate) struct PeerLink {
     inner: Mutex<Inner>,
     news: Notify,
 }
 
-impl Link {
+impl PeerLink {
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().expect("no panics under the lock")
     }
@@ -79,7 +79,7 @@
     }
 
     /// Waits until the link stands in for the store.
-    pub(crate) async fn until_current(&self) {
+    pub(crate) async fn wait_until_current(&self) {
         loop {
             let news = self.news.notified();
             if self.is_current() {
@@ -90,7 +90,7 @@
     }
 
     /// Waits until there is an update about a table, or the link begins or ceases to stand in.
-    pub(crate) async fn until_changed(&self, table: Table) {
+    pub(crate) async fn wait_for_change(&self, table: Table) {
         let before = self.is_current();
         loop {
             let news = self.news.notified();
--- a/src/router/peers.rs
+++ b/src/router/peers.rs
@@ -1,7 +1,7 @@
 //! Links between entries: opening them, and serving those that follow or report.
 //!
-//! An entry follows another one instead of the store ([`follow`](super::follow)) and reports to the seeds
-//! ([`reports`](super::reports)).
+//! An entry follows another one instead of the store ([`peer_follower`](super::peer_follower)) and reports to the seeds
+//! ([`seed_reporter`](super::seed_reporter)).
 //!
 //! Calls to the store are paid for and limited, so only the entries that the settings name as seeds
 //! follow it while all is well; each other entry follows a seed, in its own AvailabilityZone if
@@ -27,8 +27,8 @@
     protocol::{Error, Result, decode, encode},
     router::{
         Router,
-        messages::{Asked, PeerMessage, Report},
-        urgent_news::UrgentNews,
+        messages::{PeerMessage, PeerRequest, Report},
+        urgent_updates::UrgentUpdates,
     },
     telemetry::event,
 };
@@ -58,11 +58,16 @@
 
 /// The seeds but for this entry itself.
 pub(crate) fn other_seeds(settings: &HostSettings) -> Vec<SocketAddr> {
-    settings.seeds.iter().copied().filter(|seed| Some(*seed) != settings.peer).collect()
+    settings
+        .seed_peers
+        .iter()
+        .copied()
+        .filter(|seed| Some(*seed) != settings.peer_address)
+        .collect()
 }
 
 /// Serves the entries that follow this one.
-pub(crate) async fn answer(router: Arc<Router>, listener: TcpListener) {
+pub(crate) async fn serve_peers(router: Arc<Router>, listener: TcpListener) {
     let places = Arc::new(Semaphore::new(MOST_LINKS));
     // Ends the links with the control thread's work.
     let mut links = JoinSet::new();
@@ -95,24 +100,24 @@
     stream.set_nodelay(true)?;
     let mut socket = timeout(OPENING, accept_async(stream)).await.map_err(|_| silent())??;
     match timeout(OPENING, receive(&mut socket)).await.map_err(|_| silent())?? {
-        Asked::Follow { version, era, only_in, host } => {
+        PeerRequest::Follow { version, era, only_in, host } => {
             let version = StoreVersion { era, revision: version };
             serve_follower(router, socket, version, only_in.as_deref(), &host).await
         }
-        Asked::Report { host, report } => take_reports(router, socket, &host, report).await,
+        PeerRequest::Report { host, report } => take_reports(router, socket, &host, report).await,
     }
 }
 
 /// Forgets what an entry reported over a link when that ends, in whatever way.
-struct ForgetsReport<'a> {
+struct RemoveReportOnDrop<'a> {
     router: &'a Router,
     host: &'a str,
     link: u64,
 }
 
-impl Drop for ForgetsReport<'_> {
+impl Drop for RemoveReportOnDrop<'_> {
     fn drop(&mut self) {
-        self.router.loads.forget_report(self.host, self.link);
+        self.router.loads.remove_report(self.host, self.link);
     }
 }
 
@@ -123,15 +128,15 @@
     host: &str,
     mut report: Report,
 ) -> Result<()> {
-    let link = router.loads.number_link();
-    let _forgets = ForgetsReport { router, host, link };
-    let mut news = UrgentNews::of(router);
+    let link = router.loads.next_link_id();
+    let _forgets = RemoveReportOnDrop { router, host, link };
+    let mut news = UrgentUpdates::of(router);
     loop {
         let (loads, now) = (report.loads, router.now());
-        router.loads.take_report(host, link, loads, !report.is_new, now);
-        router.roll_outs.take_evidence(host, report.evidence);
-        router.kept.take_report(&report.kept, &router.fleet.load(), router.now());
-        router.quarantine.take_update(&report.ends, router.now());
+        router.loads.apply_report(host, link, loads, !report.is_new, now);
+        router.roll_outs.apply_evidence(host, report.evidence);
+        router.kept.apply_report(&report.kept, &router.fleet.load(), router.now());
+        router.quarantine.apply_updates(&report.ends, router.now());
         router.take_limit_updates(&report.limits);
         report = loop {
             let asked = tokio::select! {
@@ -142,8 +147,10 @@
                 }
             };
             match asked {
-                Asked::Report { report, .. } => break report,
-                Asked::Follow { .. } => return Err(Error::Broken("reports were expected".into())),
+                PeerRequest::Report { report, .. } => break report,
+                PeerRequest::Follow { .. } => {
+                    return Err(Error::Broken("reports were expected".into()));
+                }
             }
         };
     }
@@ -166,19 +173,19 @@
     let (mut updates, mut news) = router.views.subscribe(version);
     let (mut next_kept, mut next_end, mut next_limit) = (0, None, 0);
     let mut suspicions = router.quarantine.changes();
-    let mut urgent_limits = router.limits.urgent();
+    let mut urgent_limits = router.limits.urgent_changes();
     loop {
         let is_current = router.is_current();
         let loads = router.loads.sums(router.now());
-        let (kept, next) = router.kept.all_from(next_kept, router.now());
+        let (kept, next) = router.kept.all_since(next_kept, router.now());
         next_kept = next;
         suspicions.mark_unchanged();
-        let (ends, next) = router.quarantine.all_from(next_end, router.now());
+        let (ends, next) = router.quarantine.all_since(next_end, router.now());
         next_end = Some(next);
         urgent_limits.mark_unchanged();
-        let (limits, next) = router.limits.all_from(next_limit);
+        let (limits, next) = router.limits.all_since(next_limit);
         next_limit = next;
-        let entries = router.loads.entries(router.now());
+        let entries = router.loads.entry_count(router.now());
         let place = router.place_of(host);
         let is_informed = router.quarantine.is_informed();
         let beat = PeerMessage::Beat {
--- a/src/router/quarantine_row.rs
+++ b/src/router/quarantine_row.rs
@@ -67,33 +67,33 @@
 pub(crate) type TrialRequest = (Fingerprint, oneshot::Sender<bool>);
 
 /// The row as it was last seen.
-struct Kept {
+struct StoredRow {
     version: Revision,
     /// Era of the store that it was read in.
     era: Era,
     cases: Vec<Case>,
-    clocks: Clocks,
+    clocks: ClockPair,
 }
 
 /// The store's clock and this entry's in one moment.
 #[derive(Clone, Copy)]
-struct Clocks {
+struct ClockPair {
     store: Duration,
     own: Duration,
     /// Time that the call took by which they were compared.
     error: Duration,
 }
 
-impl Kept {
+impl StoredRow {
     /// This entry's time of a moment on the store's clock.
     fn to_own(&self, ms: u64) -> Duration {
-        let Clocks { store, own, .. } = self.clocks;
+        let ClockPair { store, own, .. } = self.clocks;
         (own + Duration::from_millis(ms)).saturating_sub(store)
     }
 
     /// The store's time of a moment on this entry's clock.
     fn to_store(&self, at: Duration) -> u64 {
-        let Clocks { store, own, .. } = self.clocks;
+        let ClockPair { store, own, .. } = self.clocks;
         (store + at).saturating_sub(own).as_millis() as u64
     }
 
@@ -148,12 +148,12 @@
             None => RowDoc::default(),
         };
         self.cases = doc.cases.iter().filter_map(|doc| self.read(doc)).collect();
-        router.quarantine.take_cases(&self.cases, self.clocks.error, router.now());
+        router.quarantine.apply_cases(&self.cases, self.clocks.error, router.now());
     }
 }
 
 /// Keeps the store's row and this entry's cases the same, for ever.
-pub(crate) async fn keep(
+pub(crate) async fn sync_row(
     router: &Arc<Router>,
     store: &StoreClient,
     mut trials: mpsc::Receiver<TrialRequest>,
@@ -162,15 +162,16 @@
     inform(router).await;
     let mut kept = None;
     loop {
-        let is_restored = kept.as_ref().is_some_and(|kept: &Kept| kept.era < router.views.era());
+        let is_restored =
+            kept.as_ref().is_some_and(|kept: &StoredRow| kept.era < router.views.era());
         if is_restored {
             // The row may lack what was refused since the copy; who is named first writes it again.
             kept = None;
             sleep(time_for_others(router)).await;
         }
         let is_needed = !router.quarantine.is_informed()
-            || router.is_alone()
-            || router.quarantine.take_row_stale();
+            || router.is_isolated()
+            || router.quarantine.take_stale_row();
         if is_needed && read(router, store, &mut kept).await.is_err() {
             sleep(PAUSE).await;
             continue;
@@ -180,7 +181,7 @@
             event::STORE_UNREACHABLE.log(format_args!("table=Own cause=\"{e}\""));
             sleep(PAUSE).await;
         }
-        let rest = match (router.is_alone(), router.quarantine.is_idle()) {
+        let rest = match (router.is_isolated(), router.quarantine.is_idle()) {
             (true, true) => LOOK_ALONE,
             (true, false) => PAUSE,
             (false, _) => LOOK_EVERY,
@@ -204,7 +205,7 @@
 /// Waits a moment for another entry to report what is refused.
 async fn inform(router: &Router) {
     if router.may_follow() {
-        let _ = timeout(LINK_FIRST, router.link.until_current()).await;
+        let _ = timeout(LINK_FIRST, router.link.wait_until_current()).await;
     }
 }
 
@@ -212,8 +213,8 @@
 /// have not.
 fn time_for_others(router: &Router) -> Duration {
     let settings = router.settings.load();
-    let rank = settings.seeds.iter().position(|seed| Some(*seed) == settings.peer);
-    let before = rank.unwrap_or(settings.seeds.len());
+    let rank = settings.seed_peers.iter().position(|seed| Some(*seed) == settings.peer_address);
+    let before = rank.unwrap_or(settings.seed_peers.len());
     OTHERS_WRITE * u32::try_from(before).unwrap_or(u32::MAX).min(8)
 }
 
@@ -221,23 +222,24 @@
 async fn read(
     router: &Router,
     store: &StoreClient,
-    kept: &mut Option<Kept>,
+    kept: &mut Option<StoredRow>,
 ) -> crate::platform::Result<()> {
     router.metrics.count_store_call("quarantine");
     let asked = router.now();
-    let rows = store.read(Table::Own).await;
+    let rows = store.read_table(Table::Own).await;
     if rows.is_err() {
         router.metrics.count_store_error("quarantine");
     }
     let Rows { rows, now, version } = rows?;
     let clocks =
-        Clocks { store: now, own: router.now(), error: router.now().saturating_sub(asked) };
+        ClockPair { store: now, own: router.now(), error: router.now().saturating_sub(asked) };
     // A call that took long compares the clocks badly; the one before is as good.
     let before = kept.as_ref().map(|kept| kept.clocks);
     let clocks = before.filter(|before| before.error < clocks.error).unwrap_or(clocks);
     let row = rows.iter().find(|row| &*row.key == ROW && !row.is_removed);
-    kept.insert(Kept { version: 0, era: version.era, cases: Vec::new(), clocks }).take(router, row);
-    if router.quarantine.note_informed() {
+    kept.insert(StoredRow { version: 0, era: version.era, cases: Vec::new(), clocks })
+        .take(router, row);
+    if router.quarantine.mark_informed() {
         router.wake_waiters();
     }
     Ok(())
@@ -248,14 +250,14 @@
 async fn write_news(
     router: &Router,
     store: &StoreClient,
-    kept: &mut Option<Kept>,
+    kept: &mut Option<StoredRow>,
 ) -> crate::platform::Result<()> {
     if router.quarantine.is_idle() {
         return Ok(());
     }
     for _ in 0..MOST_CONFLICTS {
-        let cases = router.quarantine.cases(!router.is_alone(), router.now());
-        let is_kept = |kept: &Kept| {
+        let cases = router.quarantine.cases(!router.is_isolated(), router.now());
+        let is_kept = |kept: &StoredRow| {
             let is_there = |case: &Case| kept.holds(case);
             cases.iter().take(MOST_CASES).all(is_there) && !kept.has_cleared(router)
         };
@@ -276,12 +278,12 @@
 async fn write(
     router: &Router,
     store: &StoreClient,
-    kept: &mut Option<Kept>,
+    kept: &mut Option<StoredRow>,
 ) -> crate::platform::Result<bool> {
     let Some(kept) = kept else {
         return Ok(false);
     };
-    let mut cases = router.quarantine.cases(!router.is_alone(), router.now());
+    let mut cases = router.quarantine.cases(!router.is_isolated(), router.now());
     cases.truncate(MOST_CASES);
     let doc = RowDoc { cases: cases.iter().map(|case| kept.write(case)).collect() };
     let value = serde_json::to_vec(&doc).expect("a document of texts and numbers can be written");
@@ -298,7 +300,7 @@
             kept.cases = cases;
             Ok(true)
         }
-        WriteOutcome::Conflict | WriteOutcome::OtherEra => Ok(false),
+        WriteOutcome::Conflict | WriteOutcome::EraMismatch => Ok(false),
     }
 }
 
@@ -307,7 +309,7 @@
 async fn try_trial(
     router: &Router,
     store: &StoreClient,
-    kept: &mut Option<Kept>,
+    kept: &mut Option<StoredRow>,
     fingerprint: &Fingerprint,
 ) -> bool {
     if read(router, store, kept).await.is_err() {
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -8,114 +8,119 @@
 
 use crate::{
     policy::{
-        patience::{Patience, event_patience},
-        reading::ReadingBelief,
+        answer_timeout::{AnswerTimeouts, event_timeouts},
+        timing::TimingEstimate,
     },
     router::{
         EventSplitter, Member, Router,
-        attempt::OpenAnswer,
-        body::{AnswerBody, Part, StreamBody},
-        breaks::{Parting, note_break, note_unanswered},
-        choice::reading_key,
-        dispatch::{may_go_on, next_answer},
-        job::{Ask, Job},
+        attempt::OpenResponse,
+        body::{ResponseBody, StreamBody, StreamPart},
+        dispatch::{reserve_failover, send_until_answered},
         refusal::Refusal,
+        request_context::{AttemptParams, RequestContext},
+        response_wait::{ResponseWait, wait_for_response},
         roll_out::RunOutcome,
-        silence::{Wait, wait_for_answer},
-        stages::{self, StageEnd},
+        selection::latency_key,
+        server_ends::{LossCause, note_broken_connection, note_lost},
+        stages::{self, StageResponse},
     },
-    routing::{AnswerHead, AnswerKind, RouteKind},
+    routing::{ResponseHead, ResponseKind, RouteKind},
     telemetry::event,
 };
 
 /// Largest answer in one piece, bytes; it is held until it is whole.
-const MOST_WHOLE: usize = 4 << 20;
+const MAX_WHOLE_BODY: usize = 4 << 20;
 /// Largest event of a stream, bytes.
-const MOST_EVENT: usize = 1 << 20;
+const MAX_EVENT: usize = 1 << 20;
 /// Parts that may wait for a slow caller before the server is no longer read.
-const PARTS_WAITING: usize = 8;
+const RELAY_QUEUE: usize = 8;
 
 /// Runs a job and gives the answer for its caller.
-pub(crate) async fn answer(
+pub(crate) async fn respond(
     router: &Arc<Router>,
-    mut job: Job,
-) -> Result<Response<AnswerBody>, Refusal> {
-    job.is_trial = router.gets_trial(&job).await;
-    if job.route.kind != RouteKind::Stream {
-        return whole_answer(router, &mut job).await;
+    mut ctx: RequestContext,
+) -> Result<Response<ResponseBody>, Refusal> {
+    ctx.is_quarantine_trial = router.claim_trial(&ctx).await;
+    if ctx.route.kind != RouteKind::Stream {
+        return respond_whole(router, &mut ctx).await;
     }
-    let StageEnd { answer, model } = stages::answer(router, &mut job).await?;
-    if answer.head.kind != AnswerKind::Success {
-        return read_whole(router, &job, answer).await.map_err(|()| Refusal::Lost);
+    let StageResponse { response, model } = stages::run_cascade(router, &mut ctx).await?;
+    if response.head.kind != ResponseKind::Success {
+        return read_to_end(router, &ctx, response).await.map_err(|()| Refusal::Lost);
     }
-    let mut res = head_of(&answer.head);
-    let (tx, rx) = mpsc::channel(PARTS_WAITING);
-    let timing = StreamTiming::new(job.arrived);
-    let relay = Relay { router: router.clone(), job, model, tx, last_event: None, timing };
-    let filler = tokio::spawn(relay.run(answer));
-    *res.body_mut() = AnswerBody::Stream(StreamBody::new(rx, filler));
+    let mut res = response_with_head(&response.head);
+    let (tx, rx) = mpsc::channel(RELAY_QUEUE);
+    let timing = StreamTiming::new(ctx.arrived_at);
+    let relay = Relay { router: router.clone(), ctx, model, tx, last_event: None, timing };
+    let relay_task = tokio::spawn(relay.run(response));
+    *res.body_mut() = ResponseBody::Stream(StreamBody::new(rx, relay_task));
     Ok(res)
 }
 
-async fn whole_answer(
+async fn respond_whole(
     router: &Arc<Router>,
-    job: &mut Job,
-) -> Result<Response<AnswerBody>, Refusal> {
+    ctx: &mut RequestContext,
+) -> Result<Response<ResponseBody>, Refusal> {
     loop {
-        let answer = next_answer(router, job, Ask::default()).await?;
-        let server = answer.member.clone();
-        match read_until_deadline(router, job, answer).await {
+        let response = send_until_answered(router, ctx, AttemptParams::default()).await?;
+        let server = response.member.clone();
+        match read_until_deadline(router, ctx, response).await {
             Some(Ok(res)) => return Ok(res),
             Some(Err(())) => {}
             // At the deadline, or when the server has started again: then it may be tried elsewhere.
             None => {
-                note_unanswered(router, job, &server, Parting::Left);
-                router.roll_outs.note_silence(&server.server, router.now());
+                note_lost(router, ctx, &server, LossCause::Abandoned);
+                router.roll_outs.record_timeout(&server.server, router.now());
             }
         }
-        job.note_lost();
+        ctx.note_last_attempt_lost();
     }
 }
 
 /// Reads an answer in one piece; none at the deadline, or when its server has started again.
 async fn read_until_deadline(
     router: &Router,
-    job: &Job,
-    answer: OpenAnswer,
-) -> Option<Result<Response<AnswerBody>, ()>> {
-    let server = answer.member.clone();
-    let wait =
-        Wait { job, member: &server, patience: None, deadline: job.deadline, has_begun: true };
-    let read = pin!(read_whole(router, job, answer));
-    wait_for_answer(router, &wait, read, || false).await
+    ctx: &RequestContext,
+    response: OpenResponse,
+) -> Option<Result<Response<ResponseBody>, ()>> {
+    let server = response.member.clone();
+    let wait = ResponseWait {
+        ctx,
+        member: &server,
+        patience: None,
+        deadline: ctx.deadline,
+        has_begun: true,
+    };
+    let read = pin!(read_to_end(router, ctx, response));
+    wait_for_response(router, &wait, read, || false).await
 }
 
-fn head_of(head: &AnswerHead) -> Response<AnswerBody> {
-    let mut res = Response::new(AnswerBody::whole(""));
+fn response_with_head(head: &ResponseHead) -> Response<ResponseBody> {
+    let mut res = Response::new(ResponseBody::whole(""));
     *res.status_mut() = head.status;
     *res.headers_mut() = head.headers.clone();
     res
 }
 
 /// Reads an answer to its end, so that nothing of it is passed on unless all of it is here.
-async fn read_whole(
+async fn read_to_end(
     router: &Router,
-    job: &Job,
-    mut answer: OpenAnswer,
-) -> Result<Response<AnswerBody>, ()> {
-    let mut res = head_of(&answer.head);
-    let body = Limited::new(&mut answer.body, MOST_WHOLE).collect().await;
+    ctx: &RequestContext,
+    mut response: OpenResponse,
+) -> Result<Response<ResponseBody>, ()> {
+    let mut res = response_with_head(&response.head);
+    let body = Limited::new(&mut response.body, MAX_WHOLE_BODY).collect().await;
     let Ok(body) = body else {
-        note_break(router, job, &answer.member).await;
+        note_broken_connection(router, ctx, &response.member).await;
         return Err(());
     };
-    if answer.head.kind == AnswerKind::Success {
-        let outcome = if answer.is_slow { RunOutcome::Slow } else { RunOutcome::Good };
-        router.roll_outs.note_outcome(&answer.member.server, outcome);
+    if response.head.kind == ResponseKind::Success {
+        let outcome = if response.is_slow { RunOutcome::Slow } else { RunOutcome::Good };
+        router.roll_outs.record_outcome(&response.member.server, outcome);
     }
-    router.note_answered_whole(job);
-    *res.body_mut() = AnswerBody::whole(body.to_bytes());
-    answer.finish(router.now());
+    router.record_complete_answer(ctx);
+    *res.body_mut() = ResponseBody::whole(body.to_bytes());
+    response.finish(router.now());
     Ok(res)
 }
 
@@ -125,11 +130,11 @@
     #[error("the connection ended: {0}")]
     Lost(#[from] hyper::Error),
     #[error("it ended within an event")]
-    EndedInside,
+    TruncatedEvent,
     #[error("no event in time")]
     Silent,
     #[error("an event is missing")]
-    Gap,
+    MissingEvent,
     #[error("an event is too large")]
     TooLarge,
     #[error("the caller is gone")]
@@ -141,22 +146,22 @@
 /// When a stream's events came, on the entry's clock.
 #[derive(Clone, Copy, Debug)]
 struct StreamTiming {
-    arrived: Duration,
+    arrived_at: Duration,
     last: Option<Duration>,
-    first_after: Duration,
-    longest_pause: Duration,
+    time_to_first: Duration,
+    longest_gap: Duration,
 }
 
 impl StreamTiming {
-    fn new(arrived: Duration) -> Self {
-        let (first_after, longest_pause) = (Duration::ZERO, Duration::ZERO);
-        Self { arrived, last: None, first_after, longest_pause }
+    fn new(arrived_at: Duration) -> Self {
+        let (time_to_first, longest_gap) = (Duration::ZERO, Duration::ZERO);
+        Self { arrived_at, last: None, time_to_first, longest_gap }
     }
 
     fn note_event(&mut self, now: Duration) {
         match self.last.replace(now) {
-            None => self.first_after = now - self.arrived,
-            Some(last) => self.longest_pause = self.longest_pause.max(now - last),
+            None => self.time_to_first = now - self.arrived_at,
+            Some(last) => self.longest_gap = self.longest_gap.max(now - last),
         }
     }
 }
@@ -166,16 +171,16 @@
 struct RunTiming {
     first: Option<Instant>,
     last: Option<Instant>,
-    pauses: u32,
+    gaps: u32,
     /// Whether it was counted against its version already.
-    is_judged: bool,
+    is_counted: bool,
 }
 
 impl RunTiming {
     fn note_event(&mut self, now: Instant) {
         self.first.get_or_insert(now);
         if self.last.replace(now).is_some() {
-            self.pauses += 1;
+            self.gaps += 1;
         }
     }
 
@@ -191,177 +196,177 @@
 /// Passes a stream on.
 struct Relay {
     router: Arc<Router>,
-    job: Job,
+    ctx: RequestContext,
     model: Option<Box<str>>,
-    tx: mpsc::Sender<Part>,
+    tx: mpsc::Sender<StreamPart>,
     /// Last event passed on.
     last_event: Option<u64>,
     timing: StreamTiming,
 }
 
 impl Relay {
-    async fn run(mut self, first: OpenAnswer) {
-        let mut answer = first;
+    async fn run(mut self, first: OpenResponse) {
+        let mut response = first;
         loop {
-            let server = answer.member.clone();
-            let Err(e) = self.pass_on(answer).await else {
+            let server = response.member.clone();
+            let Err(e) = self.relay_events(response).await else {
                 // A caller that has left no longer minds whether the end arrives.
-                let _ = self.tx.send(Part::End).await;
-                self.router.note_answered_whole(&self.job);
+                let _ = self.tx.send(StreamPart::End).await;
+                self.router.record_complete_answer(&self.ctx);
                 self.log_if_late(&server);
                 return;
             };
             if matches!(e, StreamError::CallerGone) {
                 return;
             }
-            self.judge_break(&server, &e).await;
-            let (id, events) = (&self.job.req.head.id, self.last_event);
+            self.note_stream_error(&server, &e).await;
+            let (id, events) = (&self.ctx.req.head.id, self.last_event);
             event::STREAM_BROKEN.log(format_args!(
                 "request={id} fingerprint={} server={} last_event={events:?} cause=\"{e}\"",
-                self.job.fingerprint(),
+                self.ctx.fingerprint(),
                 server.server.id
             ));
-            self.job.note_lost();
+            self.ctx.note_last_attempt_lost();
             let Some(next) = self.resume().await else {
                 return;
             };
-            answer = next;
+            response = next;
         }
     }
 
     /// Counts a stream that broke off against its server, its version and the request itself.
-    async fn judge_break(&self, server: &Arc<Member>, e: &StreamError) {
-        let (router, job) = (&self.router, &self.job);
+    async fn note_stream_error(&self, server: &Arc<Member>, e: &StreamError) {
+        let (router, ctx) = (&self.router, &self.ctx);
         match e {
             // It may have begun to run, and end the server all the same.
-            StreamError::Quarantined => note_unanswered(router, job, server, Parting::Broken),
+            StreamError::Quarantined => note_lost(router, ctx, server, LossCause::Disconnected),
             StreamError::Silent => {
                 server.note_failure(router.now());
-                note_unanswered(router, job, server, Parting::Left);
-                router.roll_outs.note_silence(&server.server, router.now());
+                note_lost(router, ctx, server, LossCause::Abandoned);
+                router.roll_outs.record_timeout(&server.server, router.now());
             }
-            _ => note_break(router, job, server).await,
+            _ => note_broken_connection(router, ctx, server).await,
         }
     }
 
     /// Asks another server for the rest.
-    async fn resume(&mut self) -> Option<OpenAnswer> {
-        if !self.job.route.is_resumable {
+    async fn resume(&mut self) -> Option<OpenResponse> {
+        if !self.ctx.route.is_resumable {
             return None;
         }
         let model = self.model.clone();
-        let ask = Ask { model: model.as_deref(), ..self.ask() };
-        let answer = next_answer(&self.router, &mut self.job, ask).await.ok()?;
-        (answer.head.kind == AnswerKind::Success).then_some(answer)
+        let params = AttemptParams { model: model.as_deref(), ..self.params() };
+        let response = send_until_answered(&self.router, &mut self.ctx, params).await.ok()?;
+        (response.head.kind == ResponseKind::Success).then_some(response)
     }
 
     /// What another server is asked for.
-    fn ask(&self) -> Ask<'_> {
-        let last_event = self.last_event.or(self.job.req.head.last_event);
-        Ask { model: self.model.as_deref(), last_event }
+    fn params(&self) -> AttemptParams<'_> {
+        let last_event = self.last_event.or(self.ctx.req.head.last_event_id);
+        AttemptParams { model: self.model.as_deref(), last_event }
     }
 
     /// Passes one server's events on until its stream ends whole.
-    async fn pass_on(&mut self, mut answer: OpenAnswer) -> Result<(), StreamError> {
+    async fn relay_events(&mut self, mut response: OpenResponse) -> Result<(), StreamError> {
         let mut splitter = EventSplitter::default();
         let mut run = RunTiming::default();
         loop {
-            let patience = self.patience(&answer.member);
-            let next = pin!(answer.body.frame());
-            let deadline = self.job.deadline;
-            let (router, job, server) = (&self.router, &self.job, &answer.member);
-            let ask = self.ask();
-            let mut has_repeat = false;
-            let may_leave = || {
-                has_repeat = may_go_on(router, job, ask, &server.server.id);
-                has_repeat
+            let patience = self.patience(&response.member);
+            let next = pin!(response.body.frame());
+            let deadline = self.ctx.deadline;
+            let (router, ctx, server) = (&self.router, &self.ctx, &response.member);
+            let params = self.params();
+            let mut has_retry = false;
+            let can_fail_over = || {
+                has_retry = reserve_failover(router, ctx, params, &server.server.id);
+                has_retry
             };
             let has_begun = run.first.is_some();
-            let wait = Wait { job, member: server, patience, deadline, has_begun };
-            let frame = wait_for_answer(router, &wait, next, may_leave).await;
-            if has_repeat {
-                self.job.note_repeat();
+            let wait = ResponseWait { ctx, member: server, patience, deadline, has_begun };
+            let frame = wait_for_response(router, &wait, next, can_fail_over).await;
+            if has_retry {
+                self.ctx.note_retry_taken();
             }
-            let is_withdrawn = || !has_begun && self.router.is_refused(&self.job);
+            let is_withdrawn = || !has_begun && self.router.is_refused(&self.ctx);
             let given_up =
                 || if is_withdrawn() { StreamError::Quarantined } else { StreamError::Silent };
             let Some(frame) = frame.ok_or_else(given_up)? else {
                 if splitter.is_inside_event() {
-                    return Err(StreamError::EndedInside);
+                    return Err(StreamError::TruncatedEvent);
                 }
-                self.judge_whole(&answer, &run);
-                answer.finish(self.router.now());
+                self.note_whole_run(&response, &run);
+                response.finish(self.router.now());
                 return Ok(());
             };
             let Ok(data) = frame?.into_data() else {
                 continue;
             };
-            answer.member.note_received(self.router.now());
+            response.member.note_received(self.router.now());
             splitter.push(&data);
             while let Some(event) = splitter.next_event() {
                 self.check_order(event.id)?;
-                let sent = self.tx.send(Part::Events(event.bytes)).await;
+                let sent = self.tx.send(StreamPart::Events(event.bytes)).await;
                 sent.map_err(|_| StreamError::CallerGone)?;
                 self.last_event = event.id.or(self.last_event);
                 self.timing.note_event(self.router.now());
-                self.judge_event(&answer, &mut run);
+                self.check_pace(&response, &mut run);
             }
-            if splitter.pending() > MOST_EVENT {
+            if splitter.pending() > MAX_EVENT {
                 return Err(StreamError::TooLarge);
             }
         }
     }
 
     /// Counts a run against its version as soon as its events come far too slowly.
-    fn judge_event(&self, answer: &OpenAnswer, run: &mut RunTiming) {
+    fn check_pace(&self, response: &OpenResponse, run: &mut RunTiming) {
         run.note_event(Instant::now());
-        if run.is_judged || !self.reading().is_trickle(run.pauses, run.took()) {
+        if run.is_counted || !self.reading().is_slow_stream(run.gaps, run.took()) {
             return;
         }
-        run.is_judged = true;
-        self.router.roll_outs.note_outcome(&answer.member.server, RunOutcome::Slow);
+        run.is_counted = true;
+        self.router.roll_outs.record_outcome(&response.member.server, RunOutcome::Slow);
     }
 
     /// Counts a run that ended whole for its version, and learns its pace.
-    fn judge_whole(&self, answer: &OpenAnswer, run: &RunTiming) {
-        let (server, roll_outs) = (&answer.member.server, &self.router.roll_outs);
+    fn note_whole_run(&self, response: &OpenResponse, run: &RunTiming) {
+        let (server, roll_outs) = (&response.member.server, &self.router.roll_outs);
         // Slow runs count in the mean, too: without them it falls, and more runs are called slow. A
         // version on trial does not set the pace that it is measured by.
-        if run.pauses > 0 && !roll_outs.is_on_trial(server) {
-            self.router.readings.note_pace(self.reading_key(), run.took() / run.pauses);
+        if run.gaps > 0 && !roll_outs.is_on_trial(server) {
+            self.router.readings.record_pace(self.latency_key(), run.took() / run.gaps);
         }
-        if !run.is_judged {
-            roll_outs.note_outcome(server, RunOutcome::Good);
+        if !run.is_counted {
+            roll_outs.record_outcome(server, RunOutcome::Good);
         }
     }
 
-    fn reading(&self) -> ReadingBelief {
-        self.router.readings.get(self.reading_key())
+    fn reading(&self) -> TimingEstimate {
+        self.router.readings.get(self.latency_key())
     }
 
-    fn reading_key(&self) -> &str {
-        reading_key(&self.job, Ask { model: self.model.as_deref(), last_event: None })
+    fn latency_key(&self) -> &str {
+        latency_key(&self.ctx, AttemptParams { model: self.model.as_deref(), last_event: None })
     }
 
     /// Logs a stream that ended whole but came later than its route aims at.
     fn log_if_late(&self, server: &Member) {
-        let (first, pause) = (self.timing.first_after, self.timing.longest_pause);
+        let (first, pause) = (self.timing.time_to_first, self.timing.longest_gap);
         self.router.metrics.first_token.observe(first.as_secs_f64());
-        let total = self.router.now().saturating_sub(self.job.arrived);
+        let total = self.router.now().saturating_sub(self.ctx.arrived_at);
         self.router.metrics.total_time.observe(total.as_secs_f64());
-        let route = &self.job.route;
+        let route = &self.ctx.route;
         let is_late = first > route.objective;
-        if !is_late && route.event_gap.is_none_or(|allowed| pause <= allowed) {
+        if !is_late && route.max_event_gap.is_none_or(|allowed| pause <= allowed) {
             return;
         }
         event::STREAM_LATE.log(format_args!(
             "request={} route={} server={} model={} runs={} prompt_tokens={} first_ms={} pause_ms={}",
-            self.job.req.head.id,
+            self.ctx.req.head.id,
             route.name,
             server.server.id,
             self.model.as_deref().unwrap_or("-"),
-            self.job.runs,
-            self.job.req.head.prompt_tokens,
+            self.ctx.runs,
+            self.ctx.req.head.prompt_tokens,
             first.as_millis(),
             pause.as_millis()
         ));
@@ -369,14 +374,14 @@
 
     fn check_order(&self, id: Option<u64>) -> Result<(), StreamError> {
         match (id, self.last_event) {
-            (Some(id), Some(last)) if id != last + 1 => Err(StreamError::Gap),
+            (Some(id), Some(last)) if id != last + 1 => Err(StreamError::MissingEvent),
             _ => Ok(()),
         }
     }
 
     /// How long the server's silence is tolerated; without end where nothing else could be done.
-    fn patience(&self, server: &Member) -> Option<Patience> {
-        let may_resume = self.job.route.is_resumable && self.job.runs_left() > 0;
-        may_resume.then(|| event_patience(self.job.route.event_gap, server.awaited()))
+    fn patience(&self, server: &Member) -> Option<AnswerTimeouts> {
+        let may_resume = self.ctx.route.is_resumable && self.ctx.runs_left() > 0;
+        may_resume.then(|| event_timeouts(self.ctx.route.max_event_gap, server.outstanding()))
     }
 }
--- a/src/router/roll_out.rs
+++ b/src/router/roll_out.rs
@@ -15,12 +15,12 @@
 
 use crate::{
     ids::StoreVersion,
-    policy::exposure::ExposureTerms,
+    policy::exposure::ExposureConfig,
     router::{
-        trial::{RollOut, Verdict, VersionEvidence},
+        roll_out_state::{RollOut, Verdict, VersionEvidence},
         version_rule::VersionRule,
     },
-    routing::{BackendServer, Progress, RequestHead, RollOutOrder},
+    routing::{BackendServer, RequestHead, RollOutOrder, RollOutProgress},
     telemetry::{Metrics, event, metrics::EvidenceLabels},
 };
 
@@ -54,13 +54,13 @@
 #[derive(Debug)]
 pub struct RollOuts {
     inner: Arc<Mutex<Inner>>,
-    terms: ExposureTerms,
+    terms: ExposureConfig,
     found: Notify,
 }
 
 impl RollOuts {
     /// No roll-outs yet; their shares will grow by these terms.
-    pub fn new(terms: ExposureTerms) -> Self {
+    pub fn new(terms: ExposureConfig) -> Self {
         Self { inner: Arc::default(), terms, found: Notify::new() }
     }
 
@@ -70,13 +70,13 @@
 
     /// Takes in an order, which an entry that starts may have found; one already known keeps its
     /// evidence. Whether it is new.
-    pub(crate) fn order(&self, order: RollOutOrder, now: Duration, is_found: bool) -> bool {
+    pub(crate) fn add_order(&self, order: RollOutOrder, now: Duration, is_found: bool) -> bool {
         let mut inner = self.lock();
         if let Some(known) = inner.roll_outs.get_mut(&order.service) {
-            if known.order.revision >= order.revision {
+            if known.order.written_at >= order.written_at {
                 return false;
             }
-            if order.is_again(&known.order) {
+            if order.is_reissue_of(&known.order) {
                 known.order = order;
                 return false;
             }
@@ -90,12 +90,12 @@
     }
 
     /// Waits until an order is found whose state has to be learned.
-    pub(crate) async fn until_found(&self) {
+    pub(crate) async fn wait_until_found(&self) {
         self.found.notified().await;
     }
 
     /// Whether an order was found after this time and nothing is known yet of how far it got.
-    pub(crate) fn is_any_unknown(&self, found_after: Duration) -> bool {
+    pub(crate) fn has_unknown(&self, found_after: Duration) -> bool {
         let is_new = |r: &RollOut| r.found_at.is_some_and(|at| at > found_after);
         self.lock().roll_outs.values().any(|r| r.is_unknown() && is_new(r))
     }
@@ -106,7 +106,7 @@
     }
 
     /// Notes that it is known how far an order's roll-out got.
-    pub(crate) fn note_known(&self, order: &RollOutOrder) {
+    pub(crate) fn mark_known(&self, order: &RollOutOrder) {
         if let Some(roll_out) = self.lock().roll_outs.get_mut(&order.service) {
             roll_out.found_at = None;
         }
@@ -123,41 +123,41 @@
     /// Whether this order is one that was withdrawn in an earlier era.
     pub(crate) fn was_withdrawn(&self, order: &RollOutOrder) -> bool {
         let inner = self.lock();
-        inner.withdrawn.get(&order.service).is_some_and(|known| order.is_again(known))
+        inner.withdrawn.get(&order.service).is_some_and(|known| order.is_reissue_of(known))
     }
 
     /// Roll-outs that have ended, and how.
-    pub(crate) fn ended(&self) -> Vec<(RollOutOrder, Progress)> {
+    pub(crate) fn ended(&self) -> Vec<(RollOutOrder, RollOutProgress)> {
         let inner = self.lock();
-        let ended = inner.roll_outs.values().filter(|r| r.progress != Progress::Running);
+        let ended = inner.roll_outs.values().filter(|r| r.progress != RollOutProgress::Running);
         ended.map(|r| (r.order.clone(), r.progress)).collect()
     }
 
     /// Time since a roll-out began, where the store reported when.
-    pub(crate) fn begun_for(&self, order: &RollOutOrder, now: Duration) -> Option<Duration> {
+    pub(crate) fn reported_age(&self, order: &RollOutOrder, now: Duration) -> Option<Duration> {
         let inner = self.lock();
         let roll_out = inner.roll_outs.get(&order.service).filter(|r| r.is_begun)?;
         Some(roll_out.age(now))
     }
 
     /// Takes in what the store says about an order: when it began and how far it got.
-    pub(crate) fn adopt(
+    pub(crate) fn apply_store_state(
         &self,
         service: &str,
         revision: StoreVersion,
         began: Option<Duration>,
-        progress: Progress,
+        progress: RollOutProgress,
     ) {
         let mut inner = self.lock();
         let Some(roll_out) = inner.roll_outs.get_mut(service) else {
             return;
         };
-        if roll_out.order.revision != revision {
+        if roll_out.order.written_at != revision {
             return;
         }
         roll_out.is_begun |= began.is_some();
         roll_out.began = began.unwrap_or(roll_out.began).min(roll_out.began);
-        if roll_out.progress == Progress::Running && progress != Progress::Running {
+        if roll_out.progress == RollOutProgress::Running && progress != RollOutProgress::Running {
             event::VERDICT_SEEN.log(format_args!("service={service} progress={progress:?}"));
             roll_out.progress = progress;
         }
@@ -178,12 +178,17 @@
     /// Orders that are still under way.
     pub(crate) fn running(&self) -> Vec<RollOutOrder> {
         let inner = self.lock();
-        let running = inner.roll_outs.values().filter(|r| r.progress == Progress::Running);
+        let running = inner.roll_outs.values().filter(|r| r.progress == RollOutProgress::Running);
         running.map(|r| r.order.clone()).collect()
     }
 
     /// Which versions may run a request now.
-    pub(crate) fn rule(&self, service: &str, head: &RequestHead, now: Duration) -> VersionRule {
+    pub(crate) fn version_rule(
+        &self,
+        service: &str,
+        head: &RequestHead,
+        now: Duration,
+    ) -> VersionRule {
         let inner = self.lock();
         let roll_out = inner.roll_outs.get(service);
         roll_out.map_or(VersionRule::Any, |roll_out| roll_out.rule(head, now, &self.terms))
@@ -191,7 +196,12 @@
 
     /// Logs a session's request that is sent to a version on trial, so that the lines of all
     /// entries show when a session came to it.
-    pub(crate) fn log_trial(&self, server: &BackendServer, head: &RequestHead, now: Duration) {
+    pub(crate) fn log_trial_session(
+        &self,
+        server: &BackendServer,
+        head: &RequestHead,
+        now: Duration,
+    ) {
         let Some(session) = &head.session else {
             return;
         };
@@ -210,7 +220,7 @@
     }
 
     /// Notes what became of an attempt that ran.
-    pub(crate) fn note_outcome(&self, server: &BackendServer, outcome: RunOutcome) {
+    pub(crate) fn record_outcome(&self, server: &BackendServer, outcome: RunOutcome) {
         let mut inner = self.lock();
         let Some(roll_out) = inner.roll_outs.get_mut(&server.service) else {
             return;
@@ -226,7 +236,7 @@
 
     /// Notes that a server did not answer in time. All that wait for a server time out together,
     /// so such failures of one server count once in a while.
-    pub(crate) fn note_silence(&self, server: &BackendServer, now: Duration) {
+    pub(crate) fn record_timeout(&self, server: &BackendServer, now: Duration) {
         {
             let mut inner = self.lock();
             let reported = inner.silences.entry(server.id.clone()).or_default();
@@ -239,24 +249,24 @@
                 inner.silences.retain(|_, reported| now < *reported + SAME_SILENCE);
             }
         }
-        self.note_outcome(server, RunOutcome::Failed);
+        self.record_outcome(server, RunOutcome::Failed);
     }
 
     /// What this entry has seen of the roll-outs under way, to be reported.
     pub(crate) fn evidence(&self) -> Vec<VersionEvidence> {
         let inner = self.lock();
-        let running = inner.roll_outs.values().filter(|r| r.progress == Progress::Running);
+        let running = inner.roll_outs.values().filter(|r| r.progress == RollOutProgress::Running);
         running.map(RollOut::evidence).collect()
     }
 
     /// Takes in what another entry has seen, and judges by all of it.
-    pub(crate) fn take_evidence(&self, host: &str, all: Vec<VersionEvidence>) {
+    pub(crate) fn apply_evidence(&self, host: &str, all: Vec<VersionEvidence>) {
         let mut inner = self.lock();
         for evidence in all {
             let Some(roll_out) = inner.roll_outs.get_mut(&evidence.service) else {
                 continue;
             };
-            if roll_out.order.revision == evidence.order() {
+            if roll_out.order.written_at == evidence.order() {
                 roll_out.others.insert(host.into(), evidence);
                 roll_out.judge_pooled();
             }
@@ -267,18 +277,19 @@
     pub(crate) fn is_on_trial(&self, server: &BackendServer) -> bool {
         let inner = self.lock();
         let roll_out = inner.roll_outs.get(&server.service);
-        roll_out.is_some_and(|r| r.progress == Progress::Running && r.order.to == server.version)
+        roll_out
+            .is_some_and(|r| r.progress == RollOutProgress::Running && r.order.to == server.version)
     }
 
     /// Notes that servers of a version are in view.
-    pub(crate) fn note_servers(&self, service: &str, version: &str) {
+    pub(crate) fn record_servers(&self, service: &str, version: &str) {
         if let Some(roll_out) = self.lock().roll_outs.get_mut(service) {
             roll_out.has_servers |= *roll_out.order.to == *version;
         }
     }
 
     /// Shows the evidence as metrics.
-    pub(crate) fn report(&self, metrics: &Metrics) {
+    pub(crate) fn update_metrics(&self, metrics: &Metrics) {
         let inner = self.lock();
         for roll_out in inner.roll_outs.values() {
             for (version, evidence) in [("old", roll_out.old), ("new", roll_out.new)] {
--- a/src/router/trial.rs
+++ b/src/router/roll_out_state.rs
@@ -9,14 +9,13 @@
     platform::store::is_first,
     policy::{
         exposure::{
-            ExposureTerms, is_beyond_trial, may_complete, request_share_at, session_share_at,
-            takes_new,
+            ExposureConfig, is_in_share, is_past_trial, may_complete, request_share, session_share,
         },
         roll_out::{Evidence, Finding, VersionTest},
     },
     resources::Guard,
     router::version_rule::VersionRule,
-    routing::{Progress, RequestHead, RollOutOrder, RollOutStatus},
+    routing::{RequestHead, RollOutOrder, RollOutProgress, RollOutStatus},
     telemetry::event,
 };
 
@@ -65,7 +64,7 @@
     pub(super) is_begun: bool,
     /// When this entry found it as it started, until it has learned how far it got.
     pub(super) found_at: Option<Duration>,
-    pub(super) progress: Progress,
+    pub(super) progress: RollOutProgress,
     /// Whether the evidence, our own or that of all entries, says that the version is bad.
     pub(super) is_held: bool,
     pub(super) old: Evidence,
@@ -87,7 +86,7 @@
             began: now,
             is_begun: false,
             found_at: is_found.then_some(now),
-            progress: Progress::Running,
+            progress: RollOutProgress::Running,
             is_held: false,
             old: Evidence::default(),
             new: Evidence::default(),
@@ -103,27 +102,27 @@
         &self,
         head: &RequestHead,
         now: Duration,
-        terms: &ExposureTerms,
+        terms: &ExposureConfig,
     ) -> VersionRule {
         let new = VersionRule::Only(self.order.to.clone());
-        let old = VersionRule::Not(self.order.to.clone());
+        let old = VersionRule::Except(self.order.to.clone());
         match self.progress {
-            Progress::Completed => return new,
-            Progress::RolledBack => return old,
-            Progress::Running if self.is_held || !self.has_servers => return old,
-            Progress::Running => {}
+            RollOutProgress::Completed => return new,
+            RollOutProgress::RolledBack => return old,
+            RollOutProgress::Running if self.is_held || !self.has_servers => return old,
+            RollOutProgress::Running => {}
         }
-        let (elapsed, within) = (self.age(now), self.order.within);
+        let (elapsed, within) = (self.age(now), self.order.duration);
         let share = match head.session {
-            Some(_) => session_share_at(elapsed, within, terms),
-            None => request_share_at(elapsed, within, terms),
+            Some(_) => session_share(elapsed, within, terms),
+            None => request_share(elapsed, within, terms),
         };
-        if takes_new(head.session_key(), &self.order.to, share) { new } else { old }
+        if is_in_share(head.session_key(), &self.order.to, share) { new } else { old }
     }
 
     /// Whether it is not known yet how far it got; an end that is known stands.
     pub(super) fn is_unknown(&self) -> bool {
-        self.found_at.is_some() && self.progress == Progress::Running
+        self.found_at.is_some() && self.progress == RollOutProgress::Running
     }
 
     /// Time since it began, as far as this entry knows.
@@ -132,9 +131,9 @@
     }
 
     /// Whether only a trial's share of the requests runs on the new version.
-    pub(super) fn is_on_trial(&self, now: Duration, terms: &ExposureTerms) -> bool {
-        let is_running = self.progress == Progress::Running;
-        is_running && !is_beyond_trial(self.age(now), self.order.within, terms)
+    pub(super) fn is_on_trial(&self, now: Duration, terms: &ExposureConfig) -> bool {
+        let is_running = self.progress == RollOutProgress::Running;
+        is_running && !is_past_trial(self.age(now), self.order.duration, terms)
     }
 
     pub(super) fn judge(&mut self) {
@@ -181,8 +180,8 @@
     pub(super) fn evidence(&self) -> VersionEvidence {
         VersionEvidence {
             service: self.order.service.clone(),
-            revision: self.order.revision.revision,
-            era: self.order.revision.era,
+            revision: self.order.written_at.revision,
+            era: self.order.written_at.era,
             old: self.old,
             new: self.new,
         }
@@ -195,15 +194,15 @@
         new.answers >= LEAST_ANSWERS && !tests.iter().any(|t| t.is_suspicious(&GUARD))
     }
 
-    pub(super) fn verdict(&self, now: Duration, terms: &ExposureTerms) -> Option<Verdict> {
-        if self.progress != Progress::Running {
+    pub(super) fn verdict(&self, now: Duration, terms: &ExposureConfig) -> Option<Verdict> {
+        if self.progress != RollOutProgress::Running {
             return None;
         }
         let elapsed = self.age(now);
         let progress = if self.is_held {
-            Progress::RolledBack
-        } else if may_complete(elapsed, self.order.within, terms) && self.is_proved() {
-            Progress::Completed
+            RollOutProgress::RolledBack
+        } else if may_complete(elapsed, self.order.duration, terms) && self.is_proved() {
+            RollOutProgress::Completed
         } else {
             return None;
         };
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -12,17 +12,18 @@
         store::StoreClient,
     },
     router::{
-        Router, driver, follow, listen, orders, peers, quarantine_row, release, reports, servers,
-        state::{BALANCER, BEFORE_KILL},
+        Router, listen, orders, peer_follower, peers, quarantine_release, quarantine_row,
+        roll_out_driver, seed_reporter, servers,
+        state::{KILL_MARGIN, READINESS_LAG},
     },
     settings::RouteSettings,
     telemetry::{admin, event},
 };
 
 /// Time before the end of the grace at which idle connections are closed.
-const BEFORE_CLOSE: Duration = Duration::from_millis(700);
+const IDLE_CLOSE_MARGIN: Duration = Duration::from_millis(700);
 /// Time between looks at whether requests are still in flight.
-const IDLE_CHECK: Duration = Duration::from_millis(50);
+const IN_FLIGHT_POLL: Duration = Duration::from_millis(50);
 
 /// What an entry on the platform is started with.
 #[derive(Clone, Debug)]
@@ -63,17 +64,17 @@
 /// When an address can't be bound or the thread can't be made.
 pub async fn start(settings: RouterSettings) -> std::io::Result<RunningRouter> {
     let RouterSettings { host, policy } = settings;
-    let callers = TcpListener::bind(host.caller).await?;
-    let readiness = TcpListener::bind(host.readiness).await?;
+    let callers = TcpListener::bind(host.caller_address).await?;
+    let readiness = TcpListener::bind(host.readiness_address).await?;
     event::PROCESS_STARTED.log(format_args!(
         "role=entry host={} zone={} caller={} readiness={} store={}",
-        host.host, host.zone, host.caller, host.readiness, host.store
+        host.host, host.zone, host.caller_address, host.readiness_address, host.store_address
     ));
-    let host_address = host.caller.ip();
-    let store = StoreClient::new(HttpClient::default(), &host.store);
+    let host_address = host.caller_address.ip();
+    let store = StoreClient::new(HttpClient::default(), &host.store_address);
     let router = Arc::new(Router::new(host, policy));
     let control = router.clone();
-    let peers = match router.settings.load().peer {
+    let peers = match router.settings.load().peer_address {
         Some(address) => Some(std::net::TcpListener::bind(address)?),
         None => None,
     };
@@ -89,10 +90,10 @@
         serve_admin(&router, TcpListener::bind(address).await?);
     }
     let (closing, is_closing) = watch::channel(false);
-    let callers = tokio::spawn(listen::callers(router.clone(), callers, is_closing));
+    let callers = tokio::spawn(listen::serve_callers(router.clone(), callers, is_closing));
     let asked = router.clone();
     tokio::spawn(async move {
-        if let Err(e) = listen::readiness(asked, readiness).await {
+        if let Err(e) = listen::serve_readiness(asked, readiness).await {
             event::ACCEPT_FAILED.log(format_args!("cause=\"{e}\""));
         }
     });
@@ -101,7 +102,7 @@
 
 /// Serves metrics and the state dump on an address of their own.
 fn serve_admin(router: &Arc<Router>, listener: TcpListener) {
-    let app = admin::router(router.admin()).merge(release::routes(router.clone()));
+    let app = admin::router(router.admin()).merge(quarantine_release::routes(router.clone()));
     tokio::spawn(async move {
         if let Err(e) = axum::serve(listener, app).await {
             event::ACCEPT_FAILED.log(format_args!("cause=\"{e}\""));
@@ -120,11 +121,11 @@
         tokio::join!(
             orders::follow_orders(&router, &store),
             servers::follow_servers(&router, &store),
-            driver::drive_roll_outs(&router, &store),
-            answer_peers(router.clone(), peers),
-            follow::follow(&router),
-            reports::report_load(&router),
-            keep_quarantine(&router, &store),
+            roll_out_driver::drive_roll_outs(&router, &store),
+            serve_peers(router.clone(), peers),
+            peer_follower::follow_peers(&router),
+            seed_reporter::report_to_seeds(&router),
+            follow_quarantine(&router, &store),
         )
     };
     tokio::select! {
@@ -134,19 +135,19 @@
     }
 }
 
-async fn keep_quarantine(router: &Arc<Router>, store: &StoreClient) {
-    if let Some(trials) = router.take_trials() {
-        quarantine_row::keep(router, store, trials).await;
+async fn follow_quarantine(router: &Arc<Router>, store: &StoreClient) {
+    if let Some(trials) = router.take_trial_requests() {
+        quarantine_row::sync_row(router, store, trials).await;
     }
 }
 
-async fn answer_peers(router: Arc<Router>, listener: Option<std::net::TcpListener>) {
+async fn serve_peers(router: Arc<Router>, listener: Option<std::net::TcpListener>) {
     let Some(listener) = listener else {
         return;
     };
     let listener = listener.set_nonblocking(true).and_then(|()| TcpListener::from_std(listener));
     match listener {
-        Ok(listener) => peers::answer(router, listener).await,
+        Ok(listener) => peers::serve_peers(router, listener).await,
         Err(e) => event::ACCEPT_FAILED.log(format_args!("cause=\"{e}\"")),
     }
 }
@@ -154,7 +155,7 @@
 impl RunningRouter {
     /// Takes over the text of the platform's file; one that can't be read changes nothing.
     pub fn reload(&self, text: &str) {
-        match host_settings::read(text) {
+        match host_settings::parse(text) {
             Ok(settings) => {
                 event::SETTINGS_RELOADED.log(format_args!("host={}", settings.host));
                 self.router.settings.store(Arc::new(settings));
@@ -171,16 +172,16 @@
         let elapsed = || router.now().saturating_sub(began);
         router.begin_stop();
         event::PROCESS_LEAVING.log(format_args!("in_flight={}", router.in_flight()));
-        sleep(BALANCER).await;
-        let grace = router.settings.load().grace;
+        sleep(READINESS_LAG).await;
+        let grace = router.settings.load().shutdown_grace;
         // The balancer may still send callers here when it has nowhere else to send them.
-        while router.in_flight() > 0 && elapsed() < grace.saturating_sub(BEFORE_CLOSE) {
-            sleep(IDLE_CHECK).await;
+        while router.in_flight() > 0 && elapsed() < grace.saturating_sub(IDLE_CLOSE_MARGIN) {
+            sleep(IN_FLIGHT_POLL).await;
         }
         self.closing.send_replace(true);
-        let last = grace.saturating_sub(BEFORE_KILL);
+        let last = grace.saturating_sub(KILL_MARGIN);
         while !self.callers.is_finished() && elapsed() < last {
-            sleep(IDLE_CHECK).await;
+            sleep(IN_FLIGHT_POLL).await;
         }
         let cut = router.in_flight();
         event::PROCESS_STOPPED.log(format_args!("cut={cut}"));
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -9,9 +9,11 @@
 use tokio::time::timeout;
 
 use crate::{
-    platform::headers::{read_request, request_id},
-    policy::exposure::draw,
-    router::{Router, body::AnswerBody, job::Job, refusal::Refusal, relay},
+    platform::request_headers::{parse_request_head, request_id},
+    policy::exposure::hash_fraction,
+    router::{
+        Router, body::ResponseBody, refusal::Refusal, relay, request_context::RequestContext,
+    },
     routing::{CallerLimits, Organisation, Request, RequestHead, Route, RoutingTable},
     telemetry::event,
 };
@@ -26,22 +28,22 @@
 
 /// A request that has arrived; leaves the count of requests in flight when dropped.
 #[derive(Debug)]
-pub(crate) struct InFlight {
+pub(crate) struct InFlightGuard {
     router: Arc<Router>,
     /// When it arrived, on the entry's clock.
-    pub(crate) arrived: Duration,
+    pub(crate) arrived_at: Duration,
 }
 
-impl InFlight {
+impl InFlightGuard {
     fn enter(router: &Arc<Router>) -> Self {
-        router.enter();
-        Self { router: router.clone(), arrived: router.now() }
+        router.note_request_started();
+        Self { router: router.clone(), arrived_at: router.now() }
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.router.leave();
+        self.router.note_request_finished();
     }
 }
 
@@ -50,7 +52,7 @@
     router: Arc<Router>,
     req: HttpRequest<Incoming>,
     connected_at: Duration,
-) -> Result<Response<AnswerBody>, Infallible> {
+) -> Result<Response<ResponseBody>, Infallible> {
     let id: Box<str> = request_id(req.headers()).unwrap_or("-").into();
     let mut res = match try_serve(&router, req, connected_at).await {
         Ok(res) => {
@@ -73,29 +75,29 @@
     router: &Arc<Router>,
     req: HttpRequest<Incoming>,
     connected_at: Duration,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     router.notice_suspension();
-    let in_flight = InFlight::enter(router);
+    let in_flight = InFlightGuard::enter(router);
     let (parts, body) = req.into_parts();
-    let head =
-        read_request(&parts.method, &parts.uri, &parts.headers).map_err(|_| Refusal::Malformed)?;
+    let head = parse_request_head(&parts.method, &parts.uri, &parts.headers)
+        .map_err(|_| Refusal::Malformed)?;
     router.wait_for_view().await;
     let table = router.table.load_full();
     let Some(table) = table.as_ref() else {
         return Err(Refusal::NoConfiguration);
     };
     let (route, organisation) = admit(table, &head)?;
-    if !router.takes(&route) {
+    if !router.accepts(&route) {
         let retry_after = router.leaving_retry_after(connected_at);
         return Err(Refusal::Leaving { retry_after });
     }
     let body = read_body(body, &table.limits.unwrap_or(DEFAULT_LIMITS)).await?;
-    let wait = head.patience.unwrap_or(route.timeout).min(route.timeout);
+    let wait = head.caller_timeout.unwrap_or(route.timeout).min(route.timeout);
     let service = choose_service(&route, &head);
     router.note_request(&service);
     let req = Request { head, body };
-    let job = Job::new(req, route, service, organisation, wait, in_flight);
-    relay::answer(router, job).await
+    let ctx = RequestContext::new(req, route, service, organisation, wait, in_flight);
+    relay::respond(router, ctx).await
 }
 
 /// The request's route and Organisation, if the configuration allows it.
@@ -104,11 +106,11 @@
     head: &RequestHead,
 ) -> Result<(Arc<Route>, Option<Arc<Organisation>>), Refusal> {
     let route = table.route(&head.host, head.uri.path()).ok_or(Refusal::NoRoute)?;
-    let holder = |keys: &std::collections::HashMap<Box<str>, Arc<Organisation>>| {
-        head.key.as_ref().and_then(|key| keys.get(key)).cloned()
+    let find_organisation = |keys: &std::collections::HashMap<Box<str>, Arc<Organisation>>| {
+        head.api_key.as_ref().and_then(|key| keys.get(key)).cloned()
     };
-    let organisation = table.keys.as_ref().and_then(holder);
-    if table.keys.is_some() && !route.is_public && organisation.is_none() {
+    let organisation = table.organisations_by_key.as_ref().and_then(find_organisation);
+    if table.organisations_by_key.is_some() && !route.is_public && organisation.is_none() {
         return Err(Refusal::UnknownKey);
     }
     Ok((route.clone(), organisation))
@@ -118,16 +120,16 @@
     let read = Limited::new(body, limits.body_bytes).collect();
     match timeout(limits.idle_timeout, read).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Err(Refusal::TooLarge),
+        Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Err(Refusal::BodyTooLarge),
         Ok(Err(_)) => Err(Refusal::Malformed),
-        Err(_) => Err(Refusal::SlowBody),
+        Err(_) => Err(Refusal::BodyTimeout),
     }
 }
 
 /// The service that runs a request: by weight, the same one for a whole session.
 fn choose_service(route: &Route, head: &RequestHead) -> Box<str> {
     let all: f64 = route.targets.iter().map(|target| target.weight).sum();
-    let mut left = draw(head.session_key(), &route.name) * all;
+    let mut left = hash_fraction(head.session_key(), &route.name) * all;
     for target in &route.targets {
         left -= target.weight;
         if left < 0.0 {
--- a/src/router/limit_board.rs
+++ b/src/router/shared_limits.rs
@@ -49,7 +49,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Known {
+struct ServerLimit {
     belief: KnownLimit,
     /// Number of the last news.
     number: u64,
@@ -59,7 +59,7 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    servers: HashMap<IncarnationHash, Known>,
+    servers: HashMap<IncarnationHash, ServerLimit>,
     /// Number of the next news.
     next: u64,
 }
@@ -72,7 +72,7 @@
 
 /// A change of what is known of a server's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Changed {
+pub(crate) struct RateChange {
     pub(crate) life: IncarnationHash,
     pub(crate) before: Option<Rate>,
     pub(crate) rate: Option<Rate>,
@@ -80,7 +80,7 @@
 
 /// The limits that an entry knows of.
 #[derive(Debug)]
-pub(crate) struct LimitBoard {
+pub(crate) struct SharedLimits {
     inner: Mutex<Inner>,
     /// Servers that advertise a limit now; while there are none, no send locks anything.
     rate_limited: AtomicUsize,
@@ -90,7 +90,7 @@
     own_urgent: watch::Sender<u64>,
 }
 
-impl Default for LimitBoard {
+impl Default for SharedLimits {
     fn default() -> Self {
         Self {
             inner: Mutex::default(),
@@ -101,7 +101,7 @@
     }
 }
 
-impl LimitBoard {
+impl SharedLimits {
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().expect("no panics under the lock")
     }
@@ -117,45 +117,45 @@
     }
 
     /// Notifies of each change that others have to know at once, from now on.
-    pub(crate) fn urgent(&self) -> watch::Receiver<u64> {
+    pub(crate) fn urgent_changes(&self) -> watch::Receiver<u64> {
         self.urgent.subscribe()
     }
 
     /// The same of those that this entry received from a server itself.
-    pub(crate) fn own_urgent(&self) -> watch::Receiver<u64> {
+    pub(crate) fn own_urgent_changes(&self) -> watch::Receiver<u64> {
         self.own_urgent.subscribe()
     }
 
     /// Takes in what a server's answer says to a request that was sent at `sent_at`; what changed by it.
-    pub(crate) fn note(
+    pub(crate) fn record_answer(
         &self,
         life: IncarnationHash,
         said: AdvertisedLimit,
         sent_at: Duration,
         now: Duration,
-    ) -> Option<Changed> {
+    ) -> Option<RateChange> {
         if self.rate_limited() == 0 && !matches!(said, AdvertisedLimit::Rate(_)) {
             return None;
         }
-        self.change(life, true, |belief| belief.note(said, sent_at, now))
+        self.update(life, true, |belief| belief.note(said, sent_at, now))
     }
 
     /// Takes in what another entry reports; what changed by it.
-    pub(crate) fn take_update(&self, reported: &[LimitUpdate], now: Duration) -> Vec<Changed> {
+    pub(crate) fn apply_updates(&self, reported: &[LimitUpdate], now: Duration) -> Vec<RateChange> {
         let take = |reported: &LimitUpdate| {
             let (life, news) = reported.read();
-            self.change(life, false, |belief| belief.take_update(news, now))
+            self.update(life, false, |belief| belief.take_update(news, now))
         };
         reported.iter().filter_map(take).collect()
     }
 
     /// Lets a belief change, and makes it known if it did.
-    fn change(
+    fn update(
         &self,
         life: IncarnationHash,
         is_own: bool,
         take_in: impl FnOnce(&mut KnownLimit) -> Option<LimitChange>,
-    ) -> Option<Changed> {
+    ) -> Option<RateChange> {
         let mut inner = self.lock();
         let mut known = inner.servers.get(&life).copied().unwrap_or_default();
         let before = known.belief.rate();
@@ -179,22 +179,26 @@
                 self.own_urgent.send_modify(|changes| *changes += 1);
             }
         }
-        (before != rate).then_some(Changed { life, before, rate })
+        (before != rate).then_some(RateChange { life, before, rate })
     }
 
     /// News from a number on that this entry received from servers itself, and the number to go on with. A reader
     /// that begins, with none, gets all that is known.
-    pub(crate) fn own_from(&self, number: Option<u64>) -> (Vec<LimitUpdate>, u64) {
+    pub(crate) fn own_since(&self, number: Option<u64>) -> (Vec<LimitUpdate>, u64) {
         let is_all = number.is_none();
-        self.from(number.unwrap_or_default(), |known| is_all || known.is_own)
+        self.since(number.unwrap_or_default(), |known| is_all || known.is_own)
     }
 
     /// The same of what it received from servers or from other entries.
-    pub(crate) fn all_from(&self, number: u64) -> (Vec<LimitUpdate>, u64) {
-        self.from(number, |_| true)
+    pub(crate) fn all_since(&self, number: u64) -> (Vec<LimitUpdate>, u64) {
+        self.since(number, |_| true)
     }
 
-    fn from(&self, number: u64, is_reported: impl Fn(&Known) -> bool) -> (Vec<LimitUpdate>, u64) {
+    fn since(
+        &self,
+        number: u64,
+        is_reported: impl Fn(&ServerLimit) -> bool,
+    ) -> (Vec<LimitUpdate>, u64) {
         let inner = self.lock();
         if number >= inner.next {
             return (Vec::new(), inner.next);
@@ -204,7 +208,7 @@
         news.sort_unstable_by_key(|(_, known)| known.number);
         let next = news.get(MOST_REPORTED).map_or(inner.next, |(_, known)| known.number);
         news.truncate(MOST_REPORTED);
-        let reported = |(life, known): (&IncarnationHash, &Known)| {
+        let reported = |(life, known): (&IncarnationHash, &ServerLimit)| {
             Some(LimitUpdate::new(*life, known.belief.report()?))
         };
         (news.into_iter().filter_map(reported).collect(), next)
@@ -213,8 +217,8 @@
     /// Part of the state dump.
     pub(crate) fn dump(&self, fleet: &Fleet, now: Duration) -> Value {
         let inner = self.lock();
-        let one = |(life, known): (&IncarnationHash, &Known)| {
-            let member = fleet.by_life(*life)?;
+        let one = |(life, known): (&IncarnationHash, &ServerLimit)| {
+            let member = fleet.by_incarnation(*life)?;
             let received_ms = now.saturating_sub(known.belief.received_at()).as_millis() as u64;
             Some(json!({
                 "server": member.server.id,
@@ -227,9 +231,9 @@
     }
 
     /// Forgets servers that are long out of view.
-    pub(crate) fn forget_gone(&self, fleet: &Fleet, now: Duration) {
-        let is_kept = |life: &IncarnationHash, known: &mut Known| {
-            fleet.by_life(*life).is_some() || now < known.belief.received_at() + REMEMBERED
+    pub(crate) fn forget_departed(&self, fleet: &Fleet, now: Duration) {
+        let is_kept = |life: &IncarnationHash, known: &mut ServerLimit| {
+            fleet.by_incarnation(*life).is_some() || now < known.belief.received_at() + REMEMBERED
         };
         let mut inner = self.lock();
         inner.servers.retain(is_kept);
--- a/src/router/readings.rs
+++ b/src/router/speed_estimates.rs
@@ -6,37 +6,37 @@
     time::Duration,
 };
 
-use crate::policy::reading::ReadingBelief;
+use crate::policy::timing::TimingEstimate;
 
 /// Beliefs by model, or by service where there is no model.
 #[derive(Debug, Default)]
-pub(crate) struct Readings {
-    by_key: Mutex<HashMap<Box<str>, ReadingBelief>>,
+pub(crate) struct SpeedEstimates {
+    by_key: Mutex<HashMap<Box<str>, TimingEstimate>>,
 }
 
-impl Readings {
-    fn lock(&self) -> MutexGuard<'_, HashMap<Box<str>, ReadingBelief>> {
+impl SpeedEstimates {
+    fn lock(&self) -> MutexGuard<'_, HashMap<Box<str>, TimingEstimate>> {
         self.by_key.lock().expect("no panics under the lock")
     }
 
     /// What was learned so far.
-    pub(crate) fn get(&self, key: &str) -> ReadingBelief {
+    pub(crate) fn get(&self, key: &str) -> TimingEstimate {
         self.lock().get(key).copied().unwrap_or_default()
     }
 
     /// Learns from the time to an answer's head.
-    pub(crate) fn note_head_time(
+    pub(crate) fn record_head_time(
         &self,
         key: &str,
         unread_tokens: u64,
         ahead: Duration,
         took: Duration,
     ) {
-        self.lock().entry(key.into()).or_default().note(unread_tokens, ahead, took);
+        self.lock().entry(key.into()).or_default().record_head(unread_tokens, ahead, took);
     }
 
     /// Learns from a stream's mean time between two events.
-    pub(crate) fn note_pace(&self, key: &str, pace: Duration) {
-        self.lock().entry(key.into()).or_default().note_pace(pace);
+    pub(crate) fn record_pace(&self, key: &str, pace: Duration) {
+        self.lock().entry(key.into()).or_default().record_event_interval(pace);
     }
 }
--- a/src/router/stages.rs
+++ b/src/router/stages.rs
@@ -3,93 +3,98 @@
 use std::sync::Arc;
 
 use crate::{
-    policy::escalation::{StageAnswer, escalate, time_to_begin},
+    policy::escalation::{StageAnswer, escalate, escalation_timeout},
     router::{
         Router,
-        attempt::OpenAnswer,
-        choice::estimate,
-        dispatch::next_answer,
-        job::{Ask, Job},
+        attempt::OpenResponse,
+        dispatch::send_until_answered,
         refusal::Refusal,
+        request_context::{AttemptParams, RequestContext},
+        selection::estimate_latency,
     },
-    routing::AnswerKind,
+    routing::ResponseKind,
     telemetry::event,
 };
 
 /// An answer, and the model of the cascade that gave it.
 #[derive(Debug)]
-pub(crate) struct StageEnd {
-    pub(crate) answer: OpenAnswer,
+pub(crate) struct StageResponse {
+    pub(crate) response: OpenResponse,
     /// None where the caller named the model, or there is none.
     pub(crate) model: Option<Box<str>>,
 }
 
 /// The first answer of a cascade that is good enough. An earlier stage's answer is kept until the larger model has begun, and passed on where that does not come in time.
-pub(crate) async fn answer(router: &Arc<Router>, job: &mut Job) -> Result<StageEnd, Refusal> {
-    let cascade = job.route.cascade.clone();
+pub(crate) async fn run_cascade(
+    router: &Arc<Router>,
+    ctx: &mut RequestContext,
+) -> Result<StageResponse, Refusal> {
+    let cascade = ctx.route.cascade.clone();
     let mut stage = 0;
-    let mut in_hand: Option<StageEnd> = None;
+    let mut fallback: Option<StageResponse> = None;
     loop {
-        let model = cascade.get(stage).filter(|_| job.req.head.model.is_none()).cloned();
-        let ask = Ask { model: model.as_deref(), last_event: job.req.head.last_event };
-        let next = next_answer(router, job, ask).await;
-        job.begin_by = None;
-        let has_begun = matches!(&next, Ok(answer) if answer.head.kind == AnswerKind::Success);
-        if let Some(earlier) = in_hand.take().filter(|_| !has_begun) {
-            note_kept(router, job, &earlier);
+        let model = cascade.get(stage).filter(|_| ctx.req.head.model.is_none()).cloned();
+        let params =
+            AttemptParams { model: model.as_deref(), last_event: ctx.req.head.last_event_id };
+        let next = send_until_answered(router, ctx, params).await;
+        ctx.head_deadline = None;
+        let has_begun =
+            matches!(&next, Ok(response) if response.head.kind == ResponseKind::Success);
+        if let Some(earlier) = fallback.take().filter(|_| !has_begun) {
+            log_fallback(router, ctx, &earlier);
             return Ok(earlier);
         }
-        let answer = next?;
-        let known = what_is_known(router, job, ask, stage, &answer);
+        let response = next?;
+        let known = escalation_input(router, ctx, params, stage, &response);
         let next = escalate(&known, &router.policy.escalation);
-        let Some(next) = next.filter(|_| router.may_repeat(&job.service)) else {
+        let Some(next) = next.filter(|_| router.has_retry_left(&ctx.service)) else {
             router.metrics.count_stage(model.as_deref().unwrap_or("-"), "passed");
-            return Ok(StageEnd { answer, model });
+            return Ok(StageResponse { response, model });
         };
         router.metrics.count_stage(model.as_deref().unwrap_or("-"), "escalated");
-        job.begin_by = Some(router.now() + time_to_begin(&known));
-        in_hand = Some(StageEnd { answer, model });
+        ctx.head_deadline = Some(router.now() + escalation_timeout(&known));
+        fallback = Some(StageResponse { response, model });
         stage = next;
     }
 }
 
 /// What decides whether the answer of a stage is passed on.
-fn what_is_known(
+fn escalation_input(
     router: &Router,
-    job: &Job,
-    ask: Ask<'_>,
+    ctx: &RequestContext,
+    params: AttemptParams<'_>,
     stage: usize,
-    answer: &OpenAnswer,
+    response: &OpenResponse,
 ) -> StageAnswer {
-    let cascade = &job.route.cascade;
-    let largest = Ask { model: cascade.last().map(|model| &**model), ..ask };
-    let largest = estimate(router, job, largest);
+    let cascade = &ctx.route.cascade;
+    let largest = AttemptParams { model: cascade.last().map(|model| &**model), ..params };
+    let largest = estimate_latency(router, ctx, largest);
     StageAnswer {
         stage,
-        stages: if ask.model.is_some() { cascade.len() } else { 0 },
-        confidence: answer.head.confidence,
-        runs_left: job.runs_left(),
-        time_left: job.time_left(router),
-        objective: job.route.objective,
-        expected: largest.head,
-        expected_alone: largest.head_alone,
-        elapsed: router.now().saturating_sub(job.arrived),
-        priority: job.priority(),
+        stages: if params.model.is_some() { cascade.len() } else { 0 },
+        confidence: response.head.confidence,
+        attempts_left: ctx.runs_left(),
+        time_left: ctx.time_left(router),
+        objective: ctx.route.objective,
+        expected_first_event: largest.time_to_head,
+        expected_idle_first_event: largest.unloaded_time_to_head,
+        elapsed: router.now().saturating_sub(ctx.arrived_at),
+        priority: ctx.priority(),
     }
 }
 
 /// Logs an answer that is passed on because the larger model gave none in time.
-fn note_kept(router: &Router, job: &Job, earlier: &StageEnd) {
-    let StageEnd { answer, model } = earlier;
+fn log_fallback(router: &Router, ctx: &RequestContext, earlier: &StageResponse) {
+    let StageResponse { response, model } = earlier;
     let model = model.as_deref().unwrap_or("-");
     router.metrics.count_stage(model, "kept");
     event::EARLIER_ANSWER_KEPT.log(format_args!(
         "request={} route={} server={} model={model} confidence={:?} runs={} after_ms={}",
-        job.req.head.id,
-        job.route.name,
-        answer.member.server.id,
-        answer.head.confidence,
-        job.runs,
-        router.now().saturating_sub(job.arrived).as_millis()
+        ctx.req.head.id,
+        ctx.route.name,
+        response.member.server.id,
+        response.head.confidence,
+        ctx.runs,
+        router.now().saturating_sub(ctx.arrived_at).as_millis()
     ));
 }
--- a/src/router/views.rs
+++ b/src/router/table_views.rs
@@ -11,21 +11,21 @@
 use crate::{
     ids::{Era, StoreVersion},
     platform::store::{Row, Rows, Table},
-    router::packed_rows::PackedUpdate,
+    router::compressed_rows::CompressedUpdate,
 };
 
 /// Updates kept for a subscriber that reads slowly; one further behind has to begin anew.
 const MOST_BEHIND: usize = 64;
 
-impl Seen {
+impl TableView {
     /// All rows, packed once for all that begin to follow before something changes.
-    fn packed(&mut self, table: Table) -> PackedUpdate {
+    fn packed(&mut self, table: Table) -> CompressedUpdate {
         let Self { version, store_now, rows, packed, is_amended, .. } = self;
         let pack = || {
             let rows = rows.values().cloned().collect();
             let (version, store_now, is_amended) = (*version, *store_now, *is_amended);
             let is_whole = true;
-            PackedUpdate::pack(&TableUpdate {
+            CompressedUpdate::pack(&TableUpdate {
                 table,
                 version,
                 store_now,
@@ -61,28 +61,28 @@
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct TableView {
     version: StoreVersion,
     /// Whether it has rows that the store lost, until all rows are read again.
     is_amended: bool,
     store_now: Duration,
     rows: BTreeMap<Box<str>, Row>,
     /// All rows packed, until something changes.
-    packed: Option<PackedUpdate>,
+    packed: Option<CompressedUpdate>,
     answered_at: Duration,
     is_lost: bool,
 }
 
 /// What was last seen of each table.
 #[derive(Debug)]
-pub(crate) struct Views {
-    seen: Mutex<HashMap<Table, Seen>>,
-    updates: broadcast::Sender<PackedUpdate>,
+pub(crate) struct TableViews {
+    seen: Mutex<HashMap<Table, TableView>>,
+    updates: broadcast::Sender<CompressedUpdate>,
     /// When an entry that is followed last spoke.
     received_at: Mutex<Duration>,
 }
 
-impl Default for Views {
+impl Default for TableViews {
     fn default() -> Self {
         Self {
             seen: Mutex::default(),
@@ -92,14 +92,20 @@
     }
 }
 
-impl Views {
+impl TableViews {
     /// Takes in what the store or another entry said of a table, and informs the subscribers.
-    pub(crate) fn note(&self, table: Table, rows: &Rows, is_whole: bool) {
-        self.note_amended(table, rows, is_whole, false);
+    pub(crate) fn update(&self, table: Table, rows: &Rows, is_whole: bool) {
+        self.update_amended(table, rows, is_whole, false);
     }
 
     /// The same of rows some of which the store may have lost.
-    pub(crate) fn note_amended(&self, table: Table, rows: &Rows, is_whole: bool, is_amended: bool) {
+    pub(crate) fn update_amended(
+        &self,
+        table: Table,
+        rows: &Rows,
+        is_whole: bool,
+        is_amended: bool,
+    ) {
         let mut all = self.seen.lock().expect("no panics under the lock");
         let seen = all.entry(table).or_default();
         seen.version = rows.version;
@@ -130,7 +136,7 @@
         };
         // Under the lock, so that a subscriber's first view and its updates fit together. An error
         // only says that there are no subscribers any more.
-        let _ = self.updates.send(PackedUpdate::pack(&update));
+        let _ = self.updates.send(CompressedUpdate::pack(&update));
     }
 
     /// All rows of the tables of which something newer than this has been seen, and what comes
@@ -139,9 +145,9 @@
     pub(crate) fn subscribe(
         &self,
         version: StoreVersion,
-    ) -> (Vec<PackedUpdate>, broadcast::Receiver<PackedUpdate>) {
+    ) -> (Vec<CompressedUpdate>, broadcast::Receiver<CompressedUpdate>) {
         let mut all = self.seen.lock().expect("no panics under the lock");
-        let is_wanted = |(table, seen): &(&Table, &mut Seen)| {
+        let is_wanted = |(table, seen): &(&Table, &mut TableView)| {
             let is_short = matches!(table, Table::Own | Table::Status);
             is_short || seen.is_amended || seen.version > version
         };
@@ -156,7 +162,7 @@
     }
 
     /// Notes that the store answered about a table.
-    pub(crate) fn note_answer(&self, table: Table, now: Duration) {
+    pub(crate) fn record_answer(&self, table: Table, now: Duration) {
         let mut seen = self.seen.lock().expect("no panics under the lock");
         let seen = seen.entry(table).or_default();
         seen.answered_at = now;
@@ -164,30 +170,30 @@
     }
 
     /// Notes that the store gave no answer about a table.
-    pub(crate) fn note_lost(&self, table: Table) {
+    pub(crate) fn record_failure(&self, table: Table) {
         let mut seen = self.seen.lock().expect("no panics under the lock");
         seen.entry(table).or_default().is_lost = true;
     }
 
     /// Whether the store last gave no answer about some table.
-    pub(crate) fn is_cut_off(&self) -> bool {
+    pub(crate) fn is_store_lost(&self) -> bool {
         let seen = self.seen.lock().expect("no panics under the lock");
         seen.values().any(|seen| seen.is_lost)
     }
 
     /// Notes that an entry that is followed spoke.
-    pub(crate) fn note_received(&self, now: Duration) {
+    pub(crate) fn record_peer_message(&self, now: Duration) {
         *self.received_at.lock().expect("no panics under the lock") = now;
     }
 
     /// When an entry that is followed last spoke.
-    pub(crate) fn received_at(&self) -> Duration {
+    pub(crate) fn peer_message_at(&self) -> Duration {
         *self.received_at.lock().expect("no panics under the lock")
     }
 
     /// When the store last answered about every table that is followed, or another entry spoke.
     pub(crate) fn answered_at(&self) -> Duration {
-        self.applied_at().max(self.received_at())
+        self.applied_at().max(self.peer_message_at())
     }
 
     /// Until when all that was said of every table that is followed has been taken in.
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -4,16 +4,16 @@
 
 use mintmoor::{
     policy::{
-        escalation::{EscalationTerms, StageAnswer, escalate, threshold, time_to_begin},
-        exposure::{ExposureTerms, request_share_at, session_share_at, takes_new},
+        answer_timeout::{event_timeouts, head_timeouts},
+        escalation::{EscalationConfig, StageAnswer, escalate, escalation_timeout, threshold},
+        exposure::{ExposureConfig, is_in_share, request_share, session_share},
         failure_rate::FailureRate,
-        kept::{KeptParts, PromptMark, shared_marks},
-        load::{LoadBelief, ReportedLoad},
-        patience::{event_patience, head_patience},
-        placement::{Candidate, PlacementTerms, Work, hash_id, place},
-        reading::ReadingBelief,
+        load::{LoadEstimate, ReportedLoad},
+        placement::{Candidate, PlacementConfig, PlacementRequest, hash_id, place},
+        prefix_cache::{CachedPrefixes, PromptPrefix, shared_prefixes},
         roll_out::{Evidence, Finding, VersionTest},
-        stopping::still_fits,
+        shutdown::can_finish,
+        timing::TimingEstimate,
         windowed_retry_budget::{RetryLimits, WindowedRetryBudget},
     },
     resources::Guard,
@@ -24,15 +24,15 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-fn candidate(id: &str, is_near: bool) -> Candidate {
+fn candidate(id: &str, is_same_zone: bool) -> Candidate {
     Candidate {
         id_hash: hash_id(id),
         load: 0.0,
         slots: 32,
         backlog: Duration::ZERO,
-        kept_tokens: 0,
+        cached_tokens: 0,
         failure_rate: 0.0,
-        is_near,
+        is_same_zone,
     }
 }
 
@@ -42,18 +42,18 @@
 }
 
 /// Work for the largest model, which reads slowly.
-fn work(affinity: u64, shared_tokens: u64) -> Work {
-    Work {
+fn work(affinity: u64, shared_tokens: u64) -> PlacementRequest {
+    PlacementRequest {
         affinity: Some(affinity),
         shared_tokens,
-        token_time: Duration::from_micros(27),
+        prefill_token_time: Duration::from_micros(27),
         bytes: 1_024,
-        draw: 0,
+        request_hash: 0,
     }
 }
 
-fn chosen(candidates: &[Candidate], work: &Work) -> Option<usize> {
-    place(candidates, work, &PlacementTerms::default())
+fn chosen(candidates: &[Candidate], work: &PlacementRequest) -> Option<usize> {
+    place(candidates, work, &PlacementConfig::default())
 }
 
 /// News of the load is old; the server that was free then would get all that comes meanwhile.
@@ -61,11 +61,14 @@
 fn requests_that_come_at_once_are_spread_over_servers_as_free_as_each_other() {
     let mut servers: Vec<Candidate> = (0..40).map(|i| candidate(&format!("i-{i}"), true)).collect();
     servers.iter_mut().skip(1).for_each(|c| c.load = 4.0);
-    let terms = PlacementTerms::default();
+    let terms = PlacementConfig::default();
     let mut sent = [0; 40];
 
     for draw in 0..4_000 {
-        let work = Work { draw: hash_id(&draw.to_string()), ..Work::default() };
+        let work = PlacementRequest {
+            request_hash: hash_id(&draw.to_string()),
+            ..PlacementRequest::default()
+        };
         sent[place(&servers, &work, &terms).unwrap()] += 1;
     }
 
@@ -76,10 +79,10 @@
 
 #[test]
 fn a_server_that_keeps_the_parts_is_weighed_wherever_its_hash_is() {
-    let terms = PlacementTerms { choices: 1, ..PlacementTerms::default() };
+    let terms = PlacementConfig { choices: 1, ..PlacementConfig::default() };
     for keeper in 0..6 {
         let mut servers = pool();
-        servers[keeper].kept_tokens = 20_000;
+        servers[keeper].cached_tokens = 20_000;
 
         assert_eq!(place(&servers, &work(7, 20_000), &terms), Some(keeper));
     }
@@ -90,7 +93,7 @@
     for key in 0..50 {
         let here = pool();
         let mut there = pool();
-        there.iter_mut().for_each(|c| c.is_near = !c.is_near);
+        there.iter_mut().for_each(|c| c.is_same_zone = !c.is_same_zone);
 
         assert_eq!(chosen(&here, &work(key, 5_000)), chosen(&there, &work(key, 5_000)));
     }
@@ -108,49 +111,50 @@
 #[test]
 fn a_model_that_reads_fast_keeps_long_parts_in_each_zone() {
     for key in 0..50 {
-        let fast = Work { token_time: Duration::from_micros(3), ..work(key, 5_000) };
+        let fast =
+            PlacementRequest { prefill_token_time: Duration::from_micros(3), ..work(key, 5_000) };
         assert!(chosen(&pool(), &fast).unwrap() < 3);
     }
 }
 
-fn marks(ids: &[u64]) -> Vec<PromptMark> {
+fn marks(ids: &[u64]) -> Vec<PromptPrefix> {
     let part = |id: &u64| PromptPart { id: *id, tokens: 1_000 };
     let own = PromptPart { id: 99, tokens: 10 };
     let parts: Vec<_> = ids.iter().map(part).chain([own]).collect();
-    shared_marks("large", &parts)
+    shared_prefixes("large", &parts)
 }
 
 #[test]
 fn parts_are_kept_behind_the_same_parts_only() {
-    let mut kept = KeptParts::default();
-    kept.note_sent(&marks(&[1, 2]), 2_010);
+    let mut kept = CachedPrefixes::default();
+    kept.record_sent(&marks(&[1, 2]), 2_010);
 
-    assert_eq!(kept.kept_tokens(&marks(&[1, 2, 3])), 2_000);
-    assert_eq!(kept.kept_tokens(&marks(&[1, 3])), 1_000);
-    assert_eq!(kept.kept_tokens(&marks(&[2])), 0);
+    assert_eq!(kept.cached_tokens(&marks(&[1, 2, 3])), 2_000);
+    assert_eq!(kept.cached_tokens(&marks(&[1, 3])), 1_000);
+    assert_eq!(kept.cached_tokens(&marks(&[2])), 0);
 }
 
 #[test]
 fn a_part_is_gone_once_the_server_has_read_enough_since() {
-    let mut kept = KeptParts::default();
-    kept.set_memory(400_000);
-    kept.note_sent(&marks(&[1]), 1_010);
-    kept.note_sent(&marks(&[2]), 230_000);
-    assert_eq!(kept.kept_tokens(&marks(&[1])), 1_000);
+    let mut kept = CachedPrefixes::default();
+    kept.set_capacity(400_000);
+    kept.record_sent(&marks(&[1]), 1_010);
+    kept.record_sent(&marks(&[2]), 230_000);
+    assert_eq!(kept.cached_tokens(&marks(&[1])), 1_000);
 
-    kept.note_sent(&marks(&[3]), 10_000);
+    kept.record_sent(&marks(&[3]), 10_000);
 
-    assert_eq!(kept.kept_tokens(&marks(&[1])), 0);
-    assert_eq!(kept.kept_tokens(&marks(&[2])), 1_000);
+    assert_eq!(kept.cached_tokens(&marks(&[1])), 0);
+    assert_eq!(kept.cached_tokens(&marks(&[2])), 1_000);
 }
 
 #[test]
 fn other_entries_are_told_of_a_part_once_and_again_after_a_while() {
-    let mut kept = KeptParts::default();
+    let mut kept = CachedPrefixes::default();
     let parts = marks(&[1]);
     let mut tell_at = |now: Duration| {
-        kept.note_sent(&parts, 10);
-        kept.to_report(&parts, now)
+        kept.record_sent(&parts, 10);
+        kept.take_report(&parts, now)
     };
 
     assert_eq!(tell_at(MS), Some(parts[0]));
@@ -160,31 +164,31 @@
 
 #[test]
 fn a_note_of_the_last_part_stands_for_all_before_it_and_short_ones_are_not_told() {
-    let (mut sender, mut told) = (KeptParts::default(), KeptParts::default());
+    let (mut sender, mut told) = (CachedPrefixes::default(), CachedPrefixes::default());
     let long = marks(&[1, 2]);
-    let short = [PromptMark { hash: 7, tokens: 500 }];
-    sender.note_sent(&long, 2_010);
-    sender.note_sent(&short, 510);
+    let short = [PromptPrefix { hash: 7, tokens: 500 }];
+    sender.record_sent(&long, 2_010);
+    sender.record_sent(&short, 510);
 
-    let note = sender.to_report(&long, MS).unwrap();
-    told.note_reported(note.hash, note.tokens);
+    let note = sender.take_report(&long, MS).unwrap();
+    told.record_peer_report(note.hash, note.tokens);
 
     assert_eq!(note.tokens, 2_000);
-    assert_eq!(told.kept_tokens(&long), 2_000);
-    assert_eq!(told.kept_tokens(&marks(&[1, 2, 3])), 2_000);
-    assert_eq!(sender.to_report(&short, MS), None);
+    assert_eq!(told.cached_tokens(&long), 2_000);
+    assert_eq!(told.cached_tokens(&marks(&[1, 2, 3])), 2_000);
+    assert_eq!(sender.take_report(&short, MS), None);
 }
 
 #[test]
 fn the_record_of_a_server_is_bounded() {
-    let mut kept = KeptParts::default();
+    let mut kept = CachedPrefixes::default();
 
     for id in 0..10_000 {
-        kept.note_reported(id, 100);
+        kept.record_peer_report(id, 100);
     }
 
     assert!(kept.len() <= 512);
-    assert_eq!(kept.kept_tokens(&[PromptMark { hash: 9_999, tokens: 100 }]), 100);
+    assert_eq!(kept.cached_tokens(&[PromptPrefix { hash: 9_999, tokens: 100 }]), 100);
 }
 
 #[test]
@@ -192,7 +196,7 @@
     let mut pool = pool();
     let home = chosen(&pool, &work(7, 5_000)).unwrap();
     let other = (home + 1) % pool.len();
-    pool[other].kept_tokens = 5_000;
+    pool[other].cached_tokens = 5_000;
     assert_eq!(chosen(&pool, &work(7, 5_000)), Some(other));
 
     pool[other].backlog = Duration::from_secs(2);
@@ -210,8 +214,8 @@
 
 #[test]
 fn nothing_is_chosen_where_there_is_no_server() {
-    assert!(chosen(&pool(), &Work::default()).is_some());
-    assert_eq!(chosen(&[], &Work::default()), None);
+    assert!(chosen(&pool(), &PlacementRequest::default()).is_some());
+    assert_eq!(chosen(&[], &PlacementRequest::default()), None);
 }
 
 #[test]
@@ -236,32 +240,35 @@
     let mut pool = pool();
     pool[..3].iter_mut().for_each(|c| c.load = 40.0);
 
-    assert!(chosen(&pool, &Work::default()).unwrap() >= 3);
+    assert!(chosen(&pool, &PlacementRequest::default()).unwrap() >= 3);
 }
 
 #[test]
 fn a_report_fades_and_own_requests_do_not() {
-    let mut belief = LoadBelief::default();
-    belief.own = 2;
-    belief.note_report(ReportedLoad { running: 9, waiting: 1, slots: 32 }, MS);
+    let mut belief = LoadEstimate::default();
+    belief.own_requests = 2;
+    belief.record_report(ReportedLoad { running: 9, waiting: 1, slots: 32 }, MS);
 
-    assert!((belief.estimate(MS) - 10.0).abs() < 1e-9);
-    let later = belief.estimate(Duration::from_secs(30));
+    assert!((belief.estimated_requests(MS) - 10.0).abs() < 1e-9);
+    let later = belief.estimated_requests(Duration::from_secs(30));
     assert!((2.0..2.01).contains(&later));
 }
 
 #[test]
 fn what_others_have_at_a_server_counts_until_it_is_read() {
-    let mut belief = LoadBelief::default();
-    belief.own = 1;
-    belief.note_others(7, Duration::from_millis(200), MS);
+    let mut belief = LoadEstimate::default();
+    belief.own_requests = 1;
+    belief.record_peer_load(7, Duration::from_millis(200), MS);
 
-    assert!((belief.estimate(MS) - 8.0).abs() < 1e-9);
-    assert_eq!(belief.others_backlog(MS * 51), Duration::from_millis(150));
-    assert_eq!(belief.others_backlog(MS * 2_000), Duration::ZERO);
-    belief.note_others(7, Duration::from_secs(9), MS);
-    assert_eq!(belief.others_backlog(MS), Duration::from_secs(9));
-    assert!(belief.others_backlog_for_choice(MS) < Duration::from_secs(1), "bounded in the choice");
+    assert!((belief.estimated_requests(MS) - 8.0).abs() < 1e-9);
+    assert_eq!(belief.peer_backlog(MS * 51), Duration::from_millis(150));
+    assert_eq!(belief.peer_backlog(MS * 2_000), Duration::ZERO);
+    belief.record_peer_load(7, Duration::from_secs(9), MS);
+    assert_eq!(belief.peer_backlog(MS), Duration::from_secs(9));
+    assert!(
+        belief.peer_backlog_for_placement(MS) < Duration::from_secs(1),
+        "bounded in the choice"
+    );
 }
 
 /// What all entries together may send beyond the ratio, and how many they are.
@@ -328,31 +335,31 @@
     fn a_session_never_moves_back(session in "[a-z0-9]{1,12}", a in 0u64..30_000, b in 0u64..30_000) {
         let within = Duration::from_secs(24);
         let (early, late) = (Duration::from_millis(a.min(b)), Duration::from_millis(a.max(b)));
-        let share = |at| session_share_at(at, within, &ExposureTerms::default());
-        let on_new = |at| takes_new(&session, "v2", share(at));
+        let share = |at| session_share(at, within, &ExposureConfig::default());
+        let on_new = |at| is_in_share(&session, "v2", share(at));
         prop_assert!(!on_new(early) || on_new(late));
     }
 }
 
 #[test]
 fn no_session_is_on_trial_in_the_first_half() {
-    let terms = ExposureTerms::default();
+    let terms = ExposureConfig::default();
     let within = Duration::from_secs(20);
 
-    assert_eq!(session_share_at(Duration::ZERO, within, &terms), 0.0);
-    assert_eq!(session_share_at(within / 2 + MS, within, &terms), 0.0);
-    assert!(session_share_at(within * 6 / 10, within, &terms) > 0.0);
-    assert!((session_share_at(within, within, &terms) - 1.0).abs() < 1e-9);
+    assert_eq!(session_share(Duration::ZERO, within, &terms), 0.0);
+    assert_eq!(session_share(within / 2 + MS, within, &terms), 0.0);
+    assert!(session_share(within * 6 / 10, within, &terms) > 0.0);
+    assert!((session_share(within, within, &terms) - 1.0).abs() < 1e-9);
 }
 
 #[test]
 fn the_share_of_requests_without_a_session_is_small_until_it_grows() {
-    let terms = ExposureTerms::default();
+    let terms = ExposureConfig::default();
     let within = Duration::from_secs(20);
 
-    assert!(request_share_at(Duration::ZERO, within, &terms) > 0.0);
-    assert!(request_share_at(within / 2, within, &terms) < 0.15);
-    assert!((request_share_at(within, within, &terms) - 1.0).abs() < 1e-9);
+    assert!(request_share(Duration::ZERO, within, &terms) > 0.0);
+    assert!(request_share(within / 2, within, &terms) < 0.15);
+    assert!((request_share(within, within, &terms) - 1.0).abs() < 1e-9);
 }
 
 fn answer(confidence: u8) -> StageAnswer {
@@ -360,11 +367,11 @@
         stage: 0,
         stages: 3,
         confidence: Some(confidence),
-        runs_left: 2,
+        attempts_left: 2,
         time_left: Duration::from_secs(5),
         objective: Duration::from_secs(2),
-        expected: Duration::from_millis(300),
-        expected_alone: Duration::from_millis(100),
+        expected_first_event: Duration::from_millis(300),
+        expected_idle_first_event: Duration::from_millis(100),
         elapsed: Duration::from_millis(60),
         priority: 1,
     }
@@ -372,11 +379,11 @@
 
 #[test]
 fn only_an_unsure_answer_goes_to_the_largest_model_and_only_if_it_may() {
-    let terms = EscalationTerms::default();
+    let terms = EscalationConfig::default();
 
     assert_eq!(escalate(&answer(20), &terms), Some(2));
     assert_eq!(escalate(&answer(80), &terms), None);
-    assert_eq!(escalate(&StageAnswer { runs_left: 0, ..answer(20) }, &terms), None);
+    assert_eq!(escalate(&StageAnswer { attempts_left: 0, ..answer(20) }, &terms), None);
     assert_eq!(escalate(&StageAnswer { stage: 2, ..answer(20) }, &terms), None);
     assert_eq!(escalate(&StageAnswer { time_left: MS, ..answer(20) }, &terms), None);
     assert_eq!(escalate(&StageAnswer { confidence: None, ..answer(20) }, &terms), None);
@@ -388,17 +395,17 @@
     let hurried = StageAnswer { time_left: 3_000 * MS, ..patient };
     let late = StageAnswer { elapsed: 5_000 * MS, ..patient };
 
-    assert_eq!(time_to_begin(&patient), 3_900 * MS);
-    assert_eq!(time_to_begin(&hurried), 1_500 * MS);
-    assert_eq!(time_to_begin(&late), Duration::ZERO);
+    assert_eq!(escalation_timeout(&patient), 3_900 * MS);
+    assert_eq!(escalation_timeout(&hurried), 1_500 * MS);
+    assert_eq!(escalation_timeout(&late), Duration::ZERO);
 }
 
 #[test]
 fn the_threshold_falls_with_the_wait_and_least_for_the_most_urgent() {
-    let terms = EscalationTerms::default();
+    let terms = EscalationConfig::default();
     let at = |wait_ms: u64, priority: u8| {
         let expected = Duration::from_millis(wait_ms);
-        threshold(&StageAnswer { expected, priority, ..answer(50) }, &terms)
+        threshold(&StageAnswer { expected_first_event: expected, priority, ..answer(50) }, &terms)
     };
 
     assert!((at(100, 0) - terms.confident).abs() < 1e-9);
@@ -410,9 +417,10 @@
 
 #[test]
 fn a_prompt_too_long_for_the_largest_model_takes_a_fair_answer_now() {
-    let terms = EscalationTerms::default();
+    let terms = EscalationConfig::default();
     let alone = Duration::from_secs(4);
-    let giant = StageAnswer { expected: alone, expected_alone: alone, ..answer(40) };
+    let giant =
+        StageAnswer { expected_first_event: alone, expected_idle_first_event: alone, ..answer(40) };
 
     assert_eq!(escalate(&giant, &terms), None);
     assert_eq!(escalate(&StageAnswer { confidence: Some(10), ..giant }, &terms), Some(2));
@@ -420,9 +428,9 @@
 
 #[test]
 fn an_answer_that_would_come_late_is_not_asked_again_where_others_wait() {
-    let terms = EscalationTerms::default();
+    let terms = EscalationConfig::default();
     let late = StageAnswer { elapsed: Duration::from_millis(1_950), ..answer(5) };
-    let alone = StageAnswer { expected_alone: late.expected, ..late };
+    let alone = StageAnswer { expected_idle_first_event: late.expected_first_event, ..late };
 
     assert_eq!(escalate(&late, &terms), None);
     assert_eq!(escalate(&alone, &terms), Some(2), "nobody waits there");
@@ -432,39 +440,39 @@
 
 #[test]
 fn waiting_makes_readings_slower_but_not_the_belief_in_the_best_one() {
-    let mut belief = ReadingBelief::default();
+    let mut belief = TimingEstimate::default();
     for _ in 0..50 {
-        belief.note(10_000, Duration::ZERO, Duration::from_millis(150));
+        belief.record_head(10_000, Duration::ZERO, Duration::from_millis(150));
     }
-    let alone = belief.token_time();
+    let alone = belief.prefill_token_time();
     for _ in 0..10 {
-        belief.note(10_000, Duration::ZERO, Duration::from_millis(2_000));
+        belief.record_head(10_000, Duration::ZERO, Duration::from_millis(2_000));
     }
 
-    assert!(belief.token_time() < alone * 2);
-    assert!(belief.head_time().unwrap() > Duration::from_millis(500));
+    assert!(belief.prefill_token_time() < alone * 2);
+    assert!(belief.mean_head_time().unwrap() > Duration::from_millis(500));
 }
 
 #[test]
 fn a_silent_server_is_left_sooner_than_a_slow_one() {
     let objective = Duration::from_secs(2);
     let mean = Some(Duration::from_millis(900));
-    let patience = head_patience(RouteKind::Stream, objective, mean, Duration::ZERO, 1);
+    let patience = head_timeouts(RouteKind::Stream, objective, mean, Duration::ZERO, 1);
 
-    assert!(patience.dark < patience.slow);
+    assert!(patience.silent < patience.slow);
     assert!(patience.slow >= Duration::from_millis(3_600), "four times the mean");
 }
 
 #[test]
 fn the_silence_of_one_stream_is_borne_longer_than_that_of_many() {
     let gap = Some(1_200 * MS);
-    let dark = |awaited| event_patience(gap, awaited).dark;
+    let dark = |awaited| event_timeouts(gap, awaited).silent;
 
     // An engine that reads a prompt of 60,000 tokens makes an event in 1.8 s.
     assert!(dark(1) > 1_800 * MS);
     assert!(dark(2) < dark(1) && dark(16) < 1_200 * MS);
     assert_eq!(dark(0), dark(1));
-    assert!(event_patience(gap, 16).slow > 3_000 * MS, "a server that answers others is only slow");
+    assert!(event_timeouts(gap, 16).slow > 3_000 * MS, "a server that answers others is only slow");
 }
 
 fn route(kind: RouteKind) -> Route {
@@ -475,13 +483,13 @@
         kind,
         timeout: Duration::from_secs(2),
         objective: Duration::from_millis(300),
-        event_gap: None,
+        max_event_gap: None,
         priority: 0,
         max_attempts: 2,
         is_public: false,
         is_sticky: false,
         is_resumable: true,
-        homes: Vec::new(),
+        permitted_regions: Vec::new(),
         cascade: Vec::new(),
     }
 }
@@ -490,18 +498,18 @@
 fn a_leaving_entry_takes_what_it_can_finish() {
     let left = Duration::from_secs(3);
 
-    assert!(still_fits(&route(RouteKind::OnceOnly), left));
-    assert!(!still_fits(&route(RouteKind::Stream), left));
-    assert!(still_fits(&route(RouteKind::Stream), Duration::from_secs(5)));
+    assert!(can_finish(&route(RouteKind::AtMostOnce), left));
+    assert!(!can_finish(&route(RouteKind::Stream), left));
+    assert!(can_finish(&route(RouteKind::Stream), Duration::from_secs(5)));
 }
 
 #[test]
 fn a_version_that_never_shows_that_it_is_bad_gets_less_than_it_may() {
-    let terms = ExposureTerms::default();
+    let terms = ExposureConfig::default();
     for seconds in [5, 12, 24, 60] {
         let within = Duration::from_secs(seconds);
         let steps = 10_000;
-        for share_at in [request_share_at, session_share_at] {
+        for share_at in [request_share, session_share] {
             let share = |i: u32| share_at(within * i / steps, within, &terms);
             let exposed: f64 = (0..steps).map(share).sum::<f64>() / f64::from(steps);
 
--- a/tests/play/system.rs
+++ b/tests/play/system.rs
@@ -3,10 +3,10 @@
 use std::{collections::HashMap, time::Duration};
 
 use mintmoor::policy::{
-    escalation::{EscalationTerms, StageAnswer, escalate},
-    kept::{KeptParts, PromptMark},
-    load::LoadBelief,
-    placement::{Candidate, PlacementTerms, Work, hash_id, place},
+    escalation::{EscalationConfig, StageAnswer, escalate},
+    load::LoadEstimate,
+    placement::{Candidate, PlacementConfig, PlacementRequest, hash_id, place},
+    prefix_cache::{CachedPrefixes, PromptPrefix},
 };
 
 use crate::{
@@ -47,18 +47,18 @@
     /// AvailabilityZones that entries and engines stand in by turns.
     pub zones: usize,
     pub escalation: Escalation,
-    pub terms: PlacementTerms,
+    pub terms: PlacementConfig,
     /// An engine that is lost, and when.
     pub lost: Option<(usize, f64)>,
 }
 
 /// The charges before bodies counted by their size and crowding counted at all.
-pub fn flat_terms() -> PlacementTerms {
-    PlacementTerms {
+pub fn flat_terms() -> PlacementConfig {
+    PlacementConfig {
         far: Duration::from_millis(30),
         far_kilobyte: Duration::ZERO,
         spare_backlog: Duration::from_secs(1_000),
-        ..PlacementTerms::default()
+        ..PlacementConfig::default()
     }
 }
 
@@ -120,8 +120,8 @@
 /// One entry's knowledge of one engine.
 #[derive(Clone, Debug, Default)]
 struct View {
-    kept: KeptParts,
-    load: LoadBelief,
+    kept: CachedPrefixes,
+    load: LoadEstimate,
     backlog: f64,
 }
 
@@ -129,7 +129,7 @@
     /// Knows of an engine's memory, as the configuration tells it.
     fn of(speed: &Speed) -> Self {
         let mut view = Self::default();
-        view.kept.set_memory(speed.memory);
+        view.kept.set_capacity(speed.memory);
         view
     }
 
@@ -139,7 +139,7 @@
 
     /// Time for the prompts of all entries that are not read yet.
     fn backlog(&self, now: Duration) -> Duration {
-        self.own_backlog() + self.load.others_backlog(now)
+        self.own_backlog() + self.load.peer_backlog(now)
     }
 }
 
@@ -158,7 +158,7 @@
     at: f64,
     from: usize,
     engine: usize,
-    mark: PromptMark,
+    mark: PromptPrefix,
 }
 
 struct System<'a> {
@@ -248,20 +248,22 @@
     /// Lets each entry know what the others have at the engines.
     fn share_loads(&mut self, now: Duration) {
         for engine in 0..self.engines.len() {
-            let of = |view: &View| (view.load.own, view.own_backlog());
+            let of = |view: &View| (view.load.own_requests, view.own_backlog());
             let told: Vec<_> = self.views.iter().map(|views| of(&views[engine])).collect();
             let requests: u32 = told.iter().map(|(requests, _)| requests).sum();
             let backlog: Duration = told.iter().map(|(_, backlog)| backlog).sum();
             for (entry, (own, own_backlog)) in told.iter().enumerate() {
                 let load = &mut self.views[entry][engine].load;
-                load.note_others(requests - own, backlog - *own_backlog, now);
+                load.record_peer_load(requests - own, backlog - *own_backlog, now);
             }
         }
     }
 
     fn pass_on(&mut self, note: &Note) {
         for entry in (0..self.setup.entries).filter(|entry| *entry != note.from) {
-            self.views[entry][note.engine].kept.note_reported(note.mark.hash, note.mark.tokens);
+            self.views[entry][note.engine]
+                .kept
+                .record_peer_report(note.mark.hash, note.mark.tokens);
         }
     }
 
@@ -290,7 +292,7 @@
     fn take_end(&mut self, id: usize, arrivals: &[Arrival]) {
         let sent = &self.sent[id];
         let arrival = &arrivals[sent.arrival];
-        self.views[arrival.entry][sent.engine].load.own -= 1;
+        self.views[arrival.entry][sent.engine].load.own_requests -= 1;
         if sent.is_asked_again {
             return;
         }
@@ -319,15 +321,15 @@
             stage: 0,
             stages: 2,
             confidence: Some(arrival.confidence),
-            runs_left: 2,
+            attempts_left: 2,
             time_left: Duration::from_secs(5),
             objective: Duration::from_secs_f64(kind.objective),
-            expected: Duration::from_secs_f64(reading + backlog),
-            expected_alone: Duration::from_secs_f64(reading),
+            expected_first_event: Duration::from_secs_f64(reading + backlog),
+            expected_idle_first_event: Duration::from_secs_f64(reading),
             elapsed: Duration::from_secs_f64(now - arrival.at),
             priority: 1,
         };
-        escalate(&answer, &EscalationTerms::default()).is_some()
+        escalate(&answer, &EscalationConfig::default()).is_some()
     }
 
     fn token_time(&self, model: &Model) -> f64 {
@@ -346,28 +348,29 @@
     /// The engine that is chosen, and the tokens that it is believed to have to read.
     fn choose(&self, arrival: &Arrival, model: &Model, now: f64) -> (usize, u64) {
         let marks = arrival.marks(model);
-        let work = Work {
+        let work = PlacementRequest {
             affinity: marks.last().map(|mark| u64::from(mark.hash)),
             shared_tokens: marks.iter().map(|mark| mark.tokens).sum(),
-            token_time: Duration::from_secs_f64(self.token_time(model)),
+            prefill_token_time: Duration::from_secs_f64(self.token_time(model)),
             // A byte for each token, as prompts come.
             bytes: arrival.prompt_tokens() as usize,
-            draw: 0,
+            request_hash: 0,
         };
         let views = &self.views[arrival.entry];
         let at = Duration::from_secs_f64(now);
         let known = |view: &View| match self.memory {
             Memory::HashOnly => 0,
-            Memory::Kept => view.kept.kept_tokens(&marks),
+            Memory::Kept => view.kept.cached_tokens(&marks),
         };
         let candidate = |engine: usize| Candidate {
             id_hash: hash_id(&format!("engine-{engine}")),
-            load: views[engine].load.estimate(at),
+            load: views[engine].load.estimated_requests(at),
             slots: 64,
-            backlog: views[engine].own_backlog() + views[engine].load.others_backlog_for_choice(at),
-            kept_tokens: known(&views[engine]),
+            backlog: views[engine].own_backlog()
+                + views[engine].load.peer_backlog_for_placement(at),
+            cached_tokens: known(&views[engine]),
             failure_rate: 0.0,
-            is_near: self.is_near(engine, arrival.entry),
+            is_same_zone: self.is_near(engine, arrival.entry),
         };
         let engines: Vec<usize> =
             (0..self.engines.len()).filter(|engine| !self.is_lost(*engine, now)).collect();
@@ -387,10 +390,10 @@
             self.outcome.far_bytes += arrival.prompt_tokens();
         }
         let view = &mut self.views[arrival.entry][engine];
-        view.load.own += 1;
+        view.load.own_requests += 1;
         view.backlog += sent.reading;
-        view.kept.note_sent(&marks, unread);
-        if let Some(mark) = view.kept.to_report(&marks, Duration::from_secs_f64(now)) {
+        view.kept.record_sent(&marks, unread);
+        if let Some(mark) = view.kept.take_report(&marks, Duration::from_secs_f64(now)) {
             self.notes.push(Note { at: now, from: arrival.entry, engine, mark });
         }
         let id = self.sent.len();
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -7,13 +7,13 @@
 };
 
 use mintmoor::{
-    control::membership::{Scope, has_duty, select_links},
+    control::membership::{Scope, is_assigned, select_links},
     platform::{Host, HostState, Role},
     policy::{
-        cascade::{Estimates, StageOutlook, expected_cost, is_good_enough, start_stage},
-        choice::{Pool, ServerLoad, choose, time_to_first_token},
+        cascade::{CascadeEstimates, StageOutlook, expected_cost, is_good_enough, start_stage},
+        choice::{Pool, ServerLoad, choose_server, time_to_first_token},
         concurrency_limit::AdaptiveConcurrencyLimit,
-        fair_queue::{FairQueue, Waiting},
+        fair_queue::{FairQueue, QueuedAttempt},
         lifecycle::{self, LifecycleEvent, LifecycleState},
         outlier::{OutlierConfig, OutlierDetector, honors_ejection},
         retry::RetryBudget,
@@ -68,14 +68,15 @@
 #[test]
 fn a_full_server_is_expected_to_take_longer_than_an_idle_far_one() {
     let near = load(8, 6);
-    let far = ServerLoad { distance: Duration::from_millis(20), ..load(0, 0) };
+    let far = ServerLoad { one_way_latency: Duration::from_millis(20), ..load(0, 0) };
     assert!(time_to_first_token(&near, 100) > time_to_first_token(&far, 100));
 }
 
 #[test]
 fn what_was_sent_since_the_report_counts() {
-    let told = ServerLoad { sent_since: 20, ..load(0, 0) };
-    let chosen = choose(&[0, 1], 10, |server| Some(if server == 0 { told } else { load(6, 0) }));
+    let told = ServerLoad { sent_since_report: 20, ..load(0, 0) };
+    let chosen =
+        choose_server(&[0, 1], 10, |server| Some(if server == 0 { told } else { load(6, 0) }));
     assert_eq!(chosen, Some(1));
 }
 
@@ -83,7 +84,7 @@
 fn a_cached_prefix_is_worth_its_prefill() {
     let cached = ServerLoad { cached_tokens: 900, ..load(4, 0) };
     let chosen =
-        choose(&[0, 1], 1_000, |server| Some(if server == 0 { load(3, 0) } else { cached }));
+        choose_server(&[0, 1], 1_000, |server| Some(if server == 0 { load(3, 0) } else { cached }));
     assert_eq!(chosen, Some(1));
 }
 
@@ -111,7 +112,7 @@
     for i in 0..300 {
         let organisation =
             if i % 10 == 0 { format!("p/small-{}", i / 10 % 9) } else { "p/large".into() };
-        let waiting = Waiting {
+        let waiting = QueuedAttempt {
             organisation: organisation.into(),
             priority: 0,
             cost: 10.0,
@@ -132,7 +133,7 @@
     let mut queue = FairQueue::new(10);
     for (priority, item) in [(0, "a"), (5, "b"), (0, "c")] {
         let waiting =
-            Waiting { organisation: "p/o".into(), priority, cost: 1.0, weight: 1.0, item };
+            QueuedAttempt { organisation: "p/o".into(), priority, cost: 1.0, weight: 1.0, item };
         queue.push(waiting);
     }
     let order: Vec<&str> = std::iter::from_fn(|| queue.pop()).collect();
@@ -145,7 +146,7 @@
     for i in 0..400 {
         let (organisation, weight) = if i % 2 == 0 { ("p/a", 3.0) } else { ("p/b", 1.0) };
         let organisation = organisation.into();
-        queue.push(Waiting { organisation, priority: 0, cost: 1.0, weight, item: i % 2 });
+        queue.push(QueuedAttempt { organisation, priority: 0, cost: 1.0, weight, item: i % 2 });
     }
     let of_a = (0..200).filter(|_| queue.pop() == Some(0)).count();
     assert!((148..=152).contains(&of_a), "{of_a}");
@@ -156,8 +157,8 @@
     let mut budget = RetryBudget::default();
     let mut retries = 0;
     for _ in 0..10_000 {
-        budget.earn();
-        while budget.spend() {
+        budget.deposit();
+        while budget.try_withdraw() {
             retries += 1;
         }
     }
@@ -308,17 +309,17 @@
 #[test]
 fn the_mean_stays_at_the_target_and_no_more_is_spent_on_quality() {
     let cascade: Box<str> = "p/c".into();
-    let mut estimates = Estimates::default();
+    let mut estimates = CascadeEstimates::default();
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let (mut sum, mut escalated) = (0.0, 0);
     let answers = 4_000;
     for _ in 0..answers {
         let mut rating = if rng.random_bool(0.75) { 1.0 } else { 0.0 };
-        if !is_good_enough(rating, 0.9, estimates.steering(&cascade, 0.9)) {
+        if !is_good_enough(rating, 0.9, estimates.quality_balance(&cascade, 0.9)) {
             escalated += 1;
             rating = if rng.random_bool(0.97) { 1.0 } else { 0.0 };
         }
-        estimates.note_delivered(&cascade, 0.9, rating);
+        estimates.record_delivered(&cascade, 0.9, rating);
         sum += rating;
     }
     let mean = sum / f64::from(answers);
@@ -330,13 +331,13 @@
 #[test]
 fn saved_up_quality_pays_for_few_poor_answers_in_a_row() {
     let cascade: Box<str> = "p/c".into();
-    let mut estimates = Estimates::default();
+    let mut estimates = CascadeEstimates::default();
     for _ in 0..10_000 {
-        estimates.note_delivered(&cascade, 0.9, 1.0);
+        estimates.record_delivered(&cascade, 0.9, 1.0);
     }
     let mut passed = 0;
-    while is_good_enough(0.0, 0.9, estimates.steering(&cascade, 0.9)) {
-        estimates.note_delivered(&cascade, 0.9, 0.0);
+    while is_good_enough(0.0, 0.9, estimates.quality_balance(&cascade, 0.9)) {
+        estimates.record_delivered(&cascade, 0.9, 0.0);
         passed += 1;
     }
     assert!((1..=3).contains(&passed), "{passed}");
@@ -437,9 +438,10 @@
     let entries: Vec<Host> = (0..40)
         .map(|i| host(&format!("entry-{i}"), "r", &format!("z{}", i % 4), Role::Entry))
         .collect();
-    let with = |scope| entries.iter().filter(|e| has_duty(e, &entries, "poll", 2, scope)).count();
-    assert_eq!(with(Scope::Everywhere), 2);
+    let with =
+        |scope| entries.iter().filter(|e| is_assigned(e, &entries, "poll", 2, scope)).count();
+    assert_eq!(with(Scope::Global), 2);
     assert_eq!(with(Scope::Zone), 8);
     let stranger = host("stranger", "r", "z0", Role::Entry);
-    assert!(has_duty(&stranger, &entries, "poll", 2, Scope::Zone), "not in the list: does it");
+    assert!(is_assigned(&stranger, &entries, "poll", 2, Scope::Zone), "not in the list: does it");
 }
