--- a/src/policy/announcements.rs
+++ b/src/policy/announcements.rs
@@ -4,9 +4,9 @@
 
 /// Answers after a pause from which on a server is used as before: the sends that it may have waiting double
 /// with each of its answers, so sixteen are four round trips.
-const RECOVERED_AFTER: u32 = 16;
+const RECOVERY_ANSWERS: u32 = 16;
 /// Longest time for which that counts, so that answers that never come don't keep a server from being used.
-const RECOVERS_WITHIN: Duration = Duration::from_secs(5);
+const MAX_RECOVERY_TIME: Duration = Duration::from_secs(5);
 
 /// Drain notice and pause; times are on the entry's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -14,7 +14,7 @@
     draining_since: Option<Duration>,
     paused_until: Option<Duration>,
     /// Answers since the last pause.
-    answered: u32,
+    answers_since_pause: u32,
 }
 
 impl Announcements {
@@ -29,7 +29,7 @@
     pub fn note_pause(&mut self, pause: Duration, now: Duration) -> bool {
         let is_new = !self.is_paused(now);
         self.paused_until = self.paused_until.max(Some(now + pause));
-        self.answered = 0;
+        self.answers_since_pause = 0;
         is_new
     }
 
@@ -38,8 +38,8 @@
         if self.is_paused(now) {
             return false;
         }
-        self.answered = self.answered.saturating_add(1);
-        self.answered == 1 && self.paused_until.is_some()
+        self.answers_since_pause = self.answers_since_pause.saturating_add(1);
+        self.answers_since_pause == 1 && self.paused_until.is_some()
     }
 
     /// When it first announced that it is draining.
@@ -59,14 +59,14 @@
 
     /// Whether its last pause ended so lately that it gets few requests at once.
     pub fn is_recovering(&self, now: Duration) -> bool {
-        self.answered < RECOVERED_AFTER
+        self.answers_since_pause < RECOVERY_ANSWERS
             && self
                 .paused_until
-                .is_some_and(|until| (until..until + RECOVERS_WITHIN).contains(&now))
+                .is_some_and(|until| (until..until + MAX_RECOVERY_TIME).contains(&now))
     }
 
     /// Answers since the last pause, so many of which may be waited for at once and one more.
     pub fn answers_since_pause(&self) -> u32 {
-        self.answered
+        self.answers_since_pause
     }
 }
--- a/src/policy/availability.rs
+++ b/src/policy/availability.rs
@@ -9,7 +9,7 @@
 
 /// Part of the time for which a draining server goes on serving in which it still gets requests that no
 /// other server can take. The rest covers requests on their way and late updates of its row.
-const LAST_RESORT_SHARE: u32 = 2;
+const LAST_RESORT_DIVISOR: u32 = 2;
 
 /// Why a server should get no request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -133,7 +133,7 @@
     }
     let announcements = [signals.row_draining_since, announced.draining_since()];
     let draining = announcements.into_iter().flatten().min();
-    if draining.is_some_and(|since| now >= since + signals.drain / LAST_RESORT_SHARE) {
+    if draining.is_some_and(|since| now >= since + signals.drain / LAST_RESORT_DIVISOR) {
         return closed(UnavailableCause::Draining, None);
     }
     if announced.is_paused(now) {
--- a/src/policy/extra_share.rs
+++ b/src/policy/extra_share.rs
@@ -8,10 +8,10 @@
 
 /// Age at which a reported number of entries counts no more: a link that falls silent is
 /// given up after 0.9 s, and another one is there within 2 s.
-const REPORT_LASTS: Duration = Duration::from_secs(3);
+const REPORT_TTL: Duration = Duration::from_secs(3);
 /// Time for which the largest number is kept: where entries lose each other, each side sees fewer, and
 /// their parts must not grow meanwhile. Parts that are too small for a while cost few repeats.
-const LARGEST_LASTS: Duration = Duration::from_secs(600);
+const PEAK_TTL: Duration = Duration::from_secs(600);
 
 /// What an entry knows that bounds its part.
 ///
@@ -20,41 +20,41 @@
 /// 4,403 repeats in 10 s where 4,258 are allowed, and three entries could use 40 of 104.
 #[derive(Clone, Copy, Debug)]
 pub struct ExtraShare {
-    started: Duration,
+    started_at: Duration,
     received_at: Option<Duration>,
-    /// Largest number received in this span of [`LARGEST_LASTS`] and in the one before.
-    largest: [u32; 2],
+    /// Largest number received in this span of [`PEAK_TTL`] and in the one before.
+    peaks: [u32; 2],
     span: u128,
 }
 
 impl ExtraShare {
     /// That of a process that starts now.
-    pub fn started_at(now: Duration) -> Self {
-        Self { started: now, received_at: None, largest: [0; 2], span: span_of(now) }
+    pub fn new(now: Duration) -> Self {
+        Self { started_at: now, received_at: None, peaks: [0; 2], span: span_of(now) }
     }
 
     /// Takes in how many entries there are, as far as somebody knows who gets updates from all of them.
-    pub fn note(&mut self, entries: u32, now: Duration) {
+    pub fn record_entries(&mut self, entries: u32, now: Duration) {
         let span = span_of(now);
         if span > self.span {
-            let before = if span == self.span + 1 { self.largest[0] } else { 0 };
-            self.largest = [0, before];
+            let before = if span == self.span + 1 { self.peaks[0] } else { 0 };
+            self.peaks = [0, before];
             self.span = span;
         }
-        self.largest[0] = self.largest[0].max(entries);
+        self.peaks[0] = self.peaks[0].max(entries);
         self.received_at = Some(now);
     }
 
     /// Largest number of entries reported lately; none where none was.
     pub fn entries(&self) -> u32 {
-        self.largest[0].max(self.largest[1])
+        self.peaks[0].max(self.peaks[1])
     }
 
     /// The part of the extra that this entry may use, 0 to 1; `window` is what the extra is counted in.
     pub fn fraction(&self, window: Duration, now: Duration) -> f64 {
         // An entry that lost touch before this process started uses its larger part for a while still.
-        let is_new = now < self.started + window + REPORT_LASTS;
-        let is_current = self.received_at.is_some_and(|at| now < at + REPORT_LASTS);
+        let is_new = now < self.started_at + window + REPORT_TTL;
+        let is_current = self.received_at.is_some_and(|at| now < at + REPORT_TTL);
         if is_new || !is_current || self.entries() == 0 {
             return 0.0;
         }
@@ -63,5 +63,5 @@
 }
 
 fn span_of(now: Duration) -> u128 {
-    now.as_millis() / LARGEST_LASTS.as_millis()
+    now.as_millis() / PEAK_TTL.as_millis()
 }
--- a/src/policy/known_limit.rs
+++ b/src/policy/known_limit.rs
@@ -10,11 +10,11 @@
 
 /// Time after which it is reported once more that a server still advertises its limit: where nobody says so, others see
 /// that nobody asks it.
-const REPEATED_AFTER: Duration = Duration::from_secs(1);
+const REPEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// Part of a limit below which a new one is reported at once. A limit may waver with each answer, and each such message
 /// reports the load as well; a smaller fall waits for the next heartbeat, and until then the server gets at most one
 /// and a half times what it names.
-const FALLS_BELOW: f64 = 0.7;
+const URGENT_RATIO: f64 = 0.7;
 
 /// What is known of one server, as entries report it.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -52,7 +52,7 @@
 /// What this entry knows of one server's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct KnownLimit {
-    news: Option<LimitReport>,
+    latest: Option<LimitReport>,
     received_at: Duration,
     /// When there was last something to report.
     reported_at: Duration,
@@ -61,12 +61,12 @@
 impl KnownLimit {
     /// Requests a second that the server takes; none where it advertises no limit.
     pub fn rate(&self) -> Option<Rate> {
-        self.news.and_then(|news| news.rate)
+        self.latest.and_then(|report| report.rate)
     }
 
     /// What is known, as it is reported.
     pub fn report(&self) -> Option<LimitReport> {
-        self.news
+        self.latest
     }
 
     /// When the server was last seen, through any entry.
@@ -78,43 +78,43 @@
     ///
     /// An answer that advertises no limit ends it only where the request was sent after the limit was last named:
     /// answers overtake each other, and an older one would open the server to everybody.
-    pub fn note(
+    pub fn record_answer(
         &mut self,
-        said: AdvertisedLimit,
+        advertised: AdvertisedLimit,
         sent_at: Duration,
         now: Duration,
     ) -> Option<LimitChange> {
-        let rate = match said {
+        let rate = match advertised {
             AdvertisedLimit::Rate(rate) => Some(rate.max(MIN_ADVERTISED_RATE)),
             AdvertisedLimit::Nothing if self.rate().is_some() && sent_at >= self.received_at => {
                 None
             }
             AdvertisedLimit::Nothing | AdvertisedLimit::Unreadable => return None,
         };
-        let known = self.news.unwrap_or(LimitReport { changes: 0, repeats: 0, rate: None });
+        let known = self.latest.unwrap_or(LimitReport { changes: 0, repeats: 0, rate: None });
         if rate != known.rate {
-            let news = LimitReport { changes: known.changes.saturating_add(1), repeats: 0, rate };
-            return Some(self.put(news, now));
+            let report = LimitReport { changes: known.changes.saturating_add(1), repeats: 0, rate };
+            return Some(self.replace(report, now));
         }
         self.received_at = now;
-        if now < self.reported_at + REPEATED_AFTER {
+        if now < self.reported_at + REPEAT_INTERVAL {
             return None;
         }
         let repeats = known.repeats.saturating_add(1);
-        Some(self.put(LimitReport { repeats, ..known }, now))
+        Some(self.replace(LimitReport { repeats, ..known }, now))
     }
 
     /// Takes in what another entry reports; gives what there is to pass on.
-    pub fn take_update(&mut self, reported: LimitReport, now: Duration) -> Option<LimitChange> {
-        let is_new = self.news.is_none_or(|known| reported.is_newer_than(&known));
-        is_new.then(|| self.put(reported, now))
+    pub fn merge(&mut self, reported: LimitReport, now: Duration) -> Option<LimitChange> {
+        let is_new = self.latest.is_none_or(|known| reported.is_newer_than(&known));
+        is_new.then(|| self.replace(reported, now))
     }
 
-    fn put(&mut self, news: LimitReport, now: Duration) -> LimitChange {
+    fn replace(&mut self, report: LimitReport, now: Duration) -> LimitChange {
         let before = self.rate().unwrap_or(Rate::INFINITY);
-        (self.news, self.received_at, self.reported_at) = (Some(news), now, now);
-        match news.rate {
-            Some(rate) if rate < before * FALLS_BELOW => LimitChange::Urgent,
+        (self.latest, self.received_at, self.reported_at) = (Some(report), now, now);
+        match report.rate {
+            Some(rate) if rate < before * URGENT_RATIO => LimitChange::Urgent,
             rate if rate.unwrap_or(Rate::INFINITY) == before => LimitChange::Repeated,
             _ => LimitChange::Deferrable,
         }
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -50,71 +50,71 @@
 pub struct OutlierDetector {
     failures: u32,
     answers: u32,
-    times_out: u32,
-    out_until: Duration,
-    trying: bool,
+    ejections: u32,
+    ejected_until: Duration,
+    trial_in_flight: bool,
 }
 
 impl OutlierDetector {
     /// Notes an answer.
-    pub fn note_answer(&mut self, rules: &OutlierConfig) {
+    pub fn note_answer(&mut self, config: &OutlierConfig) {
         self.failures = 0;
-        self.trying = false;
+        self.trial_in_flight = false;
         self.answers += 1;
-        if self.answers >= rules.recovery_answers {
-            self.times_out = 0;
+        if self.answers >= config.recovery_answers {
+            self.ejections = 0;
         }
     }
 
     /// Notes a failure; a server that fails its trial goes out again at once.
-    pub fn note_failure(&mut self, rules: &OutlierConfig, now: Duration) {
+    pub fn note_failure(&mut self, config: &OutlierConfig, now: Duration) {
         let on_trial = self.is_on_trial();
         self.answers = 0;
         self.failures += 1;
-        if self.failures < rules.consecutive_failures && !on_trial {
+        if self.failures < config.consecutive_failures && !on_trial {
             return;
         }
-        self.take_out(rules, now);
+        self.eject(config, now);
     }
 
     /// Notes that the server can't be reached at all, which takes it out at once.
-    pub fn note_unreachable(&mut self, rules: &OutlierConfig, now: Duration) {
+    pub fn note_unreachable(&mut self, config: &OutlierConfig, now: Duration) {
         self.answers = 0;
-        self.take_out(rules, now);
+        self.eject(config, now);
     }
 
-    fn take_out(&mut self, rules: &OutlierConfig, now: Duration) {
-        let time = rules.base_ejection * 2u32.saturating_pow(self.times_out.min(16));
-        self.times_out += 1;
+    fn eject(&mut self, config: &OutlierConfig, now: Duration) {
+        let time = config.base_ejection * 2u32.saturating_pow(self.ejections.min(16));
+        self.ejections += 1;
         self.failures = 0;
-        self.trying = false;
-        self.out_until = now + time.min(rules.max_ejection);
+        self.trial_in_flight = false;
+        self.ejected_until = now + time.min(config.max_ejection);
     }
 
     /// Whether the server is out now.
     pub fn is_ejected(&self, now: Duration) -> bool {
-        now < self.out_until
+        now < self.ejected_until
     }
 
     /// Whether the server should be passed over: out, or on trial with a request under way.
     pub fn should_skip(&self, now: Duration) -> bool {
-        self.is_ejected(now) || (self.is_on_trial() && self.trying)
+        self.is_ejected(now) || (self.is_on_trial() && self.trial_in_flight)
     }
 
     /// Notes that the server was chosen, which begins its trial if it is on one.
     pub fn note_chosen(&mut self, now: Duration) {
         if !self.is_ejected(now) && self.is_on_trial() {
-            self.trying = true;
+            self.trial_in_flight = true;
         }
     }
 
     /// A server that was out and has not answered since gets one request at a time.
     fn is_on_trial(&self) -> bool {
-        self.times_out > 0 && self.answers == 0
+        self.ejections > 0 && self.answers == 0
     }
 }
 
 /// Whether being out is respected: not when too much of the pool is out.
-pub fn honors_ejection(out: usize, pool: usize, rules: &OutlierConfig) -> bool {
-    out < pool && out as f64 <= pool as f64 * rules.max_ejected_share
+pub fn honors_ejection(ejected: usize, pool: usize, config: &OutlierConfig) -> bool {
+    ejected < pool && ejected as f64 <= pool as f64 * config.max_ejected_share
 }
--- a/src/policy/overload.rs
+++ b/src/policy/overload.rs
@@ -8,35 +8,35 @@
 use std::time::Duration;
 
 /// Wait after the first refusal: a place frees up in a fraction of a second.
-const LEAST: Duration = Duration::from_millis(200);
+const MIN_WAIT: Duration = Duration::from_millis(200);
 /// Longest wait; callers with the longest deadlines here, 20 s, wait a third of it at most.
-const MOST: Duration = Duration::from_secs(6);
+const MAX_WAIT: Duration = Duration::from_secs(6);
 /// Time without a refusal after which an overload is over: ten places have freed up by then.
-const OVER_AFTER: Duration = Duration::from_secs(1);
+const QUIET_PERIOD: Duration = Duration::from_secs(1);
 /// The wait is drawn from this range of its mean.
-const SPREAD: (f64, f64) = (0.5, 1.5);
+const JITTER: (f64, f64) = (0.5, 1.5);
 
 /// The refusals of a service's servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Overload {
-    began: Duration,
-    last: Option<Duration>,
+    started_at: Duration,
+    last_refusal: Option<Duration>,
 }
 
 impl Overload {
     /// Notes a refusal. Gives the time for which servers have been refusing.
     pub fn note_refusal(&mut self, now: Duration) -> Duration {
-        if self.last.is_none_or(|last| now > last + OVER_AFTER) {
-            self.began = now;
+        if self.last_refusal.is_none_or(|last| now > last + QUIET_PERIOD) {
+            self.started_at = now;
         }
-        self.last = Some(now);
-        now.saturating_sub(self.began)
+        self.last_refusal = Some(now);
+        now.saturating_sub(self.started_at)
     }
 }
 
 /// When to come back after a refusal in an overload that has lasted so long; `draw` from 0 to 1.
 pub fn retry_after(lasted: Duration, draw: f64) -> Duration {
-    let (least, most) = SPREAD;
-    let mean = lasted.clamp(LEAST, MOST);
-    mean.mul_f64(least + (most - least) * draw.clamp(0.0, 1.0))
+    let (min, max) = JITTER;
+    let mean = lasted.clamp(MIN_WAIT, MAX_WAIT);
+    mean.mul_f64(min + (max - min) * draw.clamp(0.0, 1.0))
 }
--- a/src/policy/place.rs
+++ b/src/policy/place.rs
@@ -35,20 +35,20 @@
 /// they are many, as after a loss of half, they are ranked as well: to leave them out would move most places twice
 /// within seconds, and views that differ let too many send.
 pub fn place_among(host: &str, seen: &[ObservedEntry<'_>]) -> Option<Place> {
-    if !seen.iter().any(|sharer| sharer.host == host) {
+    if !seen.iter().any(|entry| entry.host == host) {
         return None;
     }
-    let new = seen.iter().filter(|sharer| !sharer.is_settled).count();
-    let are_many_new = new > few_of(seen.len());
-    let shares =
-        |sharer: &&ObservedEntry<'_>| are_many_new || sharer.is_settled || sharer.host == host;
-    let sharers = seen.iter().filter(shares);
-    let rank = sharers.clone().filter(|sharer| sharer.host < host).count();
-    Some(Place { rank: u32::try_from(rank).ok()?, entries: u32::try_from(sharers.count()).ok()? })
+    let unsettled = seen.iter().filter(|entry| !entry.is_settled).count();
+    let many_unsettled = unsettled > max_minor_change(seen.len());
+    let is_ranked =
+        |entry: &&ObservedEntry<'_>| many_unsettled || entry.is_settled || entry.host == host;
+    let ranked = seen.iter().filter(is_ranked);
+    let rank = ranked.clone().filter(|entry| entry.host < host).count();
+    Some(Place { rank: u32::try_from(rank).ok()?, entries: u32::try_from(ranked.count()).ok()? })
 }
 
 /// How many entries are few of so many: a process is restarted every other minute, half of all hardly ever.
-fn few_of(entries: usize) -> usize {
+fn max_minor_change(entries: usize) -> usize {
     (entries / 4).max(1)
 }
 
@@ -57,19 +57,19 @@
 /// second old.
 pub const SETTLE_TIME: Duration = Duration::from_secs(3);
 /// Time for which a few entries less have to be reported before that counts: a report may be late.
-const FEW_GONE_AFTER: Duration = Duration::from_secs(1);
+const MINOR_LOSS_DELAY: Duration = Duration::from_secs(1);
 /// The same for more of them: processes that were killed together are back and settled by then.
-const MANY_GONE_AFTER: Duration = Duration::from_secs(6);
+const MAJOR_LOSS_DELAY: Duration = Duration::from_secs(6);
 /// Time for which the largest number of entries counts in the question who the most are.
-const LARGEST_LASTS: Duration = Duration::from_secs(600);
+const PEAK_TTL: Duration = Duration::from_secs(600);
 
 /// What is reported to an entry of its place among all.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlaceTracker {
     place: Option<Place>,
-    since: Duration,
+    first_reported_at: Duration,
     /// Largest number of entries, and when it was last received.
-    largest: (u32, Duration),
+    peak: (u32, Duration),
     /// Since when fewer entries than before have been reported.
     fewer_since: Option<Duration>,
 }
@@ -80,25 +80,25 @@
     ///
     /// Where entries lose each other, each side sees fewer, and would take the whole of what a server takes for
     /// itself. So fewer count only where they are most of all: two sides can't both be that.
-    pub fn note(&mut self, place: Place, sees_all: bool, now: Duration) {
-        let (largest, received_at) = self.largest;
-        if place.entries >= largest || now >= received_at + LARGEST_LASTS {
-            self.largest = (place.entries, now);
+    pub fn update(&mut self, place: Place, sees_all: bool, now: Duration) {
+        let (peak, received_at) = self.peak;
+        if place.entries >= peak || now >= received_at + PEAK_TTL {
+            self.peak = (place.entries, now);
         }
         let Some(known) = self.place else {
-            (self.place, self.since) = (Some(place), now);
+            (self.place, self.first_reported_at) = (Some(place), now);
             return;
         };
         if place.entries >= known.entries {
             (self.place, self.fewer_since) = (Some(place), None);
             return;
         }
-        let are_most = sees_all && place.entries * 2 > self.largest.0;
-        let gone = known.entries - place.entries;
-        let are_few_gone = gone as usize <= few_of(known.entries as usize);
-        let after = if are_few_gone { FEW_GONE_AFTER } else { MANY_GONE_AFTER };
+        let is_majority = sees_all && place.entries * 2 > self.peak.0;
+        let lost = known.entries - place.entries;
+        let is_minor_loss = lost as usize <= max_minor_change(known.entries as usize);
+        let delay = if is_minor_loss { MINOR_LOSS_DELAY } else { MAJOR_LOSS_DELAY };
         let since = *self.fewer_since.get_or_insert(now);
-        if are_most && now >= since + after {
+        if is_majority && now >= since + delay {
             self.place = Some(place);
         }
     }
@@ -110,6 +110,6 @@
 
     /// The place to go by; none until it is settled.
     pub fn get(&self, now: Duration) -> Option<Place> {
-        self.place.filter(|_| now >= self.since + SETTLE_TIME)
+        self.place.filter(|_| now >= self.first_reported_at + SETTLE_TIME)
     }
 }
--- a/src/policy/rate_limit.rs
+++ b/src/policy/rate_limit.rs
@@ -19,13 +19,13 @@
 /// Least that a limit counts for, whatever its server advertises: only its answers show that its limit is over.
 pub const MIN_ADVERTISED_RATE: Rate = 0.05;
 /// Least rate that is distinguished from none, so that no window is without end.
-const LEAST_RATE: Rate = 1e-3;
+const MIN_RATE: Rate = 1e-3;
 
 /// Time without an answer of a server, beyond that of two sends, after which others than its senders may ask it: news is
 /// reported each second, and arrives with the next report and heartbeat, while an answer may take two seconds to begin.
-const SILENT_AFTER_SENDS: Duration = Duration::from_secs(4);
+const PROBE_AFTER_SILENCE: Duration = Duration::from_secs(4);
 /// Time for which one entry may do so before it is the next one's turn: a report and a heartbeat.
-const STANDS_IN_FOR: Duration = Duration::from_millis(700);
+const PROBE_TURN: Duration = Duration::from_millis(700);
 
 /// What the head of an answer says of its server's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -78,7 +78,7 @@
 
 /// Time for which a server takes so many requests.
 fn window(sends: u32, rate: Rate) -> Duration {
-    Duration::from_secs_f64(f64::from(sends) / rate.max(LEAST_RATE))
+    Duration::from_secs_f64(f64::from(sends) / rate.max(MIN_RATE))
 }
 
 /// What an entry may send to the server with this hash, which takes `rate` from all entries; none where other
@@ -87,13 +87,13 @@
 /// All senders together may send the next whole number of requests in the time, a second or more, for which the
 /// server takes as many: so nothing of a fraction is lost, and no second has more than that number.
 pub fn allowance(rate: Rate, place: Place, server: u64) -> Option<Allowance> {
-    let whole = whole(rate);
+    let whole = rounded_up(rate);
     let senders = place.entries.clamp(1, whole);
-    let turn = turn(place, server);
-    if turn >= senders {
+    let index = sender_index(place, server);
+    if index >= senders {
         return None;
     }
-    let sends = whole / senders + u32::from(turn < whole % senders);
+    let sends = whole / senders + u32::from(index < whole % senders);
     Some(Allowance { sends, window: window(whole, rate) })
 }
 
@@ -106,22 +106,22 @@
     server: u64,
     silent_for: Duration,
 ) -> Option<Allowance> {
-    let quiet = SILENT_AFTER_SENDS + window(2, rate);
-    let waited = silent_for.checked_sub(quiet)?;
-    let senders = place.entries.clamp(1, whole(rate));
-    let order = turn(place, server).checked_sub(senders)?;
-    let others = u128::from(place.entries - senders);
-    let at_turn = waited.as_millis() / STANDS_IN_FOR.as_millis() % others;
-    (at_turn == u128::from(order)).then_some(Allowance { sends: 1, window: quiet })
+    let silence = PROBE_AFTER_SILENCE + window(2, rate);
+    let waited = silent_for.checked_sub(silence)?;
+    let senders = place.entries.clamp(1, rounded_up(rate));
+    let position = sender_index(place, server).checked_sub(senders)?;
+    let candidates = u128::from(place.entries - senders);
+    let current = waited.as_millis() / PROBE_TURN.as_millis() % candidates;
+    (current == u128::from(position)).then_some(Allowance { sends: 1, window: silence })
 }
 
 /// The next whole number of requests.
-fn whole(rate: Rate) -> u32 {
+fn rounded_up(rate: Rate) -> u32 {
     (rate.ceil() as u32).max(1)
 }
 
 /// This entry's turn at a server, from 0.
-fn turn(place: Place, server: u64) -> u32 {
+fn sender_index(place: Place, server: u64) -> u32 {
     let entries = place.entries.max(1);
     // Scaled, not taken modulo: one entry more moves the first place by one at most.
     let first = ((u128::from(server) * u128::from(entries)) >> 64) as u32;
@@ -131,7 +131,7 @@
 /// Sends of this entry to one server under a limit, those of the last window.
 #[derive(Clone, Debug, Default)]
 pub struct SlidingWindowLog {
-    at: VecDeque<Duration>,
+    sent_at: VecDeque<Duration>,
 }
 
 impl SlidingWindowLog {
@@ -142,17 +142,17 @@
 
     /// When the next one may be made.
     pub fn next_at(&self, allowance: &Allowance, now: Duration) -> Duration {
-        let Some(first) = self.at.len().checked_sub(allowance.sends.max(1) as usize) else {
+        let Some(first) = self.sent_at.len().checked_sub(allowance.sends.max(1) as usize) else {
             return now;
         };
-        self.at[first] + allowance.window
+        self.sent_at[first] + allowance.window
     }
 
     /// Notes one that is made now.
-    pub fn note(&mut self, allowance: &Allowance, now: Duration) {
-        while self.at.front().is_some_and(|at| *at + allowance.window <= now) {
-            self.at.pop_front();
+    pub fn record(&mut self, allowance: &Allowance, now: Duration) {
+        while self.sent_at.front().is_some_and(|at| *at + allowance.window <= now) {
+            self.sent_at.pop_front();
         }
-        self.at.push_back(now);
+        self.sent_at.push_back(now);
     }
 }
--- a/src/policy/replication.rs
+++ b/src/policy/replication.rs
@@ -41,13 +41,13 @@
 
 impl TablePosition {
     /// What to take in of rows that are shown here.
-    pub fn action_for(&self, offer: &UpdateHeader) -> UpdateAction {
-        let is_of_known_era = self.era.is_none_or(|era| era == offer.version.era);
-        if Some(offer.version) <= self.at || Some(offer.version.era) < self.era {
-            let is_lost = offer.is_amended && is_of_known_era;
-            return if is_lost { UpdateAction::ConfigurationOnly } else { UpdateAction::Ignore };
+    pub fn action_for(&self, update: &UpdateHeader) -> UpdateAction {
+        let is_same_era = self.era.is_none_or(|era| era == update.version.era);
+        if Some(update.version) <= self.at || Some(update.version.era) < self.era {
+            let was_lost = update.is_amended && is_same_era;
+            return if was_lost { UpdateAction::ConfigurationOnly } else { UpdateAction::Ignore };
         }
-        match (offer.is_whole, is_of_known_era) {
+        match (update.is_whole, is_same_era) {
             (false, true) => UpdateAction::Changes,
             (true, true) => UpdateAction::Whole,
             (true, false) => UpdateAction::Restored,
--- a/src/policy/send_window.rs
+++ b/src/policy/send_window.rs
@@ -12,30 +12,31 @@
 /// Rounds of answers in which the window grows by one request.
 const INCREASE_ROUNDS: f64 = 16.0;
 /// Time after the last rejection from which on nothing limits the requests.
-const LASTS: Duration = Duration::from_secs(30);
+const EXPIRES_AFTER: Duration = Duration::from_secs(30);
 
 /// The window for one server; times are on the entry's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SendWindow {
     /// Requests at once, and when the server last rejected one; none where it never did.
-    learned: Option<(f64, Duration)>,
+    limit_since: Option<(f64, Duration)>,
 }
 
 impl SendWindow {
     /// Notes that the server rejected a request while it had so many others of this entry.
     pub fn note_rejection(&mut self, others: u32, now: Duration) {
-        self.learned = Some(((f64::from(others) * DECREASE).max(1.0), now));
+        self.limit_since = Some(((f64::from(others) * DECREASE).max(1.0), now));
     }
 
     /// Notes an answer that is no rejection.
     pub fn note_answer(&mut self) {
-        if let Some((most, _)) = &mut self.learned {
-            *most += 1.0 / (INCREASE_ROUNDS * *most);
+        if let Some((limit, _)) = &mut self.limit_since {
+            *limit += 1.0 / (INCREASE_ROUNDS * *limit);
         }
     }
 
     /// Whether one more may be sent while the server has so many.
     pub fn allows_another(&self, others: u32, now: Duration) -> bool {
-        self.learned.is_none_or(|(most, at)| now >= at + LASTS || f64::from(others) + 1.0 <= most)
+        self.limit_since
+            .is_none_or(|(limit, at)| now >= at + EXPIRES_AFTER || f64::from(others) + 1.0 <= limit)
     }
 }
--- a/src/policy/windowed_retry_budget.rs
+++ b/src/policy/windowed_retry_budget.rs
@@ -9,12 +9,12 @@
 
 /// Part of the allowed ratio that is used; the rest is for windows that cut a request from its
 /// repeats.
-const RATIO_USED: f64 = 0.8;
+const RATIO_UTILIZATION: f64 = 0.8;
 /// Repeats allowed to an entry that has had any request, so that a lone one is not lost: at a ratio of
 /// 0.9 that is a tenth of a repeat too many, 36 for 360 entries with one request each in a window.
-const FIRST: f64 = 1.0;
+const MIN_RETRIES: f64 = 1.0;
 /// Steps a window is counted in.
-const STEPS: u32 = 10;
+const BUCKETS: u32 = 10;
 
 /// What one entry may do.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -28,7 +28,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Step {
+struct Bucket {
     number: u64,
     requests: u32,
     repeats: u32,
@@ -37,43 +37,44 @@
 /// Sends of one entry to one service.
 #[derive(Clone, Debug, Default)]
 pub struct WindowedRetryBudget {
-    steps: VecDeque<Step>,
+    buckets: VecDeque<Bucket>,
 }
 
 impl WindowedRetryBudget {
     /// Notes a caller's request for the service.
-    pub fn note_request(&mut self, terms: &RetryLimits, now: Duration) {
-        self.current(terms, now).requests += 1;
+    pub fn note_request(&mut self, limits: &RetryLimits, now: Duration) {
+        self.current_bucket(limits, now).requests += 1;
     }
 
     /// Takes one repeated send from the budget; false when it is used up.
-    pub fn try_repeat(&mut self, terms: &RetryLimits, now: Duration) -> bool {
-        if self.remaining(terms, now) < 1.0 {
+    pub fn try_repeat(&mut self, limits: &RetryLimits, now: Duration) -> bool {
+        if self.remaining(limits, now) < 1.0 {
             return false;
         }
-        self.current(terms, now).repeats += 1;
+        self.current_bucket(limits, now).repeats += 1;
         true
     }
 
     /// Repeats still allowed.
-    pub fn remaining(&mut self, terms: &RetryLimits, now: Duration) -> f64 {
-        self.current(terms, now);
-        let requests: u32 = self.steps.iter().map(|step| step.requests).sum();
-        let repeats: u32 = self.steps.iter().map(|step| step.repeats).sum();
-        let allowed = f64::from(requests) * terms.ratio * RATIO_USED + terms.extra;
-        let first = if requests > 0 && terms.ratio > 0.0 { FIRST } else { 0.0 };
-        allowed.max(first) - f64::from(repeats)
+    pub fn remaining(&mut self, limits: &RetryLimits, now: Duration) -> f64 {
+        self.current_bucket(limits, now);
+        let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
+        let repeats: u32 = self.buckets.iter().map(|bucket| bucket.repeats).sum();
+        let allowed = f64::from(requests) * limits.ratio * RATIO_UTILIZATION + limits.extra;
+        let minimum = if requests > 0 && limits.ratio > 0.0 { MIN_RETRIES } else { 0.0 };
+        allowed.max(minimum) - f64::from(repeats)
     }
 
-    fn current(&mut self, terms: &RetryLimits, now: Duration) -> &mut Step {
-        let step = terms.window / STEPS;
-        let number = (now.as_nanos() / step.as_nanos().max(1)) as u64;
-        while self.steps.front().is_some_and(|s| s.number + u64::from(STEPS) < number) {
-            self.steps.pop_front();
+    fn current_bucket(&mut self, limits: &RetryLimits, now: Duration) -> &mut Bucket {
+        let length = limits.window / BUCKETS;
+        let number = (now.as_nanos() / length.as_nanos().max(1)) as u64;
+        while self.buckets.front().is_some_and(|bucket| bucket.number + u64::from(BUCKETS) < number)
+        {
+            self.buckets.pop_front();
         }
-        if self.steps.back().is_none_or(|s| s.number != number) {
-            self.steps.push_back(Step { number, ..Step::default() });
+        if self.buckets.back().is_none_or(|bucket| bucket.number != number) {
+            self.buckets.push_back(Bucket { number, ..Bucket::default() });
         }
-        self.steps.back_mut().expect("a step was just pushed")
+        self.buckets.back_mut().expect("a step was just pushed")
     }
 }
--- a/src/router/limit_board.rs
+++ b/src/router/limit_board.rs
@@ -137,14 +137,14 @@
         if self.rate_limited() == 0 && !matches!(said, AdvertisedLimit::Rate(_)) {
             return None;
         }
-        self.change(life, true, |belief| belief.note(said, sent_at, now))
+        self.change(life, true, |belief| belief.record_answer(said, sent_at, now))
     }
 
     /// Takes in what another entry reports; what changed by it.
     pub(crate) fn take_update(&self, reported: &[LimitUpdate], now: Duration) -> Vec<Changed> {
         let take = |reported: &LimitUpdate| {
             let (life, news) = reported.read();
-            self.change(life, false, |belief| belief.take_update(news, now))
+            self.change(life, false, |belief| belief.merge(news, now))
         };
         reported.iter().filter_map(take).collect()
     }
--- a/src/router/member.rs
+++ b/src/router/member.rs
@@ -158,7 +158,7 @@
         let mut record = self.record();
         let may = record.limited_sends.may_send(allowance, now);
         if may {
-            record.limited_sends.note(allowance, now);
+            record.limited_sends.record(allowance, now);
         }
         may
     }
@@ -216,7 +216,7 @@
         let mut record = self.record();
         record.outlier.note_answer(&OUTLIER_RULES);
         record.window.note_answer();
-        record.failures.note(false, now);
+        record.failures.record(false, now);
         record.announced.note_answer(now)
     }
 
@@ -224,7 +224,7 @@
     pub(crate) fn note_failure(&self, now: Duration) {
         let mut record = self.record();
         record.outlier.note_failure(&OUTLIER_RULES, now);
-        record.failures.note(true, now);
+        record.failures.record(true, now);
     }
 
     /// Notes that nobody listens at the server's address, which one refusal shows.
@@ -232,7 +232,7 @@
         let mut record = self.record();
         record.unreachable_at = Some(now);
         record.outlier.note_unreachable(&OUTLIER_RULES, now);
-        record.failures.note(true, now);
+        record.failures.record(true, now);
     }
 
     /// Notes that something came from the server.
--- a/src/router/own_place.rs
+++ b/src/router/own_place.rs
@@ -18,7 +18,7 @@
     pub(crate) fn note(&self, reported: ReportedPlace, now: Duration) {
         let ReportedPlace { rank, entries, sees_all } = reported;
         let mut belief = self.belief.lock().expect("no panics under the lock");
-        belief.note(Place { rank, entries }, sees_all, now);
+        belief.update(Place { rank, entries }, sees_all, now);
     }
 
     /// How many share, as far as it was reported.
--- a/src/router/quarantine_board.rs
+++ b/src/router/quarantine_board.rs
@@ -170,7 +170,7 @@
         let mut inner = self.lock();
         let mut is_new = false;
         for case in cases {
-            if !inner.quarantine.take_case(case, error, now) {
+            if !inner.quarantine.merge_case(case, error, now) {
                 continue;
             }
             is_new = true;
@@ -193,7 +193,7 @@
         for note in notes {
             let fingerprint = note.fingerprint();
             let was_refused = is_refused(&inner.quarantine, &fingerprint, now);
-            if !inner.quarantine.note(note, now) {
+            if !inner.quarantine.add(note, now) {
                 continue;
             }
             is_new = true;
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -127,7 +127,7 @@
             link: Link::default(),
             metrics: Metrics::default(),
             budgets: Mutex::default(),
-            extra_share: Mutex::new(ExtraShare::started_at(CLOCK_ORIGIN)),
+            extra_share: Mutex::new(ExtraShare::new(CLOCK_ORIGIN)),
             overloads: Mutex::default(),
             readings: Readings::default(),
             lifecycle: Mutex::new(lifecycle::start()),
@@ -346,7 +346,7 @@
         let named = self.settings.load().seeds.len();
         let entries = u32::try_from(entries.max(named)).unwrap_or(u32::MAX);
         let mut share = self.extra_share.lock().expect("no panics under the lock");
-        share.note(entries, self.now());
+        share.record_entries(entries, self.now());
     }
 
     /// Entries that this one knows of.
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -21,12 +21,12 @@
 
 impl Process {
     fn start(now: Duration) -> Self {
-        Self { budget: WindowedRetryBudget::default(), share: ExtraShare::started_at(now) }
+        Self { budget: WindowedRetryBudget::default(), share: ExtraShare::new(now) }
     }
 
     /// Lets it know how many entries there are.
     fn note(&mut self, entries: u32, now: Duration) {
-        self.share.note(entries, now);
+        self.share.record_entries(entries, now);
     }
 
     fn terms(&self, now: Duration) -> RetryLimits {
@@ -147,8 +147,8 @@
 }
 
 fn heard(entries: u32, at: Duration) -> ExtraShare {
-    let mut share = ExtraShare::started_at(Duration::ZERO);
-    share.note(entries, at);
+    let mut share = ExtraShare::new(Duration::ZERO);
+    share.record_entries(entries, at);
     share
 }
 
@@ -167,9 +167,9 @@
 
 #[test]
 fn a_new_process_has_no_part_while_the_one_before_counts() {
-    let mut share = ExtraShare::started_at(SECOND * 5);
+    let mut share = ExtraShare::new(SECOND * 5);
     let mut part_at = |now: Duration| {
-        share.note(4, now);
+        share.record_entries(4, now);
         share.fraction(TERMS.window, now)
     };
 
@@ -184,7 +184,7 @@
 
     assert!(share.fraction(TERMS.window, SECOND * 22) > 0.0);
     assert_eq!(share.fraction(TERMS.window, SECOND * 24), 0.0);
-    assert_eq!(ExtraShare::started_at(Duration::ZERO).fraction(TERMS.window, SECOND * 20), 0.0);
+    assert_eq!(ExtraShare::new(Duration::ZERO).fraction(TERMS.window, SECOND * 20), 0.0);
 }
 
 /// Entries that lose each other see fewer than there are; with parts that grow meanwhile each side
@@ -194,9 +194,9 @@
     let mut share = heard(8, SECOND * 20);
     let together = share.fraction(TERMS.window, SECOND * 20);
 
-    share.note(4, SECOND * 60);
+    share.record_entries(4, SECOND * 60);
     let apart = share.fraction(TERMS.window, SECOND * 60);
-    share.note(4, SECOND * 3_000);
+    share.record_entries(4, SECOND * 3_000);
     let long_after = share.fraction(TERMS.window, SECOND * 3_000);
 
     assert_eq!(apart, together);
--- a/tests/model/quarantine.rs
+++ b/tests/model/quarantine.rs
@@ -91,7 +91,7 @@
             incarnation: *incarnation,
             at: Duration::from_secs(*incarnation),
         };
-        quarantine.note(note, Duration::from_secs(*incarnation));
+        quarantine.add(note, Duration::from_secs(*incarnation));
     }
     matches!(quarantine.status(&GUILTY, Duration::from_secs(60)), QuarantineStatus::Refused { .. })
 }
--- a/tests/model/rate_limit.rs
+++ b/tests/model/rate_limit.rs
@@ -72,7 +72,7 @@
     for (of, change, rate) in &entry.known {
         if is_about(*of) {
             let news = LimitReport { changes: *change, repeats: 0, rate: rate.map(f64::from) };
-            belief.take_update(news, Duration::ZERO);
+            belief.merge(news, Duration::ZERO);
         }
     }
     belief
@@ -93,7 +93,7 @@
     let said =
         state.says.map_or(AdvertisedLimit::Nothing, |rate| AdvertisedLimit::Rate(f64::from(rate)));
     let mut belief = belief(&state.entries[i], state.life, mutation);
-    let change = belief.note(said, Duration::ZERO, Duration::ZERO);
+    let change = belief.record_answer(said, Duration::ZERO, Duration::ZERO);
     let (Some(_), Some(news)) = (change, belief.report()) else {
         return;
     };
@@ -108,7 +108,7 @@
 fn learn(entry: &mut Entry, (life, change, rate): Word, mutation: Mutation) {
     let news = LimitReport { changes: change, repeats: 0, rate: rate.map(f64::from) };
     let mut known = belief(entry, life, Mutation::None);
-    let is_new = known.take_update(news, Duration::ZERO).is_some();
+    let is_new = known.merge(news, Duration::ZERO).is_some();
     if is_new || mutation == Mutation::OldWordWins {
         put(entry, (life, change, rate));
     }
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -220,7 +220,7 @@
     let mut now = Duration::ZERO;
     for i in 0..20 {
         now += Duration::from_millis(50);
-        failures.note(i % 3 == 0, now);
+        failures.record(i % 3 == 0, now);
     }
     let mut pool = pool();
     let home = chosen(&pool, &work(7, 200)).unwrap();
--- a/tests/play/crashing.rs
+++ b/tests/play/crashing.rs
@@ -122,7 +122,7 @@
         self.news = later;
         let heard: Vec<(u64, Note)> = heard;
         for (_, note) in heard {
-            self.quarantine.note(note, at(now));
+            self.quarantine.add(note, at(now));
         }
         let guilty = |r: &&Running| r.fingerprint == GUILTY && r.until <= now;
         let ending: HashSet<usize> = self.running.iter().filter(guilty).map(|r| r.server).collect();
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -24,7 +24,7 @@
 fn with(notes: impl IntoIterator<Item = Note>) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for note in notes {
-        quarantine.note(note, START);
+        quarantine.add(note, START);
     }
     quarantine
 }
@@ -55,12 +55,12 @@
     let mut quarantine = with((0..3).map(|i| end(GUILTY, i, i * 1_000)));
 
     for note in quarantine.clearing_notes(GUILTY) {
-        assert!(quarantine.note(note, START));
+        assert!(quarantine.add(note, START));
     }
 
     assert_eq!(quarantine.status(&GUILTY, START), QuarantineStatus::Free);
     assert!(
-        !quarantine.note(end(GUILTY, 2, 2_000), START),
+        !quarantine.add(end(GUILTY, 2, 2_000), START),
         "told once more by one who has not heard"
     );
     assert_eq!(quarantine.status(&GUILTY, START), QuarantineStatus::Free);
@@ -79,13 +79,13 @@
     let mut second = with([end(GUILTY, 7, 1_500)]);
 
     let of_first = case(&first);
-    assert!(second.take_case(&of_first, ms(10), START));
+    assert!(second.merge_case(&of_first, ms(10), START));
     let of_second = case(&second);
-    assert!(first.take_case(&of_second, ms(10), START));
+    assert!(first.merge_case(&of_second, ms(10), START));
 
     assert_eq!(lives(&first).len(), 2);
     assert_eq!(lives(&first), lives(&second));
-    assert!(!second.take_case(&case(&first), ms(10), START), "both know the same");
+    assert!(!second.merge_case(&case(&first), ms(10), START), "both know the same");
 }
 
 /// Five servers of a rack end at once, and a request that many callers send ran on four of them.
@@ -114,7 +114,7 @@
     let mut ends = 0;
     for incarnation in 0.. {
         let fingerprint = Fingerprint(u128::from(incarnation % 2));
-        quarantine.note(end(fingerprint, incarnation, incarnation * 100), START);
+        quarantine.add(end(fingerprint, incarnation, incarnation * 100), START);
         ends += 1;
         if is_refused(&quarantine, Fingerprint(0)) && is_refused(&quarantine, Fingerprint(1)) {
             break;
@@ -170,11 +170,11 @@
     let popular = Fingerprint(2);
     let mut quarantine = with([end(popular, 1, 0)]);
     for note in quarantine.clearing_notes(popular) {
-        quarantine.note(note, START + ms(500));
+        quarantine.add(note, START + ms(500));
     }
 
     for (incarnation, at_ms) in [(2, 1_000), (3, 1_400), (4, 1_800)] {
-        quarantine.note(end(popular, incarnation, at_ms), START + ms(at_ms));
+        quarantine.add(end(popular, incarnation, at_ms), START + ms(at_ms));
     }
 
     let standing = quarantine.status(&popular, START + ms(1_800));
@@ -190,8 +190,8 @@
     let mut there = with((0..3).map(|i| end(GUILTY, i, i)));
     let case = here.begin_trial(&GUILTY, START + ms(400_000)).unwrap();
 
-    assert!(there.take_case(&case, Duration::ZERO, START));
-    assert!(!there.take_case(&case, Duration::ZERO, START), "it is no news any more");
+    assert!(there.merge_case(&case, Duration::ZERO, START));
+    assert!(!there.merge_case(&case, Duration::ZERO, START), "it is no news any more");
 
     let now = START + ms(400_000);
     assert_eq!(here.status(&GUILTY, now), there.status(&GUILTY, now));
@@ -203,7 +203,7 @@
 
     for i in 0..10_000u64 {
         let innocent = Fingerprint(u128::from(i) + 100);
-        quarantine.note(end(innocent, 1_000 + i, 10_000 + i), START + ms(10_000 + i));
+        quarantine.add(end(innocent, 1_000 + i, 10_000 + i), START + ms(10_000 + i));
     }
 
     assert!(is_refused(&quarantine, GUILTY));
@@ -271,7 +271,7 @@
     }
 
     fn see(&mut self, entry: usize, note: Note) {
-        if self.entries[entry].note(note, START) {
+        if self.entries[entry].add(note, START) {
             self.news[entry].push(note);
         }
     }
@@ -341,10 +341,10 @@
     let (mut incarnation, mut sent, mut now) = (0, 0, 0);
     while !is_refused(&quarantine, GUILTY) {
         let ends = rng.random_range(0..servers);
-        quarantine.note(end(GUILTY, incarnation, now), START);
+        quarantine.add(end(GUILTY, incarnation, now), START);
         for (i, server) in at.iter_mut().enumerate().filter(|(_, server)| **server == ends) {
             let innocent = Fingerprint(100 + i as u128);
-            quarantine.note(end(innocent, incarnation, now), START);
+            quarantine.add(end(innocent, incarnation, now), START);
             // Suspects are placed by a hash of their own.
             *server = (ends + rng.random_range(1..servers)) % servers;
         }
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -23,7 +23,7 @@
 /// A belief that heard this limit from the server itself at one second.
 fn heard(rate: f64) -> KnownLimit {
     let mut belief = KnownLimit::default();
-    belief.note(named(rate), ms(900), ms(1_000));
+    belief.record_answer(named(rate), ms(900), ms(1_000));
     belief
 }
 
@@ -31,12 +31,16 @@
 fn a_limit_holds_until_an_answer_to_a_later_request_names_none() {
     let mut belief = heard(1.9);
 
-    assert_eq!(belief.note(AdvertisedLimit::Nothing, ms(950), ms(1_050)), None, "it was overtaken");
+    assert_eq!(
+        belief.record_answer(AdvertisedLimit::Nothing, ms(950), ms(1_050)),
+        None,
+        "it was overtaken"
+    );
     assert_eq!(belief.rate(), Some(1.9));
-    assert_eq!(belief.note(AdvertisedLimit::Unreadable, ms(1_100), ms(1_200)), None);
+    assert_eq!(belief.record_answer(AdvertisedLimit::Unreadable, ms(1_100), ms(1_200)), None);
     assert_eq!(belief.rate(), Some(1.9));
     assert_eq!(
-        belief.note(AdvertisedLimit::Nothing, ms(1_100), ms(1_200)),
+        belief.record_answer(AdvertisedLimit::Nothing, ms(1_100), ms(1_200)),
         Some(LimitChange::Deferrable)
     );
     assert_eq!(belief.rate(), None);
@@ -46,11 +50,11 @@
 fn a_limit_that_falls_is_told_at_once_and_one_that_wavers_or_rises_later() {
     let mut belief = KnownLimit::default();
 
-    assert_eq!(belief.note(named(5.0), ms(0), ms(10)), Some(LimitChange::Urgent));
-    assert_eq!(belief.note(named(4.9), ms(20), ms(30)), Some(LimitChange::Deferrable));
-    assert_eq!(belief.note(named(3.5), ms(32), ms(34)), Some(LimitChange::Deferrable));
-    assert_eq!(belief.note(named(1.0), ms(40), ms(50)), Some(LimitChange::Urgent));
-    assert_eq!(belief.note(named(3.0), ms(60), ms(70)), Some(LimitChange::Deferrable));
+    assert_eq!(belief.record_answer(named(5.0), ms(0), ms(10)), Some(LimitChange::Urgent));
+    assert_eq!(belief.record_answer(named(4.9), ms(20), ms(30)), Some(LimitChange::Deferrable));
+    assert_eq!(belief.record_answer(named(3.5), ms(32), ms(34)), Some(LimitChange::Deferrable));
+    assert_eq!(belief.record_answer(named(1.0), ms(40), ms(50)), Some(LimitChange::Urgent));
+    assert_eq!(belief.record_answer(named(3.0), ms(60), ms(70)), Some(LimitChange::Deferrable));
     assert_eq!(belief.rate(), Some(3.0));
 }
 
@@ -58,7 +62,8 @@
 fn a_limit_that_is_named_over_and_over_is_told_once_a_second() {
     let mut belief = heard(1.9);
 
-    let told = (1..=40).filter(|n| belief.note(named(1.9), ms(0), ms(1_000 + 100 * n)).is_some());
+    let told =
+        (1..=40).filter(|n| belief.record_answer(named(1.9), ms(0), ms(1_000 + 100 * n)).is_some());
 
     assert_eq!(told.count(), 4);
 }
@@ -73,13 +78,13 @@
 fn what_another_entry_heard_later_holds_in_whatever_order_it_is_told() {
     let first = heard(1.9);
     let mut second = first;
-    second.note(AdvertisedLimit::Nothing, ms(2_000), ms(2_100));
+    second.record_answer(AdvertisedLimit::Nothing, ms(2_000), ms(2_100));
     let news = [first.report().unwrap(), second.report().unwrap()];
 
     for order in [[0, 1], [1, 0]] {
         let mut other = KnownLimit::default();
         for i in order {
-            other.take_update(news[i], ms(5_000));
+            other.merge(news[i], ms(5_000));
         }
         assert_eq!(other.rate(), None, "{order:?}");
     }
@@ -90,8 +95,8 @@
     let (mut one, mut other) = (heard(1.9), heard(2.4));
     let (from_one, from_other) = (one.report().unwrap(), other.report().unwrap());
 
-    one.take_update(from_other, ms(1_100));
-    other.take_update(from_one, ms(1_100));
+    one.merge(from_other, ms(1_100));
+    other.merge(from_one, ms(1_100));
 
     assert_eq!((one.rate(), other.rate()), (Some(1.9), Some(1.9)));
 }
@@ -106,7 +111,7 @@
         let (from, to) = (turn % 2, (turn + 1) % 2);
         let news: LimitReport = beliefs[from].report().unwrap();
         let now = ms(2_000 + turn as u64);
-        passed_on += usize::from(beliefs[to].take_update(news, now).is_some());
+        passed_on += usize::from(beliefs[to].merge(news, now).is_some());
     }
 
     assert_eq!(passed_on, 1);
@@ -133,7 +138,7 @@
             while now < lasts {
                 for (log, allowance) in logs.iter_mut().zip(&allowances) {
                     if log.may_send(allowance, now) {
-                        log.note(allowance, now);
+                        log.record(allowance, now);
                         sends.push(now);
                     }
                 }
--- a/tests/sharing.rs
+++ b/tests/sharing.rs
@@ -104,13 +104,13 @@
                 entry.hears_at = now + HEARS_EVERY;
                 let seen = history.iter().find(|(at, _)| *at + entry.lag <= now);
                 if let Some(place) = seen.and_then(|(_, seen)| place_of(&entry.host, seen)) {
-                    entry.belief.note(place, true, now);
+                    entry.belief.update(place, true, now);
                 }
             }
             let Some(place) = entry.belief.get(now) else { continue };
             let Some(allowance) = allowance(rate, place, server) else { continue };
             if entry.sends.may_send(&allowance, now) {
-                entry.sends.note(&allowance, now);
+                entry.sends.record(&allowance, now);
                 arrivals.push(now);
             }
         }
@@ -220,9 +220,9 @@
 #[test]
 fn sides_that_lose_each_other_do_not_each_take_all() {
     let mut belief = PlaceTracker::default();
-    belief.note(Place { rank: 2, entries: 21 }, true, Duration::ZERO);
-    belief.note(Place { rank: 0, entries: 1 }, true, SECOND);
-    belief.note(Place { rank: 0, entries: 1 }, true, SECOND * 50);
+    belief.update(Place { rank: 2, entries: 21 }, true, Duration::ZERO);
+    belief.update(Place { rank: 0, entries: 1 }, true, SECOND);
+    belief.update(Place { rank: 0, entries: 1 }, true, SECOND * 50);
 
     let after = belief.get(Duration::from_secs(60));
 
@@ -233,15 +233,15 @@
 fn fewer_count_once_most_of_all_have_been_told_of_for_a_second() {
     let mut belief = PlaceTracker::default();
     let all = Place { rank: 2, entries: 5 };
-    belief.note(all, true, Duration::ZERO);
+    belief.update(all, true, Duration::ZERO);
     let fewer = Place { rank: 1, entries: 4 };
 
-    belief.note(fewer, true, SECOND * 10);
+    belief.update(fewer, true, SECOND * 10);
     assert_eq!(belief.get(SECOND * 10), Some(all), "a report may be late");
-    belief.note(fewer, true, SECOND * 11);
+    belief.update(fewer, true, SECOND * 11);
     assert_eq!(belief.get(SECOND * 11), Some(fewer));
-    belief.note(Place { rank: 0, entries: 2 }, true, SECOND * 12);
-    belief.note(Place { rank: 0, entries: 2 }, true, SECOND * 20);
+    belief.update(Place { rank: 0, entries: 2 }, true, SECOND * 12);
+    belief.update(Place { rank: 0, entries: 2 }, true, SECOND * 20);
     assert_eq!(belief.get(SECOND * 20), Some(fewer), "others may share on the other side");
 }
 
@@ -250,10 +250,10 @@
 fn a_seed_that_has_just_started_takes_nobody_away() {
     let mut belief = PlaceTracker::default();
     let all = Place { rank: 2, entries: 5 };
-    belief.note(all, true, Duration::ZERO);
+    belief.update(all, true, Duration::ZERO);
 
     for tenth in 100..130 {
-        belief.note(Place { rank: 1, entries: 4 }, false, SECOND / 10 * tenth);
+        belief.update(Place { rank: 1, entries: 4 }, false, SECOND / 10 * tenth);
     }
 
     assert_eq!(belief.get(SECOND * 13), Some(all));
