--- a/tests/model/availability.rs
+++ b/tests/model/availability.rs
@@ -10,21 +10,21 @@
     availability::{Availability, Signals, decide},
 };
 
-use crate::explore::{Found, Step, assert_found, assert_holds, explore};
+use crate::explore::{Exploration, Step, assert_detected, assert_holds, explore};
 
 const TICK: Duration = Duration::from_secs(1);
 /// Ticks for which a draining server serves on, the first half of them as a last resort.
 const DRAIN: u32 = 2;
-const MOST_TICKS: u32 = 5;
-const MOST_ANSWERS: u8 = 3;
-const MOST_LAPSES: u8 = 1;
+const MAX_TICKS: u32 = 5;
+const MAX_ANSWERS: u8 = 3;
+const MAX_LAPSES: u8 = 1;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutation {
     None,
-    StateIsLostWithTheRow,
+    StateLostWithRow,
     ShorterPauseWins,
-    LifeIsIgnored,
+    IncarnationIgnored,
     DrainingEnds,
 }
 
@@ -34,16 +34,16 @@
     Pause(u32),
 }
 
-/// Notices that an entry got from one life: what they were, and when.
+/// Notices that an entry got from one incarnation: what they were, and when.
 type Received = Vec<(Notice, u32)>;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct State {
     now: u32,
-    life: u8,
-    /// Answers on their way, with the life that gave them.
-    under_way: BTreeSet<(u8, Notice)>,
-    /// Whether the row of the present life is in view.
+    incarnation: u8,
+    /// Answers on their way, with the incarnation that gave them.
+    in_transit: BTreeSet<(u8, Notice)>,
+    /// Whether the row of the present incarnation is in view.
     is_listed: bool,
     /// What the entry remembers of lives.
     remembered: BTreeMap<u8, Received>,
@@ -57,11 +57,13 @@
     State { is_listed: true, ..State::default() }
 }
 
-/// Production's state of a life from the notices that are remembered of it.
+/// Production's state of a incarnation from the notices that are remembered of it.
 fn announced(state: &State, mutation: Mutation) -> Announcements {
     let mut announced = Announcements::default();
-    let is_about = |life: u8| life == state.life || mutation == Mutation::LifeIsIgnored;
-    let remembered = state.remembered.iter().filter(|(life, _)| is_about(**life));
+    let applies_to = |incarnation: u8| {
+        incarnation == state.incarnation || mutation == Mutation::IncarnationIgnored
+    };
+    let remembered = state.remembered.iter().filter(|(incarnation, _)| applies_to(**incarnation));
     for (notice, at) in remembered.flat_map(|(_, received)| received) {
         match notice {
             Notice::Draining if mutation == Mutation::DrainingEnds => {}
@@ -80,22 +82,22 @@
 }
 
 /// Whether the entry would send a request to the server now.
-fn is_sent(state: &State, mutation: Mutation) -> bool {
+fn would_send(state: &State, mutation: Mutation) -> bool {
     let announced = announced(state, mutation);
     let signals = Signals { announced, drain: DRAIN * TICK, ..Signals::default() };
     !matches!(decide(&signals, state.now * TICK), Availability::Closed { .. })
 }
 
-fn judge(state: &State, mutation: Mutation) -> Option<&'static str> {
+fn violation(state: &State, mutation: Mutation) -> Option<&'static str> {
     if !state.is_listed {
         return None;
     }
-    let received = state.received.get(&state.life).map_or(&[][..], Vec::as_slice);
+    let received = state.received.get(&state.incarnation).map_or(&[][..], Vec::as_slice);
     let is_closed_by = |(notice, at): &(Notice, u32)| match notice {
         Notice::Draining => state.now >= at + DRAIN / 2,
         Notice::Pause(ticks) => state.now < at + ticks,
     };
-    match (received.iter().any(is_closed_by), is_sent(state, mutation)) {
+    match (received.iter().any(is_closed_by), would_send(state, mutation)) {
         (true, true) => Some("a request is sent to a server that drains or pauses"),
         (false, false) => Some("a server is left out that neither drains nor pauses"),
         _ => None,
@@ -104,28 +106,28 @@
 
 fn next(state: &State, mutation: Mutation) -> Vec<Step<State>> {
     let mut steps = Vec::new();
-    if state.now < MOST_TICKS {
+    if state.now < MAX_TICKS {
         steps.push(("time passes", State { now: state.now + 1, ..state.clone() }));
     }
     for notice in [Notice::Draining, Notice::Pause(1), Notice::Pause(3)] {
         let mut answered = state.clone();
-        if state.answers < MOST_ANSWERS && answered.under_way.insert((state.life, notice)) {
+        if state.answers < MAX_ANSWERS && answered.in_transit.insert((state.incarnation, notice)) {
             answered.answers += 1;
             steps.push(("the server answers", answered));
         }
     }
-    for (life, notice) in &state.under_way {
-        let mut taken = state.clone();
-        taken.under_way.remove(&(*life, *notice));
-        for of in [&mut taken.remembered, &mut taken.received] {
-            of.entry(*life).or_default().push((*notice, state.now));
+    for (incarnation, notice) in &state.in_transit {
+        let mut delivered = state.clone();
+        delivered.in_transit.remove(&(*incarnation, *notice));
+        for of in [&mut delivered.remembered, &mut delivered.received] {
+            of.entry(*incarnation).or_default().push((*notice, state.now));
         }
-        steps.push(("an answer arrives", taken));
+        steps.push(("an answer arrives", delivered));
     }
-    if state.is_listed && state.lapses < MOST_LAPSES {
+    if state.is_listed && state.lapses < MAX_LAPSES {
         let mut lapsed = state.clone();
         (lapsed.is_listed, lapsed.lapses) = (false, state.lapses + 1);
-        if mutation == Mutation::StateIsLostWithTheRow {
+        if mutation == Mutation::StateLostWithRow {
             lapsed.remembered.clear();
         }
         steps.push(("the row lapses", lapsed));
@@ -133,30 +135,32 @@
     if !state.is_listed {
         steps.push(("the row returns", State { is_listed: true, ..state.clone() }));
     }
-    if state.life == 0 {
-        steps
-            .push(("the server starts again", State { life: 1, is_listed: true, ..state.clone() }));
+    if state.incarnation == 0 {
+        steps.push((
+            "the server starts again",
+            State { incarnation: 1, is_listed: true, ..state.clone() },
+        ));
     }
     steps
 }
 
-fn run(mutation: Mutation) -> Found {
-    explore(&start(), |state| next(state, mutation), |state| judge(state, mutation))
+fn run(mutation: Mutation) -> Exploration {
+    explore(&start(), |state| next(state, mutation), |state| violation(state, mutation))
 }
 
 #[test]
-fn a_life_that_drains_or_pauses_gets_nothing_and_another_one_is_not_left_out() {
+fn a_draining_or_paused_incarnation_gets_nothing_and_others_are_used() {
     assert_holds("availability", &run(Mutation::None), 1_000);
 }
 
 #[test]
-fn every_mutation_of_availability_is_found() {
+fn every_mutation_of_availability_is_detected() {
     for mutation in [
-        Mutation::StateIsLostWithTheRow,
+        Mutation::StateLostWithRow,
         Mutation::ShorterPauseWins,
-        Mutation::LifeIsIgnored,
+        Mutation::IncarnationIgnored,
         Mutation::DrainingEnds,
     ] {
-        assert_found("availability", &format!("{mutation:?}"), &run(mutation));
+        assert_detected("availability", &format!("{mutation:?}"), &run(mutation));
     }
 }
--- a/tests/model/charge.rs
+++ b/tests/model/charge.rs
@@ -11,7 +11,7 @@
     policy::charge::{ChargeRecord, Delivery, merge, settle},
 };
 
-use crate::explore::{Found, Step, assert_found, assert_holds, explore};
+use crate::explore::{Exploration, Step, assert_detected, assert_holds, explore};
 
 const REQUESTS: [RequestId; 3] = [1, 2, 3];
 const SETTLERS: usize = 2;
@@ -243,7 +243,7 @@
     (is_settled(state) && missing && !both_died).then_some("a delivered answer was never billed")
 }
 
-fn run(mutation: Mutation) -> Found {
+fn run(mutation: Mutation) -> Exploration {
     explore(&start(), |state| next(state, mutation), broken)
 }
 
@@ -261,6 +261,6 @@
         Mutation::NoFencing,
         Mutation::DeleteBeforeTotals,
     ] {
-        assert_found("charge", &format!("{mutation:?}"), &run(mutation));
+        assert_detected("charge", &format!("{mutation:?}"), &run(mutation));
     }
 }
--- a/tests/model/claim.rs
+++ b/tests/model/claim.rs
@@ -11,7 +11,7 @@
     gate::{Gate, GateDecision, GateView, RefuseReason},
 };
 
-use crate::explore::{Found, Step, assert_found, assert_holds, explore};
+use crate::explore::{Exploration, Step, assert_detected, assert_holds, explore};
 
 const ENTRIES: usize = 2;
 const AGENTS: usize = 2;
@@ -364,7 +364,7 @@
     lied.then_some("a caller was told `not run` of a request that ran")
 }
 
-fn run(mutation: Mutation) -> Found {
+fn run(mutation: Mutation) -> Exploration {
     explore(&start(), |state| next(state, mutation), broken)
 }
 
@@ -382,6 +382,6 @@
         Mutation::TakeOverAbandoned,
         Mutation::NotRunAfterLinkLoss,
     ] {
-        assert_found("claim", &format!("{mutation:?}"), &run(mutation));
+        assert_detected("claim", &format!("{mutation:?}"), &run(mutation));
     }
 }
--- a/tests/model/config.rs
+++ b/tests/model/config.rs
@@ -10,7 +10,7 @@
     resources::{Change, ConfigLog, Kind, Object, Spec, Version, VersionState},
 };
 
-use crate::explore::{Found, Step, assert_found, assert_holds, explore};
+use crate::explore::{Exploration, Step, assert_detected, assert_holds, explore};
 
 const PROCESSES: usize = 4;
 const AGENTS: std::ops::Range<usize> = 2..4;
@@ -238,7 +238,7 @@
     }
 }
 
-fn run(mutation: Mutation) -> Found {
+fn run(mutation: Mutation) -> Exploration {
     explore(&start(), |state| next(state, mutation), |state| state.wrong)
 }
 
@@ -255,6 +255,6 @@
         Mutation::NoCheckFromQueue,
         Mutation::FollowsOlder,
     ] {
-        assert_found("config", &format!("{mutation:?}"), &run(mutation));
+        assert_detected("config", &format!("{mutation:?}"), &run(mutation));
     }
 }
--- a/tests/model/lease.rs
+++ b/tests/model/lease.rs
@@ -8,7 +8,7 @@
 
 use mintmoor::policy::lease::{LeaseAction, LeaseRow, LeaseTerms, LeaseView};
 
-use crate::explore::{Found, Step, assert_found, assert_holds, explore};
+use crate::explore::{Exploration, Step, assert_detected, assert_holds, explore};
 
 const PROCESSES: usize = 2;
 const LAST_TICK: u64 = 7;
@@ -178,7 +178,7 @@
     steps.push(("a protected write arrives", next));
 }
 
-fn run(mutation: Mutation) -> Found {
+fn run(mutation: Mutation) -> Exploration {
     explore(&start(), |state| next(state, mutation), |state| state.wrong)
 }
 
@@ -195,6 +195,6 @@
         Mutation::TakesOverAtOnce,
         Mutation::NoMargin,
     ] {
-        assert_found("lease", &format!("{mutation:?}"), &run(mutation));
+        assert_detected("lease", &format!("{mutation:?}"), &run(mutation));
     }
 }
--- a/tests/model/rate_limit.rs
+++ b/tests/model/rate_limit.rs
@@ -8,131 +8,133 @@
     rate_limit::{AdvertisedLimit, allowance},
 };
 
-use crate::explore::{Found, Step, assert_found, assert_holds, explore};
+use crate::explore::{Exploration, Step, assert_detected, assert_holds, explore};
 
 const ENTRIES: usize = 2;
-const MOST_WORDS: u8 = 3;
-const MOST_KILLS: u8 = 1;
-const MOST_LINK_LOSSES: u8 = 1;
+const MAX_LIMIT_CHANGES: u8 = 3;
+const MAX_RESTARTS: u8 = 1;
+const MAX_LINK_LOSSES: u8 = 1;
 /// Requests a second that the server may name.
 const RATES: [u8; 2] = [1, 3];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutation {
     None,
-    ShareIsNotDivided,
-    EndIsNotTold,
-    OldWordWins,
-    LifeIsIgnored,
+    ShareNotDivided,
+    EndNotShared,
+    OlderReportWins,
+    IncarnationIgnored,
 }
 
-/// What is known of one life, or news of it: the life, the count of changes, and the rate.
-type Word = (u8, u32, Option<u8>);
+/// What is known of one incarnation, or news of it: the incarnation, the count of changes, and the rate.
+type Report = (u8, u32, Option<u8>);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Entry {
     /// What it knows of the lives it has heard of.
-    known: BTreeSet<Word>,
+    known: BTreeSet<Report>,
     /// News on its way to the other one.
-    untold: BTreeSet<Word>,
+    unsent: BTreeSet<Report>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     entries: [Entry; ENTRIES],
     /// What the server names.
-    says: Option<u8>,
-    life: u8,
-    /// Limits that this life has named.
-    named: BTreeSet<u8>,
-    words: u8,
-    kills: u8,
+    advertised: Option<u8>,
+    incarnation: u8,
+    /// Limits that this incarnation has named.
+    ever_advertised: BTreeSet<u8>,
+    limit_changes: u8,
+    restarts: u8,
     link_losses: u8,
-    wrong: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 fn start() -> State {
-    let entry = Entry { known: BTreeSet::new(), untold: BTreeSet::new() };
+    let entry = Entry { known: BTreeSet::new(), unsent: BTreeSet::new() };
     State {
         entries: [entry.clone(), entry],
-        says: None,
-        life: 0,
-        named: BTreeSet::new(),
-        words: 0,
-        kills: 0,
+        advertised: None,
+        incarnation: 0,
+        ever_advertised: BTreeSet::new(),
+        limit_changes: 0,
+        restarts: 0,
         link_losses: 0,
-        wrong: None,
+        violation: None,
     }
 }
 
-/// Production's belief about a life.
-fn belief(entry: &Entry, life: u8, mutation: Mutation) -> KnownLimit {
-    let mut belief = KnownLimit::default();
-    let is_about = |of: u8| of == life || mutation == Mutation::LifeIsIgnored;
+/// Production's belief about an incarnation.
+fn known_limit(entry: &Entry, incarnation: u8, mutation: Mutation) -> KnownLimit {
+    let mut known_limit = KnownLimit::default();
+    let applies_to = |of: u8| of == incarnation || mutation == Mutation::IncarnationIgnored;
     for (of, change, rate) in &entry.known {
-        if is_about(*of) {
-            let news = LimitReport { changes: *change, repeats: 0, rate: rate.map(f64::from) };
-            belief.merge(news, Duration::ZERO);
+        if applies_to(*of) {
+            let report = LimitReport { changes: *change, repeats: 0, rate: rate.map(f64::from) };
+            known_limit.merge(report, Duration::ZERO);
         }
     }
-    belief
+    known_limit
 }
 
-fn word(life: u8, news: LimitReport) -> Word {
-    (life, news.changes, news.rate.map(|rate| rate as u8))
+fn report_of(incarnation: u8, report: LimitReport) -> Report {
+    (incarnation, report.changes, report.rate.map(|rate| rate as u8))
 }
 
-/// Puts what is known of a life in the place of what was.
-fn put(entry: &mut Entry, word: Word) {
-    entry.known.retain(|(life, ..)| *life != word.0);
-    entry.known.insert(word);
+/// Puts what is known of an incarnation in the place of what was.
+fn put(entry: &mut Entry, report: Report) {
+    entry.known.retain(|(incarnation, ..)| *incarnation != report.0);
+    entry.known.insert(report);
 }
 
 /// An answer reaches an entry.
 fn answer(state: &mut State, i: usize, mutation: Mutation) {
-    let said =
-        state.says.map_or(AdvertisedLimit::Nothing, |rate| AdvertisedLimit::Rate(f64::from(rate)));
-    let mut belief = belief(&state.entries[i], state.life, mutation);
-    let change = belief.record_answer(said, Duration::ZERO, Duration::ZERO);
-    let (Some(_), Some(news)) = (change, belief.report()) else {
+    let answer = state
+        .advertised
+        .map_or(AdvertisedLimit::Nothing, |rate| AdvertisedLimit::Rate(f64::from(rate)));
+    let mut known_limit = known_limit(&state.entries[i], state.incarnation, mutation);
+    let change = known_limit.record_answer(answer, Duration::ZERO, Duration::ZERO);
+    let (Some(_), Some(latest)) = (change, known_limit.report()) else {
         return;
     };
-    let word = word(state.life, news);
-    put(&mut state.entries[i], word);
-    if mutation != Mutation::EndIsNotTold || news.rate.is_some() {
-        state.entries[i].untold.insert(word);
+    let report = report_of(state.incarnation, latest);
+    put(&mut state.entries[i], report);
+    if mutation != Mutation::EndNotShared || latest.rate.is_some() {
+        state.entries[i].unsent.insert(report);
     }
 }
 
 /// News reaches an entry.
-fn learn(entry: &mut Entry, (life, change, rate): Word, mutation: Mutation) {
-    let news = LimitReport { changes: change, repeats: 0, rate: rate.map(f64::from) };
-    let mut known = belief(entry, life, Mutation::None);
-    let is_new = known.merge(news, Duration::ZERO).is_some();
-    if is_new || mutation == Mutation::OldWordWins {
-        put(entry, (life, change, rate));
+fn receive(entry: &mut Entry, (incarnation, change, rate): Report, mutation: Mutation) {
+    let report = LimitReport { changes: change, repeats: 0, rate: rate.map(f64::from) };
+    let mut known = known_limit(entry, incarnation, Mutation::None);
+    let is_new = known.merge(report, Duration::ZERO).is_some();
+    if is_new || mutation == Mutation::OlderReportWins {
+        put(entry, (incarnation, change, rate));
     }
 }
 
 /// All news arrives.
-fn settle(state: &mut State, mutation: Mutation) {
+fn deliver_all(state: &mut State, mutation: Mutation) {
     for i in 0..ENTRIES {
-        for word in std::mem::take(&mut state.entries[i].untold) {
-            learn(&mut state.entries[1 - i], word, mutation);
+        for report in std::mem::take(&mut state.entries[i].unsent) {
+            receive(&mut state.entries[1 - i], report, mutation);
         }
     }
 }
 
 fn rates(state: &State, mutation: Mutation) -> [Option<u8>; ENTRIES] {
-    let rate = |entry| belief(entry, state.life, mutation).rate().map(|rate| rate as u8);
+    let rate =
+        |entry| known_limit(entry, state.incarnation, mutation).rate().map(|rate| rate as u8);
     [rate(&state.entries[0]), rate(&state.entries[1])]
 }
 
 /// Requests a second that all entries together may send under a limit.
-fn sent(rate: u8, mutation: Mutation) -> f64 {
+fn total_rate(rate: u8, mutation: Mutation) -> f64 {
     let share = |rank: u32| {
         let place = match mutation {
-            Mutation::ShareIsNotDivided => Place::ALONE,
+            Mutation::ShareNotDivided => Place::ALONE,
             _ => Place { rank, entries: ENTRIES as u32 },
         };
         let allowance = allowance(f64::from(rate), place, 7);
@@ -142,20 +144,22 @@
 }
 
 /// What is wrong in a state as it is.
-fn judge(state: &State, mutation: Mutation) -> Option<&'static str> {
+fn find_violation(state: &State, mutation: Mutation) -> Option<&'static str> {
     let rates = rates(state, mutation);
-    if rates.iter().flatten().any(|rate| !state.named.contains(rate)) {
-        return Some("an entry believes a limit that this life never named");
+    if rates.iter().flatten().any(|rate| !state.ever_advertised.contains(rate)) {
+        return Some("an entry believes a limit that this incarnation never named");
     }
-    if rates[0] == rates[1] && rates[0].is_some_and(|rate| sent(rate, mutation) > f64::from(rate)) {
+    if rates[0] == rates[1]
+        && rates[0].is_some_and(|rate| total_rate(rate, mutation) > f64::from(rate))
+    {
         return Some("the entries together send more than the server takes");
     }
     for i in 0..ENTRIES {
         let mut after = state.clone();
-        settle(&mut after, mutation);
+        deliver_all(&mut after, mutation);
         answer(&mut after, i, mutation);
-        settle(&mut after, mutation);
-        if self::rates(&after, mutation) != [state.says; ENTRIES] {
+        deliver_all(&mut after, mutation);
+        if self::rates(&after, mutation) != [state.advertised; ENTRIES] {
             return Some("an answer does not settle what entries believe");
         }
     }
@@ -164,63 +168,64 @@
 
 fn next(state: &State, mutation: Mutation) -> Vec<Step<State>> {
     let mut steps = Vec::new();
-    if state.wrong.is_some() {
+    if state.violation.is_some() {
         return steps;
     }
     for i in 0..ENTRIES {
         let mut answered = state.clone();
         answer(&mut answered, i, mutation);
         steps.push(("an answer comes", answered));
-        for word in &state.entries[i].untold {
-            let mut told = state.clone();
-            told.entries[i].untold.remove(word);
-            learn(&mut told.entries[1 - i], *word, mutation);
-            steps.push(("news arrives", told));
+        for report in &state.entries[i].unsent {
+            let mut delivered = state.clone();
+            delivered.entries[i].unsent.remove(report);
+            receive(&mut delivered.entries[1 - i], *report, mutation);
+            steps.push(("news arrives", delivered));
         }
-        if state.kills < MOST_KILLS {
-            let mut killed = state.clone();
-            killed.kills += 1;
-            killed.entries[i] = start().entries[i].clone();
+        if state.restarts < MAX_RESTARTS {
+            let mut restarted = state.clone();
+            restarted.restarts += 1;
+            restarted.entries[i] = start().entries[i].clone();
             // The new link begins with all that is known.
-            killed.entries[1 - i].untold = killed.entries[1 - i].known.clone();
-            steps.push(("an entry starts again", killed));
+            restarted.entries[1 - i].unsent = restarted.entries[1 - i].known.clone();
+            steps.push(("an entry starts again", restarted));
         }
     }
-    if state.link_losses < MOST_LINK_LOSSES {
+    if state.link_losses < MAX_LINK_LOSSES {
         let mut lost = state.clone();
         lost.link_losses += 1;
-        lost.entries.iter_mut().for_each(|entry| entry.untold = entry.known.clone());
+        lost.entries.iter_mut().for_each(|entry| entry.unsent = entry.known.clone());
         steps.push(("the link is lost", lost));
     }
-    speak(state, &mut steps);
+    change_limit(state, &mut steps);
     for (_, next) in &mut steps {
-        next.wrong = judge(next, mutation);
+        next.violation = find_violation(next, mutation);
     }
     steps
 }
 
 /// The server names another limit, or none, or starts again.
-fn speak(state: &State, steps: &mut Vec<Step<State>>) {
-    if state.words == MOST_WORDS {
+fn change_limit(state: &State, steps: &mut Vec<Step<State>>) {
+    if state.limit_changes == MAX_LIMIT_CHANGES {
         return;
     }
     let others = RATES.iter().copied().map(Some).chain([None]);
-    for says in others.filter(|says| *says != state.says) {
-        let mut spoken = state.clone();
-        (spoken.words, spoken.says) = (state.words + 1, says);
-        spoken.named.extend(says);
-        steps.push(("the server names another limit", spoken));
+    for advertised in others.filter(|advertised| *advertised != state.advertised) {
+        let mut changed = state.clone();
+        (changed.limit_changes, changed.advertised) = (state.limit_changes + 1, advertised);
+        changed.ever_advertised.extend(advertised);
+        steps.push(("the server names another limit", changed));
     }
-    if state.life == 0 {
-        let mut reborn = state.clone();
-        (reborn.words, reborn.says, reborn.life) = (state.words + 1, None, 1);
-        reborn.named.clear();
-        steps.push(("the server starts again", reborn));
+    if state.incarnation == 0 {
+        let mut restarted = state.clone();
+        (restarted.limit_changes, restarted.advertised, restarted.incarnation) =
+            (state.limit_changes + 1, None, 1);
+        restarted.ever_advertised.clear();
+        steps.push(("the server starts again", restarted));
     }
 }
 
-fn run(mutation: Mutation) -> Found {
-    explore(&start(), |state| next(state, mutation), |state| state.wrong)
+fn run(mutation: Mutation) -> Exploration {
+    explore(&start(), |state| next(state, mutation), |state| state.violation)
 }
 
 #[test]
@@ -229,13 +234,13 @@
 }
 
 #[test]
-fn every_mutation_of_the_rate_limit_is_found() {
+fn every_mutation_of_the_rate_limit_is_detected() {
     for mutation in [
-        Mutation::ShareIsNotDivided,
-        Mutation::EndIsNotTold,
-        Mutation::OldWordWins,
-        Mutation::LifeIsIgnored,
+        Mutation::ShareNotDivided,
+        Mutation::EndNotShared,
+        Mutation::OlderReportWins,
+        Mutation::IncarnationIgnored,
     ] {
-        assert_found("rate limit", &format!("{mutation:?}"), &run(mutation));
+        assert_detected("rate limit", &format!("{mutation:?}"), &run(mutation));
     }
 }
--- a/tests/model/restore.rs
+++ b/tests/model/restore.rs
@@ -9,22 +9,22 @@
     policy::replication::{TablePosition, UpdateAction, UpdateHeader},
 };
 
-use crate::explore::{Found, Step, assert_found, assert_holds, explore};
+use crate::explore::{Exploration, Step, assert_detected, assert_holds, explore};
 
-const MOST_CONFIGURATIONS: u8 = 3;
-const MOST_OTHERS: u8 = 3;
-const MOST_RESTORES: Era = 2;
-const MOST_STARTS: u8 = 1;
+const MAX_CONFIGURATIONS: u8 = 3;
+const MAX_OTHER_WRITES: u8 = 3;
+const MAX_RESTORES: Era = 2;
+const MAX_RESTARTS: u8 = 1;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutation {
     None,
     /// Versions alone are compared.
-    ForgetsEras,
+    IgnoresEras,
     /// Changes are taken in though they follow on rows of another era.
     MixesEras,
     /// What the store lost is not kept for others.
-    KeepsNothing,
+    DropsLostRows,
 }
 
 /// The configuration and another row, and when each was written.
@@ -68,73 +68,73 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     store: Store,
-    copy: Option<Store>,
+    backup: Option<Store>,
     /// Newest configuration that the operator wrote.
     newest: u8,
-    others: u8,
-    starts: u8,
+    other_writes: u8,
+    restarts: u8,
     /// The first follows the store; the second one follows the first, too.
     entries: [Entry; 2],
-    wrong: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 fn start() -> State {
     let mut store = Store::default();
     store.write_configuration(1);
     store.write_other(1);
-    let (copy, entries) = (None, [Entry::default(); 2]);
-    State { store, copy, newest: 1, others: 1, starts: 0, entries, wrong: None }
+    let (backup, entries) = (None, [Entry::default(); 2]);
+    State { store, backup, newest: 1, other_writes: 1, restarts: 0, entries, violation: None }
 }
 
 /// Takes in rows that are shown, as an entry's feed does.
-fn take(entry: &mut Entry, shown: Rows, offer: UpdateHeader, mutation: Mutation) {
+fn apply(entry: &mut Entry, rows: Rows, update: UpdateHeader, mutation: Mutation) {
     let mut position = entry.position;
-    let mut seen = offer;
-    if mutation == Mutation::ForgetsEras {
-        seen.version.era = 0;
+    let mut header = update;
+    if mutation == Mutation::IgnoresEras {
+        header.version.era = 0;
         position.at = position.at.map(|at| StoreVersion { era: 0, ..at });
         position.era = position.era.map(|_| 0);
     }
-    let mut taking = position.action_for(&seen);
-    if mutation == Mutation::MixesEras && taking == UpdateAction::Ignore && !offer.is_whole {
-        taking = UpdateAction::Changes;
+    let mut action = position.action_for(&header);
+    if mutation == Mutation::MixesEras && action == UpdateAction::Ignore && !update.is_whole {
+        action = UpdateAction::Changes;
     }
     let before = entry.rows;
-    match taking {
+    match action {
         UpdateAction::Ignore => return,
         UpdateAction::ConfigurationOnly => {
-            entry.in_force = entry.in_force.max(shown.configuration.0);
+            entry.in_force = entry.in_force.max(rows.configuration.0);
             return;
         }
         UpdateAction::Changes => {
             let known = entry.position.at.map_or(0, |at| at.revision);
-            if shown.configuration.1 > known {
-                entry.rows.configuration = shown.configuration;
+            if rows.configuration.1 > known {
+                entry.rows.configuration = rows.configuration;
             }
-            if shown.other.1 > known {
-                entry.rows.other = shown.other;
+            if rows.other.1 > known {
+                entry.rows.other = rows.other;
             }
         }
         UpdateAction::Whole | UpdateAction::Restored => {
-            entry.rows = shown;
+            entry.rows = rows;
             entry.is_amended = false;
         }
     }
-    if taking == UpdateAction::Restored
-        && before.configuration.0 > shown.configuration.0
-        && mutation != Mutation::KeepsNothing
+    if action == UpdateAction::Restored
+        && before.configuration.0 > rows.configuration.0
+        && mutation != Mutation::DropsLostRows
     {
         entry.rows.configuration.0 = before.configuration.0;
         entry.is_amended = true;
     }
-    entry.position.advance(offer.version);
+    entry.position.advance(update.version);
     entry.in_force = entry.in_force.max(entry.rows.configuration.0);
 }
 
 fn next(state: &State, mutation: Mutation) -> Vec<Step<State>> {
     let mut steps = Vec::new();
     operator_steps(state, &mut steps);
-    copy_steps(state, &mut steps);
+    backup_steps(state, &mut steps);
     for i in 0..2 {
         let mut next = state.clone();
         read_store(&mut next.entries[i], &state.store, mutation);
@@ -143,39 +143,39 @@
     let [first, second] = state.entries;
     if let Some(version) = first.position.at {
         let mut next = state.clone();
-        let offer = UpdateHeader { version, is_whole: true, is_amended: first.is_amended };
-        take(&mut next.entries[1], first.rows, offer, mutation);
+        let update = UpdateHeader { version, is_whole: true, is_amended: first.is_amended };
+        apply(&mut next.entries[1], first.rows, update, mutation);
         let is_behind = next.entries[1].in_force < first.in_force;
         let is_newer = second.position.at.is_some_and(|at| at > version);
         if is_behind && !is_newer {
-            next.wrong = Some("an entry has an older configuration than the one it follows");
+            next.violation = Some("an entry has an older configuration than the one it follows");
         }
         steps.push(("a link brings all rows", next));
     }
-    if state.starts < MOST_STARTS {
+    if state.restarts < MAX_RESTARTS {
         let mut next = state.clone();
-        next.starts += 1;
+        next.restarts += 1;
         next.entries[1] = Entry::default();
         steps.push(("the second entry starts again", next));
     }
-    steps.into_iter().map(|(name, next)| (name, judged(next))).collect()
+    steps.into_iter().map(|(name, next)| (name, checked(next))).collect()
 }
 
 /// Asks for changes, or for all rows where the store has no changes since.
 fn read_store(entry: &mut Entry, store: &Store, mutation: Mutation) {
-    let checks_era = mutation != Mutation::ForgetsEras && mutation != Mutation::MixesEras;
+    let checks_era = mutation != Mutation::IgnoresEras && mutation != Mutation::MixesEras;
     let follows_on =
         |at: &StoreVersion| at.revision <= store.revision && (at.era == store.era || !checks_era);
     let is_whole = !entry.position.at.is_some_and(|at| follows_on(&at));
     if is_whole {
         entry.position.at = None;
     }
-    let offer = UpdateHeader { version: store.version(), is_whole, is_amended: false };
-    take(entry, store.rows, offer, mutation);
+    let update = UpdateHeader { version: store.version(), is_whole, is_amended: false };
+    apply(entry, store.rows, update, mutation);
 }
 
 fn operator_steps(state: &State, steps: &mut Vec<Step<State>>) {
-    if state.newest < MOST_CONFIGURATIONS {
+    if state.newest < MAX_CONFIGURATIONS {
         let mut next = state.clone();
         next.newest += 1;
         next.store.write_configuration(next.newest);
@@ -186,50 +186,50 @@
         next.store.write_configuration(next.newest);
         steps.push(("the operator writes again what was lost", next));
     }
-    if state.others < MOST_OTHERS {
+    if state.other_writes < MAX_OTHER_WRITES {
         let mut next = state.clone();
-        next.others += 1;
-        next.store.write_other(next.others);
+        next.other_writes += 1;
+        next.store.write_other(next.other_writes);
         steps.push(("another row is written", next));
     }
 }
 
-fn copy_steps(state: &State, steps: &mut Vec<Step<State>>) {
-    if state.copy.is_none() {
+fn backup_steps(state: &State, steps: &mut Vec<Step<State>>) {
+    if state.backup.is_none() {
         let mut next = state.clone();
-        next.copy = Some(state.store);
+        next.backup = Some(state.store);
         steps.push(("the store is copied", next));
     }
-    if let Some(copy) = state.copy.filter(|_| state.store.era < MOST_RESTORES) {
+    if let Some(backup) = state.backup.filter(|_| state.store.era < MAX_RESTORES) {
         let mut next = state.clone();
-        next.store = Store { era: state.store.era + 1, ..copy };
+        next.store = Store { era: state.store.era + 1, ..backup };
         steps.push(("the store comes back from the copy", next));
     }
 }
 
-fn judged(mut state: State) -> State {
-    let is_wrong = |entry: &Entry| {
+fn checked(mut state: State) -> State {
+    let differs = |entry: &Entry| {
         entry.position.at == Some(state.store.version())
             && entry.rows.other != state.store.rows.other
     };
-    if state.entries.iter().any(is_wrong) {
-        state.wrong = Some("an entry that follows the store has rows that it has not");
+    if state.entries.iter().any(differs) {
+        state.violation = Some("an entry that follows the store has rows that it has not");
     }
     state
 }
 
-fn run(mutation: Mutation) -> Found {
-    explore(&start(), |state| next(state, mutation), |state| state.wrong)
+fn run(mutation: Mutation) -> Exploration {
+    explore(&start(), |state| next(state, mutation), |state| state.violation)
 }
 
 #[test]
-fn what_the_store_lost_stays_and_what_it_has_is_followed() {
+fn entries_keep_lost_configurations_and_follow_the_restored_store() {
     assert_holds("restore", &run(Mutation::None), 10_000);
 }
 
 #[test]
-fn every_mutation_of_a_restored_store_is_found() {
-    for mutation in [Mutation::ForgetsEras, Mutation::MixesEras, Mutation::KeepsNothing] {
-        assert_found("restore", &format!("{mutation:?}"), &run(mutation));
+fn every_mutation_of_a_restored_store_is_detected() {
+    for mutation in [Mutation::IgnoresEras, Mutation::MixesEras, Mutation::DropsLostRows] {
+        assert_detected("restore", &format!("{mutation:?}"), &run(mutation));
     }
 }
