--- a/src/policy/quarantine.rs
+++ b/src/policy/quarantine.rs
@@ -301,7 +301,7 @@
     fn trial_at(&self, fingerprint: &Fingerprint, record: &RequestRecord) -> Option<Duration> {
         let spread =
             EARLY_TRIAL_SPREAD.mul_f64(f64::from(fingerprint.0 as u8) / f64::from(u8::MAX));
-        let early = self.may_be_innocent(fingerprint, record).then_some(EARLY_TRIAL_DELAY + spread);
+        let early = self.may_be_harmless(fingerprint, record).then_some(EARLY_TRIAL_DELAY + spread);
         let mut delays = early.into_iter().chain([FIRST_TRIAL_DELAY, LAST_TRIAL_DELAY]);
         let last_end = record.counted_ends().last().map_or(Duration::ZERO, |(_, at)| at);
         Some(last_end.max(record.tried_at) + delays.nth(record.trials as usize)?)
@@ -309,7 +309,7 @@
 
     /// Whether it may be innocent: a server answered it whole before, or another request was at all the ends that
     /// count against it. One that many callers send is at most servers, also at those that ended unseen before.
-    fn may_be_innocent(&self, fingerprint: &Fingerprint, record: &RequestRecord) -> bool {
+    fn may_be_harmless(&self, fingerprint: &Fingerprint, record: &RequestRecord) -> bool {
         if record.has_cleared_end() {
             return true;
         }
--- a/src/policy/windowed_retry_budget.rs
+++ b/src/policy/windowed_retry_budget.rs
@@ -31,7 +31,7 @@
 struct Bucket {
     number: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 /// Sends of one entry to one service.
@@ -47,11 +47,11 @@
     }
 
     /// Takes one repeated send from the budget; false when it is used up.
-    pub fn try_repeat(&mut self, limits: &RetryLimits, now: Duration) -> bool {
+    pub fn try_retry(&mut self, limits: &RetryLimits, now: Duration) -> bool {
         if self.remaining(limits, now) < 1.0 {
             return false;
         }
-        self.current_bucket(limits, now).repeats += 1;
+        self.current_bucket(limits, now).retries += 1;
         true
     }
 
@@ -59,10 +59,10 @@
     pub fn remaining(&mut self, limits: &RetryLimits, now: Duration) -> f64 {
         self.current_bucket(limits, now);
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
-        let repeats: u32 = self.buckets.iter().map(|bucket| bucket.repeats).sum();
+        let retries: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
         let allowed = f64::from(requests) * limits.ratio * RATIO_UTILIZATION + limits.extra;
         let minimum = if requests > 0 && limits.ratio > 0.0 { MIN_RETRIES } else { 0.0 };
-        allowed.max(minimum) - f64::from(repeats)
+        allowed.max(minimum) - f64::from(retries)
     }
 
     fn current_bucket(&mut self, limits: &RetryLimits, now: Duration) -> &mut Bucket {
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -321,7 +321,7 @@
     pub(crate) fn try_repeat(&self, service: &str) -> bool {
         let terms = self.send_terms();
         let mut budgets = self.budgets.lock().expect("no panics under the lock");
-        let is_taken = budgets.entry(service.into()).or_default().try_repeat(&terms, self.now());
+        let is_taken = budgets.entry(service.into()).or_default().try_retry(&terms, self.now());
         self.metrics.count_repeat(service, is_taken);
         is_taken
     }
--- a/tests/availability.rs
+++ b/tests/availability.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_server_that_announced_nothing_is_open() {
+fn a_server_without_announcements_is_open() {
     assert_eq!(decide(&signals(), NOW), Availability::Open);
 }
 
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_paused_server_is_closed_until_the_later_end() {
+fn a_paused_server_is_closed_until_its_latest_pause_ends() {
     let mut signals = paused(NOW, 3 * SECOND);
     signals.announced.note_pause(SECOND, NOW + SECOND);
 
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn after_a_pause_the_sends_that_wait_grow_with_the_answers() {
+fn unanswered_sends_after_a_pause_grow_with_the_answers() {
     let mut signals = paused(NOW, SECOND);
     let now = NOW + SECOND;
     let recovering = Availability::Closed { cause: UnavailableCause::Recovering, until: None };
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_server_whose_answers_never_come_is_not_kept_out_after_its_pause() {
+fn recovery_after_a_pause_is_limited_in_time() {
     let mut signals = paused(NOW, SECOND);
     signals.unanswered = 1;
 
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn what_closes_a_server_goes_before_what_makes_it_a_last_resort() {
+fn closing_causes_take_precedence_over_last_resort_causes() {
     let mut signals = draining(NOW);
     signals.announced.note_pause(SECOND, NOW);
     signals.is_ejected = true;
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn an_ejected_server_is_left_out_unless_all_are() {
+fn ejected_servers_are_used_only_if_all_are_ejected() {
     let ejected = Availability::LastResort(UnavailableCause::Ejected);
 
     assert_eq!(used(&[ejected, Availability::Open, ejected]), [1]);
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_draining_server_is_used_after_ejected_ones_and_a_closed_one_never() {
+fn ejected_servers_are_preferred_to_draining_ones_and_closed_ones_are_never_used() {
     let draining = Availability::LastResort(UnavailableCause::Draining);
     let ejected = Availability::LastResort(UnavailableCause::Ejected);
     let closed = Availability::Closed { cause: UnavailableCause::Paused, until: None };
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_pause_is_read_as_seconds_or_as_a_date() {
+fn retry_after_is_parsed_as_seconds_or_as_a_date() {
     let now = SystemTime::UNIX_EPOCH + Duration::from_secs(784_111_777);
     let read = |text| RetryAfter::parse(text, now);
 
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn of_two_pauses_in_one_answer_the_longer_holds() {
+fn the_longer_of_two_pauses_in_one_answer_applies() {
     let (one, two) = (RetryAfter::After(SECOND), RetryAfter::After(2 * SECOND));
 
     assert_eq!(one.longer(two), two);
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The budget of repeated sends that all entries share, played on whole fleets.
+//! The budget of repeated sends that all entries share, trace on whole fleets.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 };
 
 /// What a deployment of this size allows.
-const TERMS: RetryLimits =
+const LIMITS: RetryLimits =
     RetryLimits { ratio: 0.9, extra: 104.0, window: Duration::from_secs(10) };
 /// Time between two rounds in which callers ask.
-const ROUND: Duration = Duration::from_millis(50);
+const STEP: Duration = Duration::from_millis(50);
 
 /// One entry's process as far as the budget goes.
 struct Process {
@@ -25,57 +25,57 @@
     }
 
     /// Lets it know how many entries there are.
-    fn note(&mut self, entries: u32, now: Duration) {
+    fn record_entries(&mut self, entries: u32, now: Duration) {
         self.share.record_entries(entries, now);
     }
 
-    fn terms(&self, now: Duration) -> RetryLimits {
-        RetryLimits { extra: TERMS.extra * self.share.fraction(TERMS.window, now), ..TERMS }
+    fn limits(&self, now: Duration) -> RetryLimits {
+        RetryLimits { extra: LIMITS.extra * self.share.fraction(LIMITS.window, now), ..LIMITS }
     }
 
     fn note_request(&mut self, now: Duration) {
-        self.budget.note_request(&self.terms(now), now);
+        self.budget.note_request(&self.limits(now), now);
     }
 
-    fn try_repeat(&mut self, now: Duration) -> bool {
-        self.budget.try_repeat(&self.terms(now), now)
+    fn try_retry(&mut self, now: Duration) -> bool {
+        self.budget.try_retry(&self.limits(now), now)
     }
 }
 
 /// What a fleet did: when callers asked, and when requests were sent again.
 #[derive(Default)]
-struct Played {
+struct Trace {
     requests: Vec<Duration>,
-    repeats: Vec<Duration>,
+    retries: Vec<Duration>,
 }
 
-impl Played {
+impl Trace {
     /// Repeats in the worst window beyond what its requests, or those of the window before or half
     /// before, allow; at most the extra, if the promise is kept.
     fn worst_excess(&self) -> f64 {
         let within = |all: &[Duration], from: Duration| {
             let after = all.partition_point(|at| *at < from);
-            all.partition_point(|at| *at < from + TERMS.window) - after
+            all.partition_point(|at| *at < from + LIMITS.window) - after
         };
         let excess = |from: &Duration| {
-            let earlier = [Duration::ZERO, TERMS.window / 2, TERMS.window];
-            let asked = earlier.map(|by| within(&self.requests, from.saturating_sub(by)));
-            let asked = asked.into_iter().max().unwrap_or_default();
-            within(&self.repeats, *from) as f64 - TERMS.ratio * asked as f64
+            let earlier = [Duration::ZERO, LIMITS.window / 2, LIMITS.window];
+            let requests = earlier.map(|by| within(&self.requests, from.saturating_sub(by)));
+            let requests = requests.into_iter().max().unwrap_or_default();
+            within(&self.retries, *from) as f64 - LIMITS.ratio * requests as f64
         };
-        self.repeats.iter().map(excess).fold(0.0, f64::max)
+        self.retries.iter().map(excess).fold(0.0, f64::max)
     }
 }
 
 /// A fleet of so many entries; callers ask `rate` times a second in all, from when the entries have
-/// run for `lead`, and each request would be sent again twice. At each time in `restarts` nine
+/// run for `warm_up`, and each request would be sent again twice. At each time in `restarts` nine
 /// entries in ten are killed and start anew.
-fn play(entries: u32, rate: f64, lead: Duration, restarts: &[Duration]) -> Played {
+fn simulate(entries: u32, rate: f64, warm_up: Duration, restarts: &[Duration]) -> Trace {
     let mut fleet: Vec<Process> = (0..entries).map(|_| Process::start(Duration::ZERO)).collect();
-    let mut played = Played::default();
-    let (mut now, mut owed, mut turn) = (Duration::ZERO, 0.0, 0);
-    while now < lead + Duration::from_secs(30) {
-        if restarts.iter().any(|at| (now..now + ROUND).contains(&(lead + *at))) {
+    let mut trace = Trace::default();
+    let (mut now, mut requests_due, mut next_entry) = (Duration::ZERO, 0.0, 0);
+    while now < warm_up + Duration::from_secs(30) {
+        if restarts.iter().any(|at| (now..now + STEP).contains(&(warm_up + *at))) {
             for (i, process) in fleet.iter_mut().enumerate() {
                 if i % 10 != 0 {
                     *process = Process::start(now);
@@ -83,29 +83,29 @@
             }
         }
         for process in &mut fleet {
-            process.note(entries, now);
+            process.record_entries(entries, now);
         }
-        if now >= lead {
-            owed += rate * ROUND.as_secs_f64();
+        if now >= warm_up {
+            requests_due += rate * STEP.as_secs_f64();
         }
-        while owed >= 1.0 {
-            owed -= 1.0;
-            turn = (turn + 1) % fleet.len();
-            fleet[turn].note_request(now);
-            played.requests.push(now);
-            let sent = (0..2).filter(|_| fleet[turn].try_repeat(now)).count();
-            played.repeats.extend(std::iter::repeat_n(now, sent));
+        while requests_due >= 1.0 {
+            requests_due -= 1.0;
+            next_entry = (next_entry + 1) % fleet.len();
+            fleet[next_entry].note_request(now);
+            trace.requests.push(now);
+            let sent = (0..2).filter(|_| fleet[next_entry].try_retry(now)).count();
+            trace.retries.extend(std::iter::repeat_n(now, sent));
         }
-        now += ROUND;
+        now += STEP;
     }
-    played
+    trace
 }
 
-const LEAD: Duration = Duration::from_secs(14);
-const TWICE: [Duration; 2] = [Duration::from_secs(6), Duration::from_secs(10)];
+const WARM_UP: Duration = Duration::from_secs(14);
+const TWO_RESTARTS: [Duration; 2] = [Duration::from_secs(6), Duration::from_secs(10)];
 
 /// What servers saw: while most of them failed and entries were restarted, requests reached them
-/// again more often than the deployment allows: 4,403 repeats for 4,615 requests in 10 s, where 4,258
+/// again more often than the deployment allows: 4,403 retries for 4,615 requests in 10 s, where 4,258
 /// are allowed.
 ///
 /// Order of events: nine servers in ten fail; each entry sends again as much as it thinks it may; nine
@@ -118,15 +118,15 @@
 /// Evidence: what was sent beyond the used part of the ratio, 1,080, is near three lives of 32
 /// entries with an eighth of 104 each, 1,248; without restarts the same day stayed within.
 #[test]
-fn repeats_stay_within_the_budget_of_many_entries_that_are_restarted() {
+fn retries_stay_within_the_budget_across_restarts() {
     for entries in [3, 8, 32, 360] {
-        for restarts in [&[][..], &TWICE] {
-            let played = play(entries, 460.0, LEAD, restarts);
+        for restarts in [&[][..], &TWO_RESTARTS] {
+            let trace = simulate(entries, 460.0, WARM_UP, restarts);
 
-            let excess = played.worst_excess();
+            let excess = trace.worst_excess();
             let restarts = restarts.len();
             assert!(
-                excess <= TERMS.extra,
+                excess <= LIMITS.extra,
                 "{entries} entries, {restarts} restarts: {excess:.0} beyond the ratio"
             );
         }
@@ -136,17 +136,17 @@
 /// With few requests the ratio allows nearly nothing, and the extra is all there is: it has to be
 /// there for a fleet of any size, not only for as many entries as someone assumed.
 #[test]
-fn a_small_fleet_can_use_the_extra() {
+fn a_small_fleet_can_use_the_extra_retries() {
     let entries = 3;
 
-    let played = play(entries, 20.0, LEAD, &[]);
+    let trace = simulate(entries, 20.0, WARM_UP, &[]);
 
-    // All requests of a window are repeated twice if the budget allows it: 400 repeats.
-    let used = played.worst_excess() + (1.0 - 0.8) * TERMS.ratio * 200.0;
-    assert!(used > 0.9 * TERMS.extra, "{used:.0} of {} used", TERMS.extra);
+    // All requests of a window are repeated twice if the budget allows it: 400 retries.
+    let used = trace.worst_excess() + (1.0 - 0.8) * LIMITS.ratio * 200.0;
+    assert!(used > 0.9 * LIMITS.extra, "{used:.0} of {} used", LIMITS.extra);
 }
 
-fn heard(entries: u32, at: Duration) -> ExtraShare {
+fn share_after_report(entries: u32, at: Duration) -> ExtraShare {
     let mut share = ExtraShare::new(Duration::ZERO);
     share.record_entries(entries, at);
     share
@@ -155,49 +155,49 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn the_parts_of_all_entries_make_up_the_whole() {
+fn the_fractions_of_all_entries_sum_to_one() {
     for entries in [1, 3, 32, 360] {
-        let share = heard(entries, SECOND * 20);
+        let share = share_after_report(entries, SECOND * 20);
 
-        let all = share.fraction(TERMS.window, SECOND * 21) * f64::from(entries);
+        let all = share.fraction(LIMITS.window, SECOND * 21) * f64::from(entries);
 
         assert!((all - 1.0).abs() < 1e-9, "{entries} entries use {all}");
     }
 }
 
 #[test]
-fn a_new_process_has_no_part_while_the_one_before_counts() {
+fn a_new_process_has_no_share_while_its_predecessor_counts() {
     let mut share = ExtraShare::new(SECOND * 5);
-    let mut part_at = |now: Duration| {
+    let mut fraction_at = |now: Duration| {
         share.record_entries(4, now);
-        share.fraction(TERMS.window, now)
+        share.fraction(LIMITS.window, now)
     };
 
-    assert_eq!(part_at(SECOND * 6), 0.0);
-    assert_eq!(part_at(SECOND * 15), 0.0);
-    assert!(part_at(SECOND * 19) > 0.0);
+    assert_eq!(fraction_at(SECOND * 6), 0.0);
+    assert_eq!(fraction_at(SECOND * 15), 0.0);
+    assert!(fraction_at(SECOND * 19) > 0.0);
 }
 
 #[test]
-fn an_entry_that_hears_of_nobody_has_no_part() {
-    let share = heard(4, SECOND * 20);
+fn an_entry_without_reports_has_no_share() {
+    let share = share_after_report(4, SECOND * 20);
 
-    assert!(share.fraction(TERMS.window, SECOND * 22) > 0.0);
-    assert_eq!(share.fraction(TERMS.window, SECOND * 24), 0.0);
-    assert_eq!(ExtraShare::new(Duration::ZERO).fraction(TERMS.window, SECOND * 20), 0.0);
+    assert!(share.fraction(LIMITS.window, SECOND * 22) > 0.0);
+    assert_eq!(share.fraction(LIMITS.window, SECOND * 24), 0.0);
+    assert_eq!(ExtraShare::new(Duration::ZERO).fraction(LIMITS.window, SECOND * 20), 0.0);
 }
 
 /// Entries that lose each other see fewer than there are; with parts that grow meanwhile each side
 /// would use the whole.
 #[test]
-fn a_part_does_not_grow_while_entries_are_out_of_sight() {
-    let mut share = heard(8, SECOND * 20);
-    let together = share.fraction(TERMS.window, SECOND * 20);
+fn a_share_does_not_grow_during_a_partition() {
+    let mut share = share_after_report(8, SECOND * 20);
+    let together = share.fraction(LIMITS.window, SECOND * 20);
 
     share.record_entries(4, SECOND * 60);
-    let apart = share.fraction(TERMS.window, SECOND * 60);
+    let apart = share.fraction(LIMITS.window, SECOND * 60);
     share.record_entries(4, SECOND * 3_000);
-    let long_after = share.fraction(TERMS.window, SECOND * 3_000);
+    let long_after = share.fraction(LIMITS.window, SECOND * 3_000);
 
     assert_eq!(apart, together);
     assert!(long_after > apart, "entries that were taken away for good are forgotten");
@@ -205,10 +205,10 @@
 
 /// Entries double in number while half of the old ones hear nothing of it.
 #[test]
-fn repeats_stay_within_the_budget_when_entries_come_that_some_do_not_hear_of() {
+fn retries_stay_within_the_budget_when_some_entries_do_not_learn_of_new_ones() {
     let mut old: Vec<Process> = (0..8).map(|_| Process::start(Duration::ZERO)).collect();
     let mut new: Vec<Process> = Vec::new();
-    let mut played = Played::default();
+    let mut trace = Trace::default();
     let mut now = Duration::ZERO;
     while now < SECOND * 60 {
         if now == SECOND * 20 {
@@ -218,16 +218,16 @@
         for (i, process) in old.iter_mut().chain(&mut new).enumerate() {
             let is_cut_off = i < 4 && now >= SECOND * 20;
             if !is_cut_off {
-                process.note(entries, now);
+                process.record_entries(entries, now);
             }
-            while process.try_repeat(now) {
-                played.repeats.push(now);
+            while process.try_retry(now) {
+                trace.retries.push(now);
             }
         }
-        now += ROUND;
+        now += STEP;
     }
 
-    let excess = played.worst_excess();
-    assert!(excess > 0.9 * TERMS.extra, "{excess:.0} used");
-    assert!(excess <= TERMS.extra, "{excess:.0} beyond the ratio");
+    let excess = trace.worst_excess();
+    assert!(excess > 0.9 * LIMITS.extra, "{excess:.0} used");
+    assert!(excess <= LIMITS.extra, "{excess:.0} beyond the ratio");
 }
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -287,7 +287,7 @@
             if is_request {
                 entries[entry].note_request(&terms(), now);
                 requests.push(now);
-            } else if entries[entry].try_repeat(&terms(), now) {
+            } else if entries[entry].try_retry(&terms(), now) {
                 repeats.push(now);
             }
             let from = now.saturating_sub(terms().window);
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -10,7 +10,7 @@
 use rand::{RngExt, SeedableRng, seq::SliceRandom};
 use rand_chacha::ChaCha8Rng;
 
-const GUILTY: Fingerprint = Fingerprint(1);
+const CRASHING: Fingerprint = Fingerprint(1);
 const START: Duration = Duration::from_secs(1_000);
 
 fn ms(ms: u64) -> Duration {
@@ -21,7 +21,7 @@
     Note::End { fingerprint, incarnation, at: START + ms(at_ms) }
 }
 
-fn with(notes: impl IntoIterator<Item = Note>) -> Quarantine {
+fn quarantine_of(notes: impl IntoIterator<Item = Note>) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for note in notes {
         quarantine.add(note, START);
@@ -36,80 +36,84 @@
 
 #[test]
 fn a_request_is_refused_from_the_third_end_on() {
-    let ends: Vec<Note> = (0..3).map(|i| end(GUILTY, i, i * 1_000)).collect();
+    let ends: Vec<Note> = (0..3).map(|i| end(CRASHING, i, i * 1_000)).collect();
 
-    assert_eq!(with([]).status(&GUILTY, START), QuarantineStatus::Free);
-    assert_eq!(with(ends[..2].to_vec()).status(&GUILTY, START), QuarantineStatus::Suspect);
-    assert!(is_refused(&with(ends), GUILTY));
+    assert_eq!(quarantine_of([]).status(&CRASHING, START), QuarantineStatus::Free);
+    assert_eq!(
+        quarantine_of(ends[..2].to_vec()).status(&CRASHING, START),
+        QuarantineStatus::Suspect
+    );
+    assert!(is_refused(&quarantine_of(ends), CRASHING));
 }
 
 #[test]
-fn one_end_told_by_many_counts_once() {
-    let ends = (0..20).map(|i| end(GUILTY, 7, i * 1_000));
+fn one_end_reported_by_many_counts_once() {
+    let ends = (0..20).map(|i| end(CRASHING, 7, i * 1_000));
 
-    assert_eq!(with(ends).status(&GUILTY, START), QuarantineStatus::Suspect);
+    assert_eq!(quarantine_of(ends).status(&CRASHING, START), QuarantineStatus::Suspect);
 }
 
 #[test]
-fn a_whole_answer_clears_it_for_good() {
-    let mut quarantine = with((0..3).map(|i| end(GUILTY, i, i * 1_000)));
+fn a_complete_answer_clears_a_request_for_good() {
+    let mut quarantine = quarantine_of((0..3).map(|i| end(CRASHING, i, i * 1_000)));
 
-    for note in quarantine.clearing_notes(GUILTY) {
+    for note in quarantine.clearing_notes(CRASHING) {
         assert!(quarantine.add(note, START));
     }
 
-    assert_eq!(quarantine.status(&GUILTY, START), QuarantineStatus::Free);
+    assert_eq!(quarantine.status(&CRASHING, START), QuarantineStatus::Free);
     assert!(
-        !quarantine.add(end(GUILTY, 2, 2_000), START),
+        !quarantine.add(end(CRASHING, 2, 2_000), START),
         "told once more by one who has not heard"
     );
-    assert_eq!(quarantine.status(&GUILTY, START), QuarantineStatus::Free);
+    assert_eq!(quarantine.status(&CRASHING, START), QuarantineStatus::Free);
 }
 
 /// A server was back and ended again before the list told of its next life; each end was seen by an entry that
 /// had not heard of the other one.
 #[test]
-fn two_lives_under_one_listing_are_told_apart_whoever_tells_first() {
-    let lives = |quarantine: &Quarantine| {
+fn two_incarnations_under_one_listing_are_distinguished_in_any_order() {
+    let incarnations = |quarantine: &Quarantine| {
         let cases = quarantine.cases(false, START + ms(3_000));
         cases[0].ends.iter().map(|(incarnation, _)| *incarnation).collect::<Vec<_>>()
     };
     let case = |quarantine: &Quarantine| quarantine.cases(false, START + ms(3_000))[0].clone();
-    let mut first = with([end(GUILTY, 7, 0)]);
-    let mut second = with([end(GUILTY, 7, 1_500)]);
+    let mut first = quarantine_of([end(CRASHING, 7, 0)]);
+    let mut second = quarantine_of([end(CRASHING, 7, 1_500)]);
 
-    let of_first = case(&first);
-    assert!(second.merge_case(&of_first, ms(10), START));
-    let of_second = case(&second);
-    assert!(first.merge_case(&of_second, ms(10), START));
+    let first_case = case(&first);
+    assert!(second.merge_case(&first_case, ms(10), START));
+    let second_case = case(&second);
+    assert!(first.merge_case(&second_case, ms(10), START));
 
-    assert_eq!(lives(&first).len(), 2);
-    assert_eq!(lives(&first), lives(&second));
+    assert_eq!(incarnations(&first).len(), 2);
+    assert_eq!(incarnations(&first), incarnations(&second));
     assert!(!second.merge_case(&case(&first), ms(10), START), "both know the same");
 }
 
 /// Five servers of a rack end at once, and a request that many callers send ran on four of them.
 #[test]
-fn a_racks_loss_is_one_event_for_what_ran_on_some_of_it() {
+fn a_rack_failure_counts_once_for_a_request_on_some_of_its_servers() {
     let popular = (0..4).map(|incarnation| end(Fingerprint(2), incarnation, incarnation * 20));
     let other = end(Fingerprint(3), 4, 50);
 
-    let quarantine = with(popular.chain([other]));
+    let quarantine = quarantine_of(popular.chain([other]));
 
     assert_eq!(quarantine.status(&Fingerprint(2), START), QuarantineStatus::Suspect);
 }
 
 /// The same request under way three times ends three servers at once, and no other server ends.
 #[test]
-fn three_servers_that_end_at_once_under_one_request_alone_count_three() {
-    let quarantine = with((0..3).map(|incarnation| end(GUILTY, incarnation, incarnation * 20)));
+fn simultaneous_ends_under_one_request_alone_count_separately() {
+    let quarantine =
+        quarantine_of((0..3).map(|incarnation| end(CRASHING, incarnation, incarnation * 20)));
 
-    assert!(is_refused(&quarantine, GUILTY));
+    assert!(is_refused(&quarantine, CRASHING));
 }
 
 /// Two requests that end servers at the same time don't cover each other up for long.
 #[test]
-fn two_that_end_servers_meanwhile_are_both_found() {
+fn two_crashing_requests_at_the_same_time_are_both_refused() {
     let mut quarantine = Quarantine::default();
     let mut ends = 0;
     for incarnation in 0.. {
@@ -126,9 +130,9 @@
 }
 
 #[test]
-fn trials_are_two_and_further_and_further_apart() {
-    let mut quarantine = with((0..3).map(|i| end(GUILTY, i, i)));
-    let trial_in = |quarantine: &Quarantine, now| match quarantine.status(&GUILTY, now) {
+fn two_trials_follow_with_growing_delays() {
+    let mut quarantine = quarantine_of((0..3).map(|i| end(CRASHING, i, i)));
+    let trial_in = |quarantine: &Quarantine, now| match quarantine.status(&CRASHING, now) {
         QuarantineStatus::Refused { trial_in } => trial_in,
         standing => panic!("{standing:?}"),
     };
@@ -136,9 +140,9 @@
     let first = trial_in(&quarantine, START).unwrap();
     assert!(first > Duration::from_secs(60), "nobody else was there");
     let tried_at = START + first;
-    quarantine.begin_trial(&GUILTY, tried_at).unwrap();
+    quarantine.begin_trial(&CRASHING, tried_at).unwrap();
     let second = trial_in(&quarantine, tried_at).unwrap();
-    quarantine.begin_trial(&GUILTY, tried_at + second).unwrap();
+    quarantine.begin_trial(&CRASHING, tried_at + second).unwrap();
 
     assert!(second >= 4 * first);
     assert_eq!(trial_in(&quarantine, tried_at + second), None);
@@ -146,10 +150,10 @@
 
 /// One that many callers send was wherever the guilty one was, and nothing tells them apart but a trial.
 #[test]
-fn a_request_that_may_be_innocent_is_tried_soon() {
+fn a_request_that_may_be_harmless_is_tried_early() {
     let popular = Fingerprint(2);
-    let both = (0..3).flat_map(|i| [end(GUILTY, i, i * 400), end(popular, i, i * 400)]);
-    let mut quarantine = with(both);
+    let both = (0..3).flat_map(|i| [end(CRASHING, i, i * 400), end(popular, i, i * 400)]);
+    let mut quarantine = quarantine_of(both);
     let trial_in = |quarantine: &Quarantine, now| match quarantine.status(&popular, now) {
         QuarantineStatus::Refused { trial_in } => trial_in.unwrap(),
         standing => panic!("{standing:?}"),
@@ -166,9 +170,9 @@
 /// It was answered whole a moment ago, and its connections broke at servers that had ended before, which nobody could
 /// see: no other request was at those ends.
 #[test]
-fn so_is_one_that_servers_have_answered_whole() {
+fn a_request_with_a_complete_answer_is_tried_early() {
     let popular = Fingerprint(2);
-    let mut quarantine = with([end(popular, 1, 0)]);
+    let mut quarantine = quarantine_of([end(popular, 1, 0)]);
     for note in quarantine.clearing_notes(popular) {
         quarantine.add(note, START + ms(500));
     }
@@ -185,34 +189,34 @@
 }
 
 #[test]
-fn a_trial_that_another_entry_made_is_known_from_the_store() {
-    let mut here = with((0..3).map(|i| end(GUILTY, i, i)));
-    let mut there = with((0..3).map(|i| end(GUILTY, i, i)));
-    let case = here.begin_trial(&GUILTY, START + ms(400_000)).unwrap();
+fn a_trial_by_another_entry_is_learned_from_the_store() {
+    let mut here = quarantine_of((0..3).map(|i| end(CRASHING, i, i)));
+    let mut there = quarantine_of((0..3).map(|i| end(CRASHING, i, i)));
+    let case = here.begin_trial(&CRASHING, START + ms(400_000)).unwrap();
 
     assert!(there.merge_case(&case, Duration::ZERO, START));
     assert!(!there.merge_case(&case, Duration::ZERO, START), "it is no news any more");
 
     let now = START + ms(400_000);
-    assert_eq!(here.status(&GUILTY, now), there.status(&GUILTY, now));
+    assert_eq!(here.status(&CRASHING, now), there.status(&CRASHING, now));
 }
 
 #[test]
-fn what_is_known_is_bounded_and_the_refused_are_forgotten_last() {
-    let mut quarantine = with((0..3).map(|i| end(GUILTY, i, i)));
+fn records_are_bounded_and_refused_requests_are_evicted_last() {
+    let mut quarantine = quarantine_of((0..3).map(|i| end(CRASHING, i, i)));
 
     for i in 0..10_000u64 {
-        let innocent = Fingerprint(u128::from(i) + 100);
-        quarantine.add(end(innocent, 1_000 + i, 10_000 + i), START + ms(10_000 + i));
+        let harmless = Fingerprint(u128::from(i) + 100);
+        quarantine.add(end(harmless, 1_000 + i, 10_000 + i), START + ms(10_000 + i));
     }
 
-    assert!(is_refused(&quarantine, GUILTY));
+    assert!(is_refused(&quarantine, CRASHING));
     assert!(quarantine.cases(false, START).len() <= 4_096);
 }
 
 #[test]
-fn what_is_old_is_forgotten() {
-    let mut quarantine = with([end(GUILTY, 1, 0)]);
+fn old_records_expire() {
+    let mut quarantine = quarantine_of([end(CRASHING, 1, 0)]);
 
     assert!(!quarantine.expire(START + Duration::from_secs(60)));
     assert!(quarantine.expire(START + Duration::from_secs(2 * 60 * 60)));
@@ -235,7 +239,7 @@
 proptest! {
     /// Notes come late, twice, and in any order.
     #[test]
-    fn the_order_of_the_news_does_not_matter(
+    fn the_order_of_the_notes_does_not_matter(
         notes in proptest::collection::vec(any_note(), 0..40),
         seed in any::<u64>(),
     ) {
@@ -243,7 +247,7 @@
         let mut others: Vec<Note> = notes.iter().chain(&notes).copied().collect();
         others.shuffle(&mut rng);
 
-        let (one, other) = (with(notes), with(others));
+        let (one, other) = (quarantine_of(notes), quarantine_of(others));
 
         // The time of an end that was annulled first is that of the news, and counts nowhere.
         prop_assert_eq!(standings(&one), standings(&other));
@@ -255,8 +259,8 @@
 struct Fleet {
     entries: Vec<Quarantine>,
     /// Notes that each entry has yet to tell.
-    news: Vec<Vec<Note>>,
-    told: usize,
+    pending: Vec<Vec<Note>>,
+    sent: usize,
 }
 
 const SEEDS: usize = 3;
@@ -265,34 +269,34 @@
     fn of(entries: usize) -> Self {
         Self {
             entries: vec![Quarantine::default(); entries],
-            news: vec![Vec::new(); entries],
-            told: 0,
+            pending: vec![Vec::new(); entries],
+            sent: 0,
         }
     }
 
-    fn see(&mut self, entry: usize, note: Note) {
+    fn observe(&mut self, entry: usize, note: Note) {
         if self.entries[entry].add(note, START) {
-            self.news[entry].push(note);
+            self.pending[entry].push(note);
         }
     }
 
     /// Everybody tells what is new; whether anybody had something.
     fn exchange_notes(&mut self, rng: &mut ChaCha8Rng) -> bool {
-        let news: Vec<Vec<Note>> = self.news.iter_mut().map(std::mem::take).collect();
-        for (from, notes) in news.iter().enumerate() {
-            let listeners = if from < SEEDS { self.entries.len() } else { SEEDS };
-            for to in (0..listeners).filter(|to| *to != from) {
+        let pending: Vec<Vec<Note>> = self.pending.iter_mut().map(std::mem::take).collect();
+        for (from, notes) in pending.iter().enumerate() {
+            let receivers = if from < SEEDS { self.entries.len() } else { SEEDS };
+            for to in (0..receivers).filter(|to| *to != from) {
                 for note in notes {
-                    self.told += 1;
-                    self.see(to, later(*note, rng.random_range(0..900)));
+                    self.sent += 1;
+                    self.observe(to, delayed(*note, rng.random_range(0..900)));
                 }
             }
         }
-        news.iter().any(|notes| !notes.is_empty())
+        pending.iter().any(|notes| !notes.is_empty())
     }
 }
 
-fn later(note: Note, by_ms: u64) -> Note {
+fn delayed(note: Note, by_ms: u64) -> Note {
     match note {
         Note::End { fingerprint, incarnation, at } => {
             Note::End { fingerprint, incarnation, at: at + ms(by_ms) }
@@ -304,18 +308,18 @@
 /// News that each entry takes for newer than the one before would go round without end, as many a second as
 /// links bear.
 #[test]
-fn what_entries_tell_each_other_comes_to_rest_with_all_of_one_mind() {
+fn the_exchange_of_notes_converges_and_ends() {
     for (entries, seed) in [(3, 1), (17, 2), (103, 3), (360, 4)] {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut fleet = Fleet::of(entries);
         for i in 0..12 {
             let entry = rng.random_range(0..entries);
-            fleet.see(entry, end(Fingerprint(u128::from(i % 3)), i, 2_000 * i));
+            fleet.observe(entry, end(Fingerprint(u128::from(i % 3)), i, 2_000 * i));
         }
         while fleet.exchange_notes(&mut rng) {}
         let clearing = rng.random_range(0..entries);
         for note in fleet.entries[clearing].clearing_notes(Fingerprint(0)) {
-            fleet.see(clearing, note);
+            fleet.observe(clearing, note);
         }
 
         let mut rounds = 0;
@@ -328,52 +332,53 @@
         let refused = |q: &Quarantine| (1..3).all(|f| is_refused(q, Fingerprint(f)));
         assert!(fleet.entries.iter().all(|q| free(q) && refused(q)), "{entries} entries");
         // Each note crosses each link between a seed and an entry twice at most.
-        assert!(fleet.told <= 2 * 16 * SEEDS * entries, "{} told", fleet.told);
+        assert!(fleet.sent <= 2 * 16 * SEEDS * entries, "{} told", fleet.sent);
     }
 }
 
 /// A pool under one guilty request, beside innocent ones that go on elsewhere when a server ends: how often the
 /// guilty one is sent, and how many innocent ones are refused.
-fn play(servers: usize, beside: usize, seed: u64) -> (usize, usize) {
+fn simulate(servers: usize, harmless_per_server: usize, seed: u64) -> (usize, usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut quarantine = Quarantine::default();
-    let mut at: Vec<usize> = (0..beside * servers).map(|i| i % servers).collect();
+    let mut at: Vec<usize> = (0..harmless_per_server * servers).map(|i| i % servers).collect();
     let (mut incarnation, mut sent, mut now) = (0, 0, 0);
-    while !is_refused(&quarantine, GUILTY) {
+    while !is_refused(&quarantine, CRASHING) {
         let ends = rng.random_range(0..servers);
-        quarantine.add(end(GUILTY, incarnation, now), START);
+        quarantine.add(end(CRASHING, incarnation, now), START);
         for (i, server) in at.iter_mut().enumerate().filter(|(_, server)| **server == ends) {
-            let innocent = Fingerprint(100 + i as u128);
-            quarantine.add(end(innocent, incarnation, now), START);
+            let harmless = Fingerprint(100 + i as u128);
+            quarantine.add(end(harmless, incarnation, now), START);
             // Suspects are placed by a hash of their own.
             *server = (ends + rng.random_range(1..servers)) % servers;
         }
         (incarnation, sent, now) = (incarnation + 1, sent + 1, now + 400);
     }
-    let innocents = 100..100 + at.len() as u128;
-    let refused = innocents.filter(|f| is_refused(&quarantine, Fingerprint(*f))).count();
+    let harmless = 100..100 + at.len() as u128;
+    let refused = harmless.filter(|f| is_refused(&quarantine, Fingerprint(*f))).count();
     (sent, refused)
 }
 
 #[test]
-fn the_guilty_is_told_from_what_runs_beside_it() {
-    for (servers, beside) in [(3, 10), (9, 10), (160, 16)] {
-        let played: Vec<_> = (0..100).map(|seed| play(servers, beside, seed)).collect();
-        let most_sent = played.iter().map(|(sent, _)| *sent).max().unwrap();
-        let refused: usize = played.iter().map(|(_, refused)| *refused).sum();
-        let innocents = 100 * servers * beside;
-
-        println!("{servers} servers: {refused} of {innocents} innocent requests refused");
+fn a_crashing_request_is_distinguished_from_harmless_ones() {
+    for (servers, harmless_per_server) in [(3, 10), (9, 10), (160, 16)] {
+        let runs: Vec<_> =
+            (0..100).map(|seed| simulate(servers, harmless_per_server, seed)).collect();
+        let most_sent = runs.iter().map(|(sent, _)| *sent).max().unwrap();
+        let refused: usize = runs.iter().map(|(_, refused)| *refused).sum();
+        let harmless = 100 * servers * harmless_per_server;
+
+        println!("{servers} servers: {refused} of {harmless} innocent requests refused");
         assert_eq!(most_sent, REFUSED_AFTER);
         // One of the ten at an end is at the next one too where there are nine servers.
-        let share = refused as f64 / innocents as f64;
+        let share = refused as f64 / harmless as f64;
         assert!(share <= 1.5 / (servers * servers) as f64, "{share}");
     }
 }
 
 /// What an Organisation sends is never taken for what another one sent.
 #[test]
-fn fingerprints_tell_apart_what_differs_in_anything_that_matters() {
+fn fingerprints_differ_by_organisation_path_and_body() {
     let texts = ["a", "b", "ab", "a\0b", ""];
     let mut seen = HashSet::new();
     for organisation in texts {
