--- a/src/router/member.rs
+++ b/src/router/member.rs
@@ -165,7 +165,7 @@
         let mut state = self.state();
         let may = state.limited_sends.may_send(allowance, now);
         if may {
-            state.limited_sends.note(allowance, now);
+            state.limited_sends.record(allowance, now);
         }
         may
     }
@@ -223,7 +223,7 @@
         let mut state = self.state();
         state.outlier.note_answer(&OUTLIER_RULES);
         state.send_window.note_answer();
-        state.failure_rate.note(false, now);
+        state.failure_rate.record(false, now);
         state.announced.note_answer(now)
     }
 
@@ -231,7 +231,7 @@
     pub(crate) fn note_failure(&self, now: Duration) {
         let mut state = self.state();
         state.outlier.note_failure(&OUTLIER_RULES, now);
-        state.failure_rate.note(true, now);
+        state.failure_rate.record(true, now);
     }
 
     /// Notes that nobody listens at the server's address, which one refusal shows.
@@ -239,7 +239,7 @@
         let mut state = self.state();
         state.unreachable_at = Some(now);
         state.outlier.note_unreachable(&OUTLIER_RULES, now);
-        state.failure_rate.note(true, now);
+        state.failure_rate.record(true, now);
     }
 
     /// Notes that something came from the server.
--- a/src/router/shared_limits.rs
+++ b/src/router/shared_limits.rs
@@ -137,14 +137,14 @@
         if self.rate_limited() == 0 && !matches!(said, AdvertisedLimit::Rate(_)) {
             return None;
         }
-        self.update(life, true, |belief| belief.note(said, sent_at, now))
+        self.update(life, true, |belief| belief.record_answer(said, sent_at, now))
     }
 
     /// Takes in what another entry reports; what changed by it.
     pub(crate) fn apply_updates(&self, reported: &[LimitUpdate], now: Duration) -> Vec<RateChange> {
         let take = |reported: &LimitUpdate| {
             let (life, news) = reported.read();
-            self.update(life, false, |belief| belief.take_update(news, now))
+            self.update(life, false, |belief| belief.merge(news, now))
         };
         reported.iter().filter_map(take).collect()
     }
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -128,7 +128,7 @@
             link: PeerLink::default(),
             metrics: Metrics::default(),
             retry_budgets: Mutex::default(),
-            extra_share: Mutex::new(ExtraShare::started_at(CLOCK_ORIGIN)),
+            extra_share: Mutex::new(ExtraShare::new(CLOCK_ORIGIN)),
             overloads: Mutex::default(),
             readings: SpeedEstimates::default(),
             lifecycle: Mutex::new(lifecycle::start()),
@@ -323,7 +323,7 @@
         let terms = self.send_terms();
         let mut retry_budgets = self.retry_budgets.lock().expect("no panics under the lock");
         let is_taken =
-            retry_budgets.entry(service.into()).or_default().try_repeat(&terms, self.now());
+            retry_budgets.entry(service.into()).or_default().try_retry(&terms, self.now());
         self.metrics.count_repeat(service, is_taken);
         is_taken
     }
@@ -348,7 +348,7 @@
         let named = self.settings.load().seed_peers.len();
         let entries = u32::try_from(entries.max(named)).unwrap_or(u32::MAX);
         let mut share = self.extra_share.lock().expect("no panics under the lock");
-        share.note(entries, self.now());
+        share.record_entries(entries, self.now());
     }
 
     /// Entries that this one knows of.
