--- a/src/policy/choice.rs
+++ b/src/policy/choice.rs
@@ -9,12 +9,12 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Points of each server on the ring.
-const POINTS: u64 = 16;
+const VIRTUAL_NODES: u64 = 16;
 /// Servers the ring prefers: one for the session, one for the prefix.
 pub const RING_CANDIDATES: usize = 2;
-const RANDOM: usize = 2;
+const RANDOM_CANDIDATES: usize = 2;
 /// Servers compared at most.
-pub const CANDIDATES: usize = RING_CANDIDATES + RANDOM;
+pub const MAX_CANDIDATES: usize = RING_CANDIDATES + RANDOM_CANDIDATES;
 
 /// Servers that can run one version, as a ring; servers are known by their index.
 #[derive(Clone, Debug, Default)]
@@ -29,7 +29,7 @@
         let mut ring = Vec::new();
         let mut len = 0;
         for name in names {
-            ring.extend((0..POINTS).map(|p| (xxh3_64_with_seed(name.as_bytes(), p), len)));
+            ring.extend((0..VIRTUAL_NODES).map(|p| (xxh3_64_with_seed(name.as_bytes(), p), len)));
             len += 1;
         }
         ring.sort_unstable();
@@ -48,7 +48,7 @@
 
     /// Candidates for a session and a prefix, in this order and without repeats.
     pub fn candidates(&self, keys: &[u64; RING_CANDIDATES], rng: &mut impl Rng) -> Vec<u32> {
-        let mut found = Vec::with_capacity(CANDIDATES);
+        let mut found = Vec::with_capacity(MAX_CANDIDATES);
         if self.len == 0 {
             return found;
         }
@@ -59,7 +59,7 @@
                 found.push(*server);
             }
         }
-        for _ in 0..RANDOM {
+        for _ in 0..RANDOM_CANDIDATES {
             let server = rng.random_range(0..self.len);
             if !found.contains(&server) {
                 found.push(server);
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -19,7 +19,7 @@
 /// Most that the prompts of other entries count. Without a bound, differences of seconds in an overload
 /// drew all requests away from the servers that hold their shared parts, which made more to read
 /// (docs/decisions/0010 has the figures).
-const MOST_OTHERS_BACKLOG: Duration = Duration::from_millis(250);
+const MAX_PEER_BACKLOG: Duration = Duration::from_millis(250);
 
 /// Belief about one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -27,46 +27,46 @@
     /// Requests of this entry that are at the server.
     pub own_requests: u32,
     /// Requests of other entries at the last report.
-    others: f64,
+    peer_requests: f64,
     /// When that was, on the entry's monotonic clock.
     reported_at: Duration,
     /// Time for the prompts of other entries that were not read yet, when they reported them.
     peer_backlog: Duration,
     /// When that was.
-    backlog_at: Duration,
+    backlog_reported_at: Duration,
 }
 
 impl LoadEstimate {
     /// Takes in a report that came with an answer to one of our requests.
     pub fn record_report(&mut self, report: ReportedLoad, now: Duration) {
         let all = report.running + report.waiting;
-        self.others = f64::from(all.saturating_sub(self.own_requests));
+        self.peer_requests = f64::from(all.saturating_sub(self.own_requests));
         self.reported_at = now;
     }
 
     /// Takes in what the other entries say they have at the server.
     pub fn record_peer_load(&mut self, requests: u32, backlog: Duration, now: Duration) {
-        self.others = f64::from(requests);
+        self.peer_requests = f64::from(requests);
         self.reported_at = now;
         self.peer_backlog = backlog;
-        self.backlog_at = now;
+        self.backlog_reported_at = now;
     }
 
     /// Time for the prompts of other entries that are not read yet: what they reported, less the
     /// time since.
     pub fn peer_backlog(&self, now: Duration) -> Duration {
-        self.peer_backlog.saturating_sub(now.saturating_sub(self.backlog_at))
+        self.peer_backlog.saturating_sub(now.saturating_sub(self.backlog_reported_at))
     }
 
     /// The same as far as it counts in the choice of a server.
     pub fn peer_backlog_for_placement(&self, now: Duration) -> Duration {
-        self.peer_backlog(now).min(MOST_OTHERS_BACKLOG)
+        self.peer_backlog(now).min(MAX_PEER_BACKLOG)
     }
 
     /// Requests believed to be at the server.
     pub fn estimated_requests(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.reported_at).as_secs_f64();
-        let worth = 0.5f64.powf(age / REPORT_HALF_LIFE.as_secs_f64());
-        f64::from(self.own_requests) + self.others * worth
+        let weight = 0.5f64.powf(age / REPORT_HALF_LIFE.as_secs_f64());
+        f64::from(self.own_requests) + self.peer_requests * weight
     }
 }
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -65,7 +65,7 @@
     pub reread_token: Duration,
     /// Mean backlog of the servers from which on leaving the zone is charged less.
     pub spare_backlog: Duration,
-    /// Servers that are weighed in the zone, and as many outside.
+    /// Servers that are weighed in the zone, and as many outgroup.
     pub choices: usize,
 }
 
@@ -107,55 +107,60 @@
 /// Chooses among candidates.
 pub fn place(
     candidates: &[Candidate],
-    work: &PlacementRequest,
-    terms: &PlacementConfig,
+    request: &PlacementRequest,
+    config: &PlacementConfig,
 ) -> Option<usize> {
-    let crowding = crowding(candidates, terms.spare_backlog);
-    let token = (terms.reread_token + work.prefill_token_time).as_secs_f64();
-    let kilobytes = work.bytes as f64 / 1024.0;
-    let far = terms.far.as_secs_f64() + kilobytes * terms.far_kilobyte.as_secs_f64();
-    let far = far / (1.0 + crowding);
-    let reading = work.shared_tokens as f64 * work.prefill_token_time.as_secs_f64();
-    let key = work.affinity.unwrap_or(work.request_hash);
+    let excess_backlog = excess_backlog(candidates, config.spare_backlog);
+    let token_cost = (config.reread_token + request.prefill_token_time).as_secs_f64();
+    let kilobytes = request.bytes as f64 / 1024.0;
+    let cross_zone_cost = config.far.as_secs_f64() + kilobytes * config.far_kilobyte.as_secs_f64();
+    let cross_zone_cost = cross_zone_cost / (1.0 + excess_backlog);
+    let prefill_cost = request.shared_tokens as f64 * request.prefill_token_time.as_secs_f64();
+    let key = request.affinity.unwrap_or(request.request_hash);
     // Rendezvous hashing: the highest rank is the key's home.
     let rank = |c: &Candidate| xxh3_64_with_seed(&key.to_le_bytes(), c.id_hash);
     let ranks: Vec<u64> = candidates.iter().map(rank).collect();
-    let is_known = candidates.iter().any(|c| c.cached_tokens > 0);
-    let has_home = work.affinity.is_some() && !is_known;
-    let home = if has_home { home(candidates, &ranks, reading < far) } else { None };
+    let is_cached_anywhere = candidates.iter().any(|c| c.cached_tokens > 0);
+    let needs_owner = request.affinity.is_some() && !is_cached_anywhere;
+    let owner = if needs_owner {
+        rendezvous_owner(candidates, &ranks, prefill_cost < cross_zone_cost)
+    } else {
+        None
+    };
     let cost = |i: usize| {
         let candidate = &candidates[i];
-        let kept = if home == Some(i) { work.shared_tokens } else { candidate.cached_tokens };
-        let reread = work.shared_tokens.saturating_sub(kept) as f64 * token;
-        let far = if candidate.is_same_zone { 0.0 } else { far };
-        wait(candidate, terms) + reread + far
+        let cached = if owner == Some(i) { request.shared_tokens } else { candidate.cached_tokens };
+        let prefill = request.shared_tokens.saturating_sub(cached) as f64 * token_cost;
+        let cross_zone_cost = if candidate.is_same_zone { 0.0 } else { cross_zone_cost };
+        expected_wait(candidate, config) + prefill + cross_zone_cost
     };
     // Servers as free as each other differ by rank; by their ids, one of them would get everything.
     let order =
         |a: &usize, b: &usize| cost(*a).total_cmp(&cost(*b)).then(ranks[*b].cmp(&ranks[*a]));
-    choices(candidates, &ranks, terms.choices).into_iter().min_by(order)
+    shortlist(candidates, &ranks, config.choices).into_iter().min_by(order)
 }
 
 /// The servers that are weighed: the first by rank in the zone and outside, and those that keep some of
 /// the shared parts.
-fn choices(candidates: &[Candidate], ranks: &[u64], most: usize) -> Vec<usize> {
-    let (mut near, mut far): (Vec<usize>, Vec<usize>) =
+fn shortlist(candidates: &[Candidate], ranks: &[u64], max_per_group: usize) -> Vec<usize> {
+    let (mut same_zone, mut other_zones): (Vec<usize>, Vec<usize>) =
         (0..candidates.len()).partition(|i| candidates[*i].is_same_zone);
-    let keepers = near.iter().chain(&far).filter(|i| candidates[**i].cached_tokens > 0);
-    let mut chosen: Vec<usize> = keepers.copied().collect();
-    for side in [&mut near, &mut far] {
-        if side.len() > most {
-            side.select_nth_unstable_by_key(most, |i| Reverse(ranks[*i]));
-            side.truncate(most);
+    let holders =
+        same_zone.iter().chain(&other_zones).filter(|i| candidates[**i].cached_tokens > 0);
+    let mut shortlist: Vec<usize> = holders.copied().collect();
+    for group in [&mut same_zone, &mut other_zones] {
+        if group.len() > max_per_group {
+            group.select_nth_unstable_by_key(max_per_group, |i| Reverse(ranks[*i]));
+            group.truncate(max_per_group);
         }
-        chosen.append(side);
+        shortlist.append(group);
     }
-    chosen
+    shortlist
 }
 
 /// How far the servers' mean backlog lies beyond what they read with time to spare, in multiples of
 /// that: a shorter wait is then worth more bytes between zones.
-fn crowding(candidates: &[Candidate], spare: Duration) -> f64 {
+fn excess_backlog(candidates: &[Candidate], spare: Duration) -> f64 {
     let backlogs = candidates.iter().map(|candidate| candidate.backlog);
     let mean = backlogs.clone().sum::<Duration>().as_secs_f64() / backlogs.count().max(1) as f64;
     let spare = spare.as_secs_f64().max(1e-3);
@@ -164,19 +169,23 @@
 
 /// The server that keeps the shared parts: one for all zones where reading them takes longer than
 /// leaving the zone costs, one in each zone otherwise.
-fn home(candidates: &[Candidate], ranks: &[u64], is_cheap: bool) -> Option<usize> {
-    let is_zonal = is_cheap && candidates.iter().any(|c| c.is_same_zone);
+fn rendezvous_owner(
+    candidates: &[Candidate],
+    ranks: &[u64],
+    is_prefill_cheaper: bool,
+) -> Option<usize> {
+    let is_per_zone = is_prefill_cheaper && candidates.iter().any(|c| c.is_same_zone);
     (0..candidates.len())
-        .filter(|i| !is_zonal || candidates[*i].is_same_zone)
+        .filter(|i| !is_per_zone || candidates[*i].is_same_zone)
         .max_by_key(|i| ranks[*i])
 }
 
-fn wait(candidate: &Candidate, terms: &PlacementConfig) -> f64 {
+fn expected_wait(candidate: &Candidate, config: &PlacementConfig) -> f64 {
     let slots = f64::from(candidate.slots.max(1));
     let waiting = (candidate.load + 1.0 - slots).max(0.0);
     let running = candidate.load.min(slots);
     candidate.backlog.as_secs_f64()
-        + candidate.failure_rate * terms.failure.as_secs_f64()
-        + running * terms.running.as_secs_f64()
-        + waiting * terms.waiting.as_secs_f64()
+        + candidate.failure_rate * config.failure.as_secs_f64()
+        + running * config.running.as_secs_f64()
+        + waiting * config.waiting.as_secs_f64()
 }
