--- a/src/policy/cascade.rs
+++ b/src/policy/cascade.rs
@@ -5,14 +5,14 @@
 use crate::ids::ObjectId;
 
 /// Weight of a new rating in the running mean.
-const STEP: f64 = 0.02;
+const RATING_WEIGHT: f64 = 0.02;
 /// Ratings after which the declared quality no longer counts.
-const PRIOR_RATINGS: f64 = 20.0;
+const FULL_TRUST_RATINGS: f64 = 20.0;
 /// Quality above the target that can be saved up, in whole answers: a bound on how many poor
 /// answers in a row good ones before them can pay for.
 const MAX_CREDIT: f64 = 3.0;
 /// Estimates that kept no ratings for this many answers drift to the safe side.
-const DRIFT: f64 = 0.002;
+const UNRATED_DECAY: f64 = 0.002;
 
 /// What one estimate is about.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -66,7 +66,7 @@
         let Some(estimate) = self.pass.get(key) else {
             return prior;
         };
-        let trust = (estimate.ratings / PRIOR_RATINGS).min(1.0);
+        let trust = (estimate.ratings / FULL_TRUST_RATINGS).min(1.0);
         prior * (1.0 - trust) + estimate.mean * trust
     }
 
@@ -76,14 +76,14 @@
         let fresh = Estimate { mean: value, ratings: 0.0 };
         let estimate = self.pass.entry(key).or_insert(fresh);
         estimate.ratings += 1.0;
-        let step = STEP.max(1.0 / estimate.ratings);
+        let step = RATING_WEIGHT.max(1.0 / estimate.ratings);
         estimate.mean += (value - estimate.mean) * step;
     }
 
     /// Notes that an answer could not be rated: trust in its estimate fades.
     pub fn record_unrated(&mut self, key: &EstimateKey) {
         if let Some(estimate) = self.pass.get_mut(key) {
-            estimate.mean *= 1.0 - DRIFT;
+            estimate.mean *= 1.0 - UNRATED_DECAY;
         }
     }
 
@@ -95,10 +95,10 @@
 
     /// Notes that an answer with this rating was delivered.
     pub fn record_delivered(&mut self, cascade: &ObjectId, target: f64, rating: f64) {
-        let mut steering = self.quality_balance(cascade, target);
-        steering.mean_rating += (rating - steering.mean_rating) * STEP;
-        steering.credit = (steering.credit + rating - target).clamp(-MAX_CREDIT, MAX_CREDIT);
-        self.quality.insert(cascade.clone(), steering);
+        let mut balance = self.quality_balance(cascade, target);
+        balance.mean_rating += (rating - balance.mean_rating) * RATING_WEIGHT;
+        balance.credit = (balance.credit + rating - target).clamp(-MAX_CREDIT, MAX_CREDIT);
+        self.quality.insert(cascade.clone(), balance);
     }
 
     /// Estimates held.
@@ -129,11 +129,11 @@
 
 /// Expected cost of going through the stages in order until one passes.
 pub fn expected_cost(stages: &[StageOutlook]) -> f64 {
-    let mut reach = 1.0;
+    let mut reach_probability = 1.0;
     let mut cost = 0.0;
     for stage in stages {
-        cost += reach * stage.cost;
-        reach *= 1.0 - stage.pass;
+        cost += reach_probability * stage.cost;
+        reach_probability *= 1.0 - stage.pass;
     }
     cost
 }
@@ -142,6 +142,6 @@
 ///
 /// Below the target it is passed on only as far as better answers before it have paid for it, so
 /// the mean stays at the target and nothing is spent on reaching more.
-pub fn is_good_enough(rating: f64, target: f64, steering: QualityBalance) -> bool {
-    rating >= target || steering.credit + rating - target >= 0.0
+pub fn is_good_enough(rating: f64, target: f64, balance: QualityBalance) -> bool {
+    rating >= target || balance.credit + rating - target >= 0.0
 }
--- a/src/policy/escalation.rs
+++ b/src/policy/escalation.rs
@@ -44,18 +44,18 @@
 
 /// Wait behind others, as a part of the objective, from which a server counts as busy. With the reading
 /// counted in full everywhere, fewer answers are asked again on quiet days, too (docs/decisions/0012).
-const BUSY: f64 = 0.05;
+const BUSY_WAIT_FRACTION: f64 = 0.05;
 /// Ranks over which the fall of the threshold is spread; the most urgent takes the least of it.
-const RANKS: f64 = 3.0;
+const PRIORITY_LEVELS: f64 = 3.0;
 /// Least time that must be left for the largest model; below it any answer beats none.
-const LEAST_TIME: Duration = Duration::from_secs(1);
+const MIN_TIME_LEFT: Duration = Duration::from_secs(1);
 
 /// Part of the time left in which the larger model has to begin; the rest is for its events, which take
 /// it about as long as reading the prompt.
-const BEGIN_PART: f64 = 0.5;
+const MAX_START_TIME_FRACTION: f64 = 0.5;
 /// Objectives after a request's arrival by which the larger model has to begin: up to there a better
 /// answer is worth the wait, and readers of a stream leave after about four.
-const BEGIN_OBJECTIVES: f64 = 2.0;
+const MAX_START_OBJECTIVES: f64 = 2.0;
 
 /// What is known when an answer's head is here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -83,38 +83,45 @@
 }
 
 /// The stage to ask instead, or none to pass the answer on.
-pub fn escalate(answer: &StageAnswer, terms: &EscalationConfig) -> Option<usize> {
+pub fn escalate(answer: &StageAnswer, config: &EscalationConfig) -> Option<usize> {
     let largest = answer.stages.checked_sub(1)?;
     let confidence = f64::from(answer.confidence?);
-    let may = answer.attempts_left > 0 && answer.time_left >= LEAST_TIME;
-    (answer.stage < largest && confidence < threshold(answer, terms) && may).then_some(largest)
+    let is_allowed = answer.attempts_left > 0 && answer.time_left >= MIN_TIME_LEFT;
+    (answer.stage < largest && confidence < threshold(answer, config) && is_allowed)
+        .then_some(largest)
 }
 
 /// How long the larger model may take to begin while this answer is kept in hand. Without an end to
 /// that wait, a caller whose deadline passes meanwhile gets nothing though an answer was there.
 pub fn escalation_timeout(answer: &StageAnswer) -> Duration {
-    let by_objective = answer.objective.mul_f64(BEGIN_OBJECTIVES).saturating_sub(answer.elapsed);
-    by_objective.min(answer.time_left.mul_f64(BEGIN_PART))
+    let by_objective =
+        answer.objective.mul_f64(MAX_START_OBJECTIVES).saturating_sub(answer.elapsed);
+    by_objective.min(answer.time_left.mul_f64(MAX_START_TIME_FRACTION))
 }
 
 /// Confidence from which the answer is passed on.
-pub fn threshold(answer: &StageAnswer, terms: &EscalationConfig) -> f64 {
+pub fn threshold(answer: &StageAnswer, config: &EscalationConfig) -> f64 {
     let objective = answer.objective.as_secs_f64().max(1e-3);
-    let behind =
+    let queueing =
         answer.expected_first_event.saturating_sub(answer.expected_idle_first_event).as_secs_f64()
             / objective;
     if answer.elapsed + answer.expected_first_event > answer.objective {
         // Where others wait, an answer that comes late takes from them what they could have in time. On
         // two days of three times the load for 12 s, with a third of the servers away, 0.60 and 0.62 of
         // the worth was earned instead of 0.35 and 0.40 (docs/decisions/0012).
-        return if behind < BUSY { terms.confident_if_late.min(terms.confident) } else { 0.0 };
+        return if queueing < BUSY_WAIT_FRACTION {
+            config.confident_if_late.min(config.confident)
+        } else {
+            0.0
+        };
     }
-    let reading = answer.expected_idle_first_event.as_secs_f64() / objective;
+    let prefill = answer.expected_idle_first_event.as_secs_f64() / objective;
     // Reading takes from others only where others wait.
-    let wait = behind + reading * (behind / BUSY).min(1.0);
-    let pressure = ((wait - terms.pressure_from)
-        / (terms.pressure_full - terms.pressure_from).max(1e-3))
+    let wait = queueing + prefill * (queueing / BUSY_WAIT_FRACTION).min(1.0);
+    let pressure = ((wait - config.pressure_from)
+        / (config.pressure_full - config.pressure_from).max(1e-3))
     .clamp(0.0, 1.0);
-    let part = (f64::from(answer.priority) + 1.0).min(RANKS) / RANKS;
-    terms.confident - (terms.confident - terms.confident_under_pressure) * pressure * part
+    let priority_share = (f64::from(answer.priority) + 1.0).min(PRIORITY_LEVELS) / PRIORITY_LEVELS;
+    config.confident
+        - (config.confident - config.confident_under_pressure) * pressure * priority_share
 }
--- a/src/policy/exposure.rs
+++ b/src/policy/exposure.rs
@@ -48,25 +48,26 @@
     /// gets as many requests as with [`Self::trial_share`] from the begin on, so that it shows as
     /// much and exposes no more; it begins with few, for what a large fleet sends to a bad version
     /// until its entries know: on 32 days with a bad version 449 requests, 609 with the mean at once.
-    fn session_trial_share(&self, part: f64) -> f64 {
-        let time = (self.grows_from - self.sessions_from).max(1e-3);
-        let mean = self.trial_share * self.grows_from / time;
-        let begun = ((part - self.sessions_from) / time).clamp(0.0, 1.0);
-        (2.0 * mean * begun).min(1.0)
+    fn session_trial_share(&self, progress: f64) -> f64 {
+        let trial_length = (self.grows_from - self.sessions_from).max(1e-3);
+        let mean = self.trial_share * self.grows_from / trial_length;
+        let trial_progress = ((progress - self.sessions_from) / trial_length).clamp(0.0, 1.0);
+        (2.0 * mean * trial_progress).min(1.0)
     }
 
-    fn share_at(&self, part: f64, trial_share: f64) -> f64 {
-        if part < self.grows_from {
+    fn share_at(&self, progress: f64, trial_share: f64) -> f64 {
+        if progress < self.grows_from {
             return trial_share;
         }
-        let grown = (part - self.grows_from) / (self.all_from - self.grows_from).max(1e-3);
-        (trial_share + (1.0 - trial_share) * grown).min(1.0)
+        let growth_progress =
+            (progress - self.grows_from) / (self.all_from - self.grows_from).max(1e-3);
+        (trial_share + (1.0 - trial_share) * growth_progress).min(1.0)
     }
 }
 
 /// Share of the requests without a session that run on the new version.
-pub fn request_share(elapsed: Duration, within: Duration, terms: &ExposureConfig) -> f64 {
-    terms.share_at(part_of(elapsed, within), terms.trial_share)
+pub fn request_share(elapsed: Duration, duration: Duration, config: &ExposureConfig) -> f64 {
+    config.share_at(progress_at(elapsed, duration), config.trial_share)
 }
 
 /// Share of the sessions that run on the new version.
@@ -76,19 +77,19 @@
 /// the begin on, three to four running sessions were moved in the first half of a good roll-out (32
 /// entries, 300 requests of sessions a second); 217 of 218 requests that went to the new version met
 /// an entry without a note of their session.
-pub fn session_share(elapsed: Duration, within: Duration, terms: &ExposureConfig) -> f64 {
-    let part = part_of(elapsed, within);
-    terms.share_at(part, terms.session_trial_share(part))
+pub fn session_share(elapsed: Duration, duration: Duration, config: &ExposureConfig) -> f64 {
+    let progress = progress_at(elapsed, duration);
+    config.share_at(progress, config.session_trial_share(progress))
 }
 
 /// Whether the roll-out may be completed now.
-pub fn may_complete(elapsed: Duration, within: Duration, terms: &ExposureConfig) -> bool {
-    part_of(elapsed, within) >= terms.complete_from
+pub fn may_complete(elapsed: Duration, duration: Duration, config: &ExposureConfig) -> bool {
+    progress_at(elapsed, duration) >= config.complete_from
 }
 
 /// Whether all requests may run on the new version by now.
-pub fn is_past_trial(elapsed: Duration, within: Duration, terms: &ExposureConfig) -> bool {
-    part_of(elapsed, within) >= terms.grows_from
+pub fn is_past_trial(elapsed: Duration, duration: Duration, config: &ExposureConfig) -> bool {
+    progress_at(elapsed, duration) >= config.grows_from
 }
 
 /// Whether a session runs on the new version at this share.
@@ -103,6 +104,6 @@
     (hash >> 11) as f64 / (1u64 << 53) as f64
 }
 
-fn part_of(elapsed: Duration, within: Duration) -> f64 {
-    elapsed.as_secs_f64() / within.as_secs_f64().max(1e-3)
+fn progress_at(elapsed: Duration, duration: Duration) -> f64 {
+    elapsed.as_secs_f64() / duration.as_secs_f64().max(1e-3)
 }
