--- a/src/policy/attempt.rs
+++ b/src/policy/attempt.rs
@@ -103,7 +103,7 @@
 /// State after an event.
 pub fn advance(state: AttemptState, event: AttemptEvent) -> AttemptState {
     let mut machine = AttemptMachine.uninitialized_state_machine().init();
-    for step in path_to(state) {
+    for step in events_leading_to(state) {
         machine.handle(step);
     }
     machine.handle(&event);
@@ -111,7 +111,7 @@
 }
 
 /// Events that lead from the start to a state; states carry no data, so any path serves.
-fn path_to(state: AttemptState) -> &'static [AttemptEvent] {
+fn events_leading_to(state: AttemptState) -> &'static [AttemptEvent] {
     match state {
         State::NotSent {} => &[],
         State::Sent {} => &[AttemptEvent::Sent],
--- a/src/policy/charge.rs
+++ b/src/policy/charge.rs
@@ -92,15 +92,16 @@
 pub fn merge(records: impl IntoIterator<Item = ChargeRecord>) -> BTreeMap<RequestId, ChargeRecord> {
     let mut merged: BTreeMap<RequestId, ChargeRecord> = BTreeMap::new();
     for record in records {
-        let better = merged.get(&record.request).is_none_or(|held| is_better(&record, held));
-        if better {
+        let replaces =
+            merged.get(&record.request).is_none_or(|held| takes_precedence(&record, held));
+        if replaces {
             merged.insert(record.request, record);
         }
     }
     merged
 }
 
-fn is_better(new: &ChargeRecord, held: &ChargeRecord) -> bool {
+fn takes_precedence(new: &ChargeRecord, held: &ChargeRecord) -> bool {
     (new.delivery, usize::MAX - new.attempts.len())
         < (held.delivery, usize::MAX - held.attempts.len())
 }
--- a/src/policy/claim.rs
+++ b/src/policy/claim.rs
@@ -108,11 +108,11 @@
         InsertReply::Refused => ClaimStep::NotRun,
         // Nothing of ours has run, but a request with the same key may have.
         InsertReply::Unreadable => ClaimStep::OutcomeUnknown,
-        InsertReply::Found(found, version) => judge_found(mine, found, version, now),
+        InsertReply::Found(found, version) => step_for_existing(mine, found, version, now),
     }
 }
 
-fn judge_found(mine: &Claim, found: Claim, version: u64, now: u64) -> ClaimStep {
+fn step_for_existing(mine: &Claim, found: Claim, version: u64, now: u64) -> ClaimStep {
     if found.request == mine.request && found.holder == mine.holder {
         return ClaimStep::Send;
     }
--- a/src/policy/fair_queue.rs
+++ b/src/policy/fair_queue.rs
@@ -24,15 +24,15 @@
 }
 
 #[derive(Clone, Debug)]
-struct Line<T> {
-    finish: f64,
-    waiting: VecDeque<QueuedAttempt<T>>,
+struct OrganisationQueue<T> {
+    next_start: f64,
+    attempts: VecDeque<QueuedAttempt<T>>,
 }
 
 /// The queue.
 #[derive(Clone, Debug)]
 pub struct FairQueue<T> {
-    lines: BTreeMap<OrganisationId, Line<T>>,
+    queues: BTreeMap<OrganisationId, OrganisationQueue<T>>,
     virtual_time: f64,
     len: usize,
     capacity: usize,
@@ -41,7 +41,7 @@
 impl<T> FairQueue<T> {
     /// An empty queue for `capacity` attempts.
     pub fn new(capacity: usize) -> Self {
-        Self { lines: BTreeMap::new(), virtual_time: 0.0, len: 0, capacity }
+        Self { queues: BTreeMap::new(), virtual_time: 0.0, len: 0, capacity }
     }
 
     /// Attempts waiting.
@@ -55,58 +55,60 @@
     }
 
     /// Adds an attempt; when full, returns the one that has to go instead.
-    pub fn push(&mut self, waiting: QueuedAttempt<T>) -> Option<T> {
-        let line = self
-            .lines
-            .entry(waiting.organisation.clone())
-            .or_insert_with(|| Line { finish: 0.0, waiting: VecDeque::new() });
-        if line.waiting.is_empty() {
-            line.finish = line.finish.max(self.virtual_time);
+    pub fn push(&mut self, attempt: QueuedAttempt<T>) -> Option<T> {
+        let queue = self
+            .queues
+            .entry(attempt.organisation.clone())
+            .or_insert_with(|| OrganisationQueue { next_start: 0.0, attempts: VecDeque::new() });
+        if queue.attempts.is_empty() {
+            queue.next_start = queue.next_start.max(self.virtual_time);
         }
-        let behind = |other: &QueuedAttempt<T>| other.priority < waiting.priority;
-        let at = line.waiting.iter().position(behind).unwrap_or(line.waiting.len());
-        line.waiting.insert(at, waiting);
+        let is_behind = |other: &QueuedAttempt<T>| other.priority < attempt.priority;
+        let at = queue.attempts.iter().position(is_behind).unwrap_or(queue.attempts.len());
+        queue.attempts.insert(at, attempt);
         self.len += 1;
         if self.len <= self.capacity { None } else { self.drop_from_longest() }
     }
 
     /// Takes the attempt whose organisation is furthest behind its share.
     pub fn pop(&mut self) -> Option<T> {
-        let (_, line) = self
-            .lines
+        let (_, queue) = self
+            .queues
             .iter_mut()
-            .filter(|(_, line)| !line.waiting.is_empty())
-            .min_by(|a, b| a.1.finish.total_cmp(&b.1.finish))?;
-        let waiting = line.waiting.pop_front()?;
-        self.virtual_time = line.finish;
-        line.finish += waiting.cost / waiting.weight.max(f64::MIN_POSITIVE);
+            .filter(|(_, queue)| !queue.attempts.is_empty())
+            .min_by(|a, b| a.1.next_start.total_cmp(&b.1.next_start))?;
+        let attempt = queue.attempts.pop_front()?;
+        self.virtual_time = queue.next_start;
+        queue.next_start += attempt.cost / attempt.weight.max(f64::MIN_POSITIVE);
         self.len -= 1;
         let now = self.virtual_time;
-        self.lines.retain(|_, line| !line.waiting.is_empty() || line.finish > now);
-        Some(waiting.item)
+        self.queues.retain(|_, queue| !queue.attempts.is_empty() || queue.next_start > now);
+        Some(attempt.item)
     }
 
     /// Takes out everything that `leaves` picks.
-    pub fn remove_if(&mut self, mut leaves: impl FnMut(&T) -> bool) -> Vec<T> {
+    pub fn remove_if(&mut self, mut is_removed: impl FnMut(&T) -> bool) -> Vec<T> {
         let mut removed = Vec::new();
-        for line in self.lines.values_mut() {
+        for queue in self.queues.values_mut() {
             let (gone, kept): (Vec<_>, Vec<_>) =
-                line.waiting.drain(..).partition(|waiting| leaves(&waiting.item));
-            line.waiting = kept.into();
-            removed.extend(gone.into_iter().map(|waiting| waiting.item));
+                queue.attempts.drain(..).partition(|attempt| is_removed(&attempt.item));
+            queue.attempts = kept.into();
+            removed.extend(gone.into_iter().map(|attempt| attempt.item));
         }
         self.len -= removed.len();
         removed
     }
 
     fn drop_from_longest(&mut self) -> Option<T> {
-        let weight_of = |line: &Line<T>| line.waiting.front().map_or(1.0, |w| w.weight);
-        let (_, line) = self.lines.iter_mut().max_by(|a, b| {
-            let a = a.1.waiting.len() as f64 / weight_of(a.1);
-            let b = b.1.waiting.len() as f64 / weight_of(b.1);
+        let weight_of = |queue: &OrganisationQueue<T>| {
+            queue.attempts.front().map_or(1.0, |attempt| attempt.weight)
+        };
+        let (_, queue) = self.queues.iter_mut().max_by(|a, b| {
+            let a = a.1.attempts.len() as f64 / weight_of(a.1);
+            let b = b.1.attempts.len() as f64 / weight_of(b.1);
             a.total_cmp(&b)
         })?;
-        let dropped = line.waiting.pop_back()?;
+        let dropped = queue.attempts.pop_back()?;
         self.len -= 1;
         Some(dropped.item)
     }
--- a/src/policy/gate.rs
+++ b/src/policy/gate.rs
@@ -10,7 +10,7 @@
 use crate::{ids::Revision, policy::attempt::AttemptKey};
 
 /// Attempts remembered after they ended or were refused.
-const REMEMBERED: usize = 65_536;
+const MAX_REMEMBERED: usize = 65_536;
 
 /// Why an attempt was not started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -83,7 +83,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Gate {
     attempts: BTreeMap<AttemptKey, GateState>,
-    settled: VecDeque<AttemptKey>,
+    finished: VecDeque<AttemptKey>,
 }
 
 impl Gate {
@@ -116,7 +116,7 @@
             self.attempts.insert(key, GateState::Behind);
             return GateDecision::Pull;
         }
-        if let Some(reason) = objection(view) {
+        if let Some(reason) = refusal_reason(view) {
             return self.refuse(key, reason);
         }
         self.attempts.insert(key, GateState::Queued);
@@ -130,7 +130,7 @@
             Some(GateState::Refused(reason)) => return GateDecision::Refuse(*reason),
             _ => return GateDecision::Ignore,
         }
-        if let Some(reason) = objection(view) {
+        if let Some(reason) = refusal_reason(view) {
             return self.refuse(key, reason);
         }
         self.attempts.insert(key, GateState::Started);
@@ -147,7 +147,7 @@
             _ => {}
         }
         self.attempts.insert(key, GateState::Refused(reason));
-        self.remember(key);
+        self.remember_finished(key);
         GateDecision::Refuse(reason)
     }
 
@@ -155,7 +155,7 @@
     pub fn end(&mut self, key: AttemptKey) {
         if self.attempts.get(&key) == Some(&GateState::Started) {
             self.attempts.insert(key, GateState::Ended);
-            self.remember(key);
+            self.remember_finished(key);
         }
     }
 
@@ -165,7 +165,7 @@
             return GateDecision::Ignore;
         }
         self.attempts.insert(key, GateState::Refused(RefuseReason::Unreachable));
-        self.remember(key);
+        self.remember_finished(key);
         GateDecision::Refuse(RefuseReason::Unreachable)
     }
 
@@ -176,10 +176,10 @@
     }
 
     /// Forgets the oldest settled attempts; links deliver in order, so copies come soon or never.
-    fn remember(&mut self, key: AttemptKey) {
-        self.settled.push_back(key);
-        while self.settled.len() > REMEMBERED {
-            let Some(oldest) = self.settled.pop_front() else {
+    fn remember_finished(&mut self, key: AttemptKey) {
+        self.finished.push_back(key);
+        while self.finished.len() > MAX_REMEMBERED {
+            let Some(oldest) = self.finished.pop_front() else {
                 break;
             };
             self.attempts.remove(&oldest);
@@ -187,7 +187,7 @@
     }
 }
 
-fn objection(view: GateView) -> Option<RefuseReason> {
+fn refusal_reason(view: GateView) -> Option<RefuseReason> {
     if view.leaving {
         return Some(RefuseReason::Leaving);
     }
--- a/src/policy/lease.rs
+++ b/src/policy/lease.rs
@@ -37,19 +37,19 @@
 /// What a process knows about one lease; times are on its own monotonic clock.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LeaseView {
-    seen: Option<Seen>,
-    held: Option<Held>,
+    observed: Option<ObservedRow>,
+    held: Option<HeldLease>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Seen {
+struct ObservedRow {
     row: LeaseRow,
     version: u64,
     since: Duration,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Held {
+struct HeldLease {
     fencing: u64,
     until: Duration,
 }
@@ -72,32 +72,32 @@
     /// Notes the row as read at `now`.
     pub fn observe(&mut self, row: Option<(LeaseRow, u64)>, now: Duration) {
         let Some((row, version)) = row else {
-            self.seen = None;
+            self.observed = None;
             return;
         };
-        if self.seen.as_ref().is_some_and(|seen| seen.version == version) {
+        if self.observed.as_ref().is_some_and(|observed| observed.version == version) {
             return;
         }
-        self.seen = Some(Seen { row, version, since: now });
+        self.observed = Some(ObservedRow { row, version, since: now });
     }
 
     /// Decides whether to take or renew the lease.
-    pub fn plan(&self, me: &str, now: Duration, terms: LeaseTiming) -> LeaseAction {
-        let Some(seen) = &self.seen else {
-            let row = LeaseRow { holder: me.into(), fencing: 1, renewals: 0 };
+    pub fn plan(&self, own_id: &str, now: Duration, timing: LeaseTiming) -> LeaseAction {
+        let Some(observed) = &self.observed else {
+            let row = LeaseRow { holder: own_id.into(), fencing: 1, renewals: 0 };
             return LeaseAction::Write { row, expected: None };
         };
-        let expected = Some(seen.version);
-        if &*seen.row.holder == me {
-            let mut row = seen.row.clone();
+        let expected = Some(observed.version);
+        if &*observed.row.holder == own_id {
+            let mut row = observed.row.clone();
             row.renewals += 1;
             return LeaseAction::Write { row, expected };
         }
-        if now < seen.since + terms.duration {
+        if now < observed.since + timing.duration {
             return LeaseAction::Wait;
         }
-        let fencing = seen.row.fencing + 1;
-        let row = LeaseRow { holder: me.into(), fencing, renewals: 0 };
+        let fencing = observed.row.fencing + 1;
+        let row = LeaseRow { holder: own_id.into(), fencing, renewals: 0 };
         LeaseAction::Write { row, expected }
     }
 
@@ -107,11 +107,11 @@
         row: LeaseRow,
         version: u64,
         sent: Duration,
-        terms: LeaseTiming,
+        timing: LeaseTiming,
     ) {
         self.held =
-            Some(Held { fencing: row.fencing, until: sent + terms.duration - terms.margin });
-        self.seen = Some(Seen { row, version, since: sent });
+            Some(HeldLease { fencing: row.fencing, until: sent + timing.duration - timing.margin });
+        self.observed = Some(ObservedRow { row, version, since: sent });
     }
 
     /// Notes that our write failed its condition: what we thought we held is gone.
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,9 +1,9 @@
 //! Retry budgets: retries are a bounded share of first tries, so failures can't multiply load.
 
 /// Retries that one first try pays for.
-const SHARE: f64 = 0.1;
+const RETRY_RATIO: f64 = 0.1;
 /// Retries that can be saved up.
-const CAPACITY: f64 = 20.0;
+const MAX_TOKENS: f64 = 20.0;
 
 /// Budget of one entry for one organisation.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -13,14 +13,14 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { tokens: CAPACITY }
+        Self { tokens: MAX_TOKENS }
     }
 }
 
 impl RetryBudget {
     /// Notes a first try.
     pub fn deposit(&mut self) {
-        self.tokens = (self.tokens + SHARE).min(CAPACITY);
+        self.tokens = (self.tokens + RETRY_RATIO).min(MAX_TOKENS);
     }
 
     /// Takes one retry from the budget; false when it is used up.
--- a/src/policy/roll_out.rs
+++ b/src/policy/roll_out.rs
@@ -42,12 +42,12 @@
         }
     }
 
-    fn failure_bound(self) -> f64 {
-        upper_rate(self.failures, self.answers)
+    fn upper_failure_rate(self) -> f64 {
+        upper_rate_estimate(self.failures, self.answers)
     }
 
-    fn poor_bound(self) -> f64 {
-        upper_rate(self.poor, self.rated)
+    fn upper_poor_rate(self) -> f64 {
+        upper_rate_estimate(self.poor, self.rated)
     }
 }
 
@@ -57,15 +57,15 @@
 
 /// The margin alone lifts a rate no further: without any evidence about the old version, a new
 /// one that fails everything must still be found.
-const MARGIN_CEILING: f64 = 0.5;
+const MAX_RATE_WITH_MARGIN: f64 = 0.5;
 
 /// Upper estimate of a rate, never 0 or 1.
-fn upper_rate(bad: u64, all: u64) -> f64 {
+fn upper_rate_estimate(bad: u64, all: u64) -> f64 {
     let n = all as f64 + 1.5;
     let rate = (bad as f64 + 0.5) / n;
     let error = (rate * (1.0 - rate) / n).sqrt();
-    let lifted = (rate + OLD_RATE_MARGIN * error).min(MARGIN_CEILING);
-    rate.max(lifted).min(0.99)
+    let raised = (rate + OLD_RATE_MARGIN * error).min(MAX_RATE_WITH_MARGIN);
+    rate.max(raised).min(0.99)
 }
 
 /// What the evidence says about a new version.
@@ -81,14 +81,14 @@
 
 /// Independent chances of a false hold in a roll-out of a thousand answers. Calibrated with
 /// `mintmoor load --guard-curve`: a setting of 0.01 held 7 of 1,000 good versions.
-const CHANCES: f64 = 100.0;
+const FALSE_HOLD_CHANCES: f64 = 100.0;
 /// Rises looked for, as multiples of the tolerated one: a large rise is found sooner by a test
 /// that expects it.
-const RISES: [f64; 3] = [1.0, 2.0, 4.0];
+const RISE_FACTORS: [f64; 3] = [1.0, 2.0, 4.0];
 
 /// Part of the bound from which a version is suspicious. A completed roll-out can't be taken back,
 /// and one that is not completed costs little.
-const SUSPICION: f64 = 0.4;
+const SUSPICION_FRACTION: f64 = 0.4;
 
 /// Cumulative-sum test of a new version against the old one.
 ///
@@ -99,31 +99,32 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct VersionTest {
     seen: Evidence,
-    failing: [f64; RISES.len()],
-    poor: [f64; RISES.len()],
+    failure_sums: [f64; RISE_FACTORS.len()],
+    poor_sums: [f64; RISE_FACTORS.len()],
     is_worse: bool,
 }
 
 impl VersionTest {
     /// Takes in what has come since the last time; a version once found worse stays so.
     pub fn observe(&mut self, old: Evidence, new: Evidence, guard: &Guard) {
-        let fresh = new.since(self.seen);
+        let added = new.since(self.seen);
         self.seen = new;
-        let bound = bound(guard);
-        for (i, factor) in RISES.into_iter().enumerate() {
+        let bound = decision_bound(guard);
+        for (i, factor) in RISE_FACTORS.into_iter().enumerate() {
             let rise = guard.tolerated_rise * factor;
-            let failing = log_ratio(fresh.failures, fresh.answers, old.failure_bound(), rise);
-            let poor = log_ratio(fresh.poor, fresh.rated, old.poor_bound(), rise);
-            self.failing[i] = (self.failing[i] + failing).max(0.0);
-            self.poor[i] = (self.poor[i] + poor).max(0.0);
-            self.is_worse |= self.failing[i].max(self.poor[i]) >= bound;
+            let failing =
+                log_likelihood_ratio(added.failures, added.answers, old.upper_failure_rate(), rise);
+            let poor = log_likelihood_ratio(added.poor, added.rated, old.upper_poor_rate(), rise);
+            self.failure_sums[i] = (self.failure_sums[i] + failing).max(0.0);
+            self.poor_sums[i] = (self.poor_sums[i] + poor).max(0.0);
+            self.is_worse |= self.failure_sums[i].max(self.poor_sums[i]) >= bound;
         }
     }
 
     /// Whether the evidence points to a worse version, though it does not prove one.
     pub fn is_suspicious(&self, guard: &Guard) -> bool {
-        let most = self.failing.iter().chain(&self.poor).fold(0.0, |a: f64, b| a.max(*b));
-        self.is_worse || most >= bound(guard) * SUSPICION
+        let max = self.failure_sums.iter().chain(&self.poor_sums).fold(0.0, |a: f64, b| a.max(*b));
+        self.is_worse || max >= decision_bound(guard) * SUSPICION_FRACTION
     }
 
     /// What has been found.
@@ -137,11 +138,11 @@
 }
 
 /// Sum from which a version is found worse.
-fn bound(guard: &Guard) -> f64 {
-    (CHANCES / guard.false_hold.max(1e-9)).ln()
+fn decision_bound(guard: &Guard) -> f64 {
+    (FALSE_HOLD_CHANCES / guard.false_hold.max(1e-9)).ln()
 }
 
-fn log_ratio(bad: u64, all: u64, base: f64, rise: f64) -> f64 {
+fn log_likelihood_ratio(bad: u64, all: u64, base: f64, rise: f64) -> f64 {
     let worse = (base + rise).min(0.999);
     let bad_part = bad as f64 * (worse / base).ln();
     let good_part = (all - bad.min(all)) as f64 * ((1.0 - worse) / (1.0 - base)).ln();
--- a/src/policy/shutdown.rs
+++ b/src/policy/shutdown.rs
@@ -10,13 +10,13 @@
 /// Time that any stream may take. With the grace of 8 s no stream is taken later than 2.8 s after
 /// the request to stop: from 3 s on, one that is cut counts as lost. Streams of the smallest
 /// model alone, which end sooner, were tried until 5.4 s: on a busy engine some were cut too.
-const STREAM_NEEDS: Duration = Duration::from_millis(4_900);
+const MAX_STREAM_TIME: Duration = Duration::from_millis(4_900);
 
 /// Whether a request on this route can be finished with so much time left.
-pub fn can_finish(route: &Route, left: Duration) -> bool {
-    let needs = match route.kind {
-        RouteKind::Stream => STREAM_NEEDS,
+pub fn can_finish(route: &Route, time_left: Duration) -> bool {
+    let max_time = match route.kind {
+        RouteKind::Stream => MAX_STREAM_TIME,
         RouteKind::Idempotent | RouteKind::OnceOnly => route.timeout,
     };
-    left > needs
+    time_left > max_time
 }
