--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -42,7 +42,7 @@
 }
 
 /// Work for the largest model, which reads slowly.
-fn work(affinity: u64, shared_tokens: u64) -> PlacementRequest {
+fn request(affinity: u64, shared_tokens: u64) -> PlacementRequest {
     PlacementRequest {
         affinity: Some(affinity),
         shared_tokens,
@@ -52,24 +52,24 @@
     }
 }
 
-fn chosen(candidates: &[Candidate], work: &PlacementRequest) -> Option<usize> {
-    place(candidates, work, &PlacementConfig::default())
+fn chosen(candidates: &[Candidate], request: &PlacementRequest) -> Option<usize> {
+    place(candidates, request, &PlacementConfig::default())
 }
 
 /// News of the load is old; the server that was free then would get all that comes meanwhile.
 #[test]
-fn requests_that_come_at_once_are_spread_over_servers_as_free_as_each_other() {
+fn concurrent_requests_do_not_all_go_to_the_idle_server() {
     let mut servers: Vec<Candidate> = (0..40).map(|i| candidate(&format!("i-{i}"), true)).collect();
     servers.iter_mut().skip(1).for_each(|c| c.load = 4.0);
-    let terms = PlacementConfig::default();
+    let config = PlacementConfig::default();
     let mut sent = [0; 40];
 
     for draw in 0..4_000 {
-        let work = PlacementRequest {
+        let request = PlacementRequest {
             request_hash: hash_id(&draw.to_string()),
             ..PlacementRequest::default()
         };
-        sent[place(&servers, &work, &terms).unwrap()] += 1;
+        sent[place(&servers, &request, &config).unwrap()] += 1;
     }
 
     // The free one is among the four choices of one request in ten.
@@ -78,46 +78,48 @@
 }
 
 #[test]
-fn a_server_that_keeps_the_parts_is_weighed_wherever_its_hash_is() {
-    let terms = PlacementConfig { choices: 1, ..PlacementConfig::default() };
-    for keeper in 0..6 {
+fn a_server_with_cached_prefixes_is_shortlisted_whatever_its_rank() {
+    let config = PlacementConfig { choices: 1, ..PlacementConfig::default() };
+    for holder in 0..6 {
         let mut servers = pool();
-        servers[keeper].cached_tokens = 20_000;
+        servers[holder].cached_tokens = 20_000;
 
-        assert_eq!(place(&servers, &work(7, 20_000), &terms), Some(keeper));
+        assert_eq!(place(&servers, &request(7, 20_000), &config), Some(holder));
     }
 }
 
 #[test]
-fn long_shared_parts_have_one_home_for_all_zones() {
+fn long_shared_prefixes_have_one_owner_for_all_zones() {
     for key in 0..50 {
         let here = pool();
         let mut there = pool();
         there.iter_mut().for_each(|c| c.is_same_zone = !c.is_same_zone);
 
-        assert_eq!(chosen(&here, &work(key, 5_000)), chosen(&there, &work(key, 5_000)));
+        assert_eq!(chosen(&here, &request(key, 5_000)), chosen(&there, &request(key, 5_000)));
     }
 }
 
 #[test]
-fn short_shared_parts_stay_in_their_zone_and_together() {
+fn short_shared_prefixes_have_one_owner_in_each_zone() {
     for key in 0..50 {
-        let server = chosen(&pool(), &work(key, 200)).unwrap();
+        let server = chosen(&pool(), &request(key, 200)).unwrap();
         assert!(server < 3);
-        assert_eq!(chosen(&pool(), &work(key, 200)), Some(server));
+        assert_eq!(chosen(&pool(), &request(key, 200)), Some(server));
     }
 }
 
 #[test]
-fn a_model_that_reads_fast_keeps_long_parts_in_each_zone() {
+fn with_fast_prefill_long_prefixes_have_one_owner_in_each_zone() {
     for key in 0..50 {
-        let fast =
-            PlacementRequest { prefill_token_time: Duration::from_micros(3), ..work(key, 5_000) };
-        assert!(chosen(&pool(), &fast).unwrap() < 3);
+        let request_with_fast_prefill = PlacementRequest {
+            prefill_token_time: Duration::from_micros(3),
+            ..request(key, 5_000)
+        };
+        assert!(chosen(&pool(), &request_with_fast_prefill).unwrap() < 3);
     }
 }
 
-fn marks(ids: &[u64]) -> Vec<PromptPrefix> {
+fn prefixes(ids: &[u64]) -> Vec<PromptPrefix> {
     let part = |id: &u64| PromptPart { id: *id, tokens: 1_000 };
     let own = PromptPart { id: 99, tokens: 10 };
     let parts: Vec<_> = ids.iter().map(part).chain([own]).collect();
@@ -125,101 +127,101 @@
 }
 
 #[test]
-fn parts_are_kept_behind_the_same_parts_only() {
-    let mut kept = CachedPrefixes::default();
-    kept.record_sent(&marks(&[1, 2]), 2_010);
+fn a_part_is_cached_only_after_the_same_preceding_parts() {
+    let mut cache = CachedPrefixes::default();
+    cache.record_sent(&prefixes(&[1, 2]), 2_010);
 
-    assert_eq!(kept.cached_tokens(&marks(&[1, 2, 3])), 2_000);
-    assert_eq!(kept.cached_tokens(&marks(&[1, 3])), 1_000);
-    assert_eq!(kept.cached_tokens(&marks(&[2])), 0);
+    assert_eq!(cache.cached_tokens(&prefixes(&[1, 2, 3])), 2_000);
+    assert_eq!(cache.cached_tokens(&prefixes(&[1, 3])), 1_000);
+    assert_eq!(cache.cached_tokens(&prefixes(&[2])), 0);
 }
 
 #[test]
-fn a_part_is_gone_once_the_server_has_read_enough_since() {
-    let mut kept = CachedPrefixes::default();
-    kept.set_capacity(400_000);
-    kept.record_sent(&marks(&[1]), 1_010);
-    kept.record_sent(&marks(&[2]), 230_000);
-    assert_eq!(kept.cached_tokens(&marks(&[1])), 1_000);
+fn a_prefix_expires_after_enough_prefilled_tokens() {
+    let mut cache = CachedPrefixes::default();
+    cache.set_capacity(400_000);
+    cache.record_sent(&prefixes(&[1]), 1_010);
+    cache.record_sent(&prefixes(&[2]), 230_000);
+    assert_eq!(cache.cached_tokens(&prefixes(&[1])), 1_000);
 
-    kept.record_sent(&marks(&[3]), 10_000);
+    cache.record_sent(&prefixes(&[3]), 10_000);
 
-    assert_eq!(kept.cached_tokens(&marks(&[1])), 0);
-    assert_eq!(kept.cached_tokens(&marks(&[2])), 1_000);
+    assert_eq!(cache.cached_tokens(&prefixes(&[1])), 0);
+    assert_eq!(cache.cached_tokens(&prefixes(&[2])), 1_000);
 }
 
 #[test]
-fn other_entries_are_told_of_a_part_once_and_again_after_a_while() {
-    let mut kept = CachedPrefixes::default();
-    let parts = marks(&[1]);
-    let mut tell_at = |now: Duration| {
-        kept.record_sent(&parts, 10);
-        kept.take_report(&parts, now)
+fn a_prefix_is_reported_once_per_report_interval() {
+    let mut cache = CachedPrefixes::default();
+    let parts = prefixes(&[1]);
+    let mut report_at = |now: Duration| {
+        cache.record_sent(&parts, 10);
+        cache.take_report(&parts, now)
     };
 
-    assert_eq!(tell_at(MS), Some(parts[0]));
-    assert_eq!(tell_at(1_000 * MS), None);
-    assert_eq!(tell_at(5_000 * MS), Some(parts[0]));
+    assert_eq!(report_at(MS), Some(parts[0]));
+    assert_eq!(report_at(1_000 * MS), None);
+    assert_eq!(report_at(5_000 * MS), Some(parts[0]));
 }
 
 #[test]
-fn a_note_of_the_last_part_stands_for_all_before_it_and_short_ones_are_not_told() {
-    let (mut sender, mut told) = (CachedPrefixes::default(), CachedPrefixes::default());
-    let long = marks(&[1, 2]);
+fn a_report_of_the_longest_prefix_covers_the_shorter_ones() {
+    let (mut sender, mut receiver) = (CachedPrefixes::default(), CachedPrefixes::default());
+    let long = prefixes(&[1, 2]);
     let short = [PromptPrefix { hash: 7, tokens: 500 }];
     sender.record_sent(&long, 2_010);
     sender.record_sent(&short, 510);
 
     let note = sender.take_report(&long, MS).unwrap();
-    told.record_peer_report(note.hash, note.tokens);
+    receiver.record_peer_report(note.hash, note.tokens);
 
     assert_eq!(note.tokens, 2_000);
-    assert_eq!(told.cached_tokens(&long), 2_000);
-    assert_eq!(told.cached_tokens(&marks(&[1, 2, 3])), 2_000);
+    assert_eq!(receiver.cached_tokens(&long), 2_000);
+    assert_eq!(receiver.cached_tokens(&prefixes(&[1, 2, 3])), 2_000);
     assert_eq!(sender.take_report(&short, MS), None);
 }
 
 #[test]
-fn the_record_of_a_server_is_bounded() {
-    let mut kept = CachedPrefixes::default();
+fn the_record_of_cached_prefixes_is_bounded() {
+    let mut cache = CachedPrefixes::default();
 
     for id in 0..10_000 {
-        kept.record_peer_report(id, 100);
+        cache.record_peer_report(id, 100);
     }
 
-    assert!(kept.len() <= 512);
-    assert_eq!(kept.cached_tokens(&[PromptPrefix { hash: 9_999, tokens: 100 }]), 100);
+    assert!(cache.len() <= 512);
+    assert_eq!(cache.cached_tokens(&[PromptPrefix { hash: 9_999, tokens: 100 }]), 100);
 }
 
 #[test]
-fn a_server_that_keeps_the_shared_parts_is_chosen_and_left_under_a_long_backlog() {
+fn a_server_with_cached_prefixes_is_chosen_unless_its_backlog_is_long() {
     let mut pool = pool();
-    let home = chosen(&pool, &work(7, 5_000)).unwrap();
-    let other = (home + 1) % pool.len();
+    let owner = chosen(&pool, &request(7, 5_000)).unwrap();
+    let other = (owner + 1) % pool.len();
     pool[other].cached_tokens = 5_000;
-    assert_eq!(chosen(&pool, &work(7, 5_000)), Some(other));
+    assert_eq!(chosen(&pool, &request(7, 5_000)), Some(other));
 
     pool[other].backlog = Duration::from_secs(2);
-    assert_ne!(chosen(&pool, &work(7, 5_000)), Some(other));
+    assert_ne!(chosen(&pool, &request(7, 5_000)), Some(other));
 }
 
 #[test]
-fn a_home_with_a_long_backlog_is_left() {
+fn an_owner_with_a_long_backlog_is_not_chosen() {
     let mut pool = pool();
-    let home = chosen(&pool, &work(7, 5_000)).unwrap();
-    pool[home].backlog = Duration::from_secs(2);
+    let owner = chosen(&pool, &request(7, 5_000)).unwrap();
+    pool[owner].backlog = Duration::from_secs(2);
 
-    assert_ne!(chosen(&pool, &work(7, 5_000)), Some(home));
+    assert_ne!(chosen(&pool, &request(7, 5_000)), Some(owner));
 }
 
 #[test]
-fn nothing_is_chosen_where_there_is_no_server() {
+fn no_server_is_chosen_without_candidates() {
     assert!(chosen(&pool(), &PlacementRequest::default()).is_some());
     assert_eq!(chosen(&[], &PlacementRequest::default()), None);
 }
 
 #[test]
-fn a_server_that_fails_part_of_its_requests_gets_fewer_and_is_tried_again() {
+fn a_failing_server_is_avoided_until_its_failure_rate_decays() {
     let mut failures = FailureRate::default();
     let mut now = Duration::ZERO;
     for i in 0..20 {
@@ -227,16 +229,16 @@
         failures.note(i % 3 == 0, now);
     }
     let mut pool = pool();
-    let home = chosen(&pool, &work(7, 200)).unwrap();
-    pool[home].failure_rate = failures.get(now);
-    assert_ne!(chosen(&pool, &work(7, 200)), Some(home));
+    let owner = chosen(&pool, &request(7, 200)).unwrap();
+    pool[owner].failure_rate = failures.get(now);
+    assert_ne!(chosen(&pool, &request(7, 200)), Some(owner));
 
-    pool[home].failure_rate = failures.get(now + Duration::from_secs(30));
-    assert_eq!(chosen(&pool, &work(7, 200)), Some(home));
+    pool[owner].failure_rate = failures.get(now + Duration::from_secs(30));
+    assert_eq!(chosen(&pool, &request(7, 200)), Some(owner));
 }
 
 #[test]
-fn a_full_zone_sends_to_the_next() {
+fn a_full_zone_overflows_to_other_zones() {
     let mut pool = pool();
     pool[..3].iter_mut().for_each(|c| c.load = 40.0);
 
@@ -244,39 +246,39 @@
 }
 
 #[test]
-fn a_report_fades_and_own_requests_do_not() {
-    let mut belief = LoadEstimate::default();
-    belief.own_requests = 2;
-    belief.record_report(ReportedLoad { running: 9, waiting: 1, slots: 32 }, MS);
+fn reported_load_decays_and_own_requests_do_not() {
+    let mut estimate = LoadEstimate::default();
+    estimate.own_requests = 2;
+    estimate.record_report(ReportedLoad { running: 9, waiting: 1, slots: 32 }, MS);
 
-    assert!((belief.estimated_requests(MS) - 10.0).abs() < 1e-9);
-    let later = belief.estimated_requests(Duration::from_secs(30));
+    assert!((estimate.estimated_requests(MS) - 10.0).abs() < 1e-9);
+    let later = estimate.estimated_requests(Duration::from_secs(30));
     assert!((2.0..2.01).contains(&later));
 }
 
 #[test]
-fn what_others_have_at_a_server_counts_until_it_is_read() {
-    let mut belief = LoadEstimate::default();
-    belief.own_requests = 1;
-    belief.record_peer_load(7, Duration::from_millis(200), MS);
+fn peer_backlog_shrinks_as_the_server_prefills_it() {
+    let mut estimate = LoadEstimate::default();
+    estimate.own_requests = 1;
+    estimate.record_peer_load(7, Duration::from_millis(200), MS);
 
-    assert!((belief.estimated_requests(MS) - 8.0).abs() < 1e-9);
-    assert_eq!(belief.peer_backlog(MS * 51), Duration::from_millis(150));
-    assert_eq!(belief.peer_backlog(MS * 2_000), Duration::ZERO);
-    belief.record_peer_load(7, Duration::from_secs(9), MS);
-    assert_eq!(belief.peer_backlog(MS), Duration::from_secs(9));
+    assert!((estimate.estimated_requests(MS) - 8.0).abs() < 1e-9);
+    assert_eq!(estimate.peer_backlog(MS * 51), Duration::from_millis(150));
+    assert_eq!(estimate.peer_backlog(MS * 2_000), Duration::ZERO);
+    estimate.record_peer_load(7, Duration::from_secs(9), MS);
+    assert_eq!(estimate.peer_backlog(MS), Duration::from_secs(9));
     assert!(
-        belief.peer_backlog_for_placement(MS) < Duration::from_secs(1),
+        estimate.peer_backlog_for_placement(MS) < Duration::from_secs(1),
         "bounded in the choice"
     );
 }
 
 /// What all entries together may send beyond the ratio, and how many they are.
-const EXTRA: f64 = 52.0;
+const TOTAL_EXTRA: f64 = 52.0;
 const ENTRIES: usize = 8;
 
-fn terms() -> SendTerms {
-    let extra = EXTRA / ENTRIES as f64;
+fn send_terms() -> SendTerms {
+    let extra = TOTAL_EXTRA / ENTRIES as f64;
     SendTerms { ratio: 0.9, extra, window: Duration::from_secs(10) }
 }
 
@@ -292,22 +294,22 @@
         for (entry, is_request, pause) in steps {
             now += Duration::from_millis(pause);
             if is_request {
-                entries[entry].note_request(&terms(), now);
+                entries[entry].note_request(&send_terms(), now);
                 requests.push(now);
-            } else if entries[entry].try_repeat(&terms(), now) {
+            } else if entries[entry].try_repeat(&send_terms(), now) {
                 repeats.push(now);
             }
-            let from = now.saturating_sub(terms().window);
-            let earlier = from.saturating_sub(terms().window);
+            let from = now.saturating_sub(send_terms().window);
+            let earlier = from.saturating_sub(send_terms().window);
             let in_window = repeats.iter().filter(|at| **at >= from).count() as f64;
             let asked = requests.iter().filter(|at| **at >= earlier).count() as f64;
-            prop_assert!(in_window <= terms().ratio * asked + EXTRA);
+            prop_assert!(in_window <= send_terms().ratio * asked + TOTAL_EXTRA);
         }
     }
 
     /// However the bytes are cut, the events are the same, and nothing partial is given out.
     #[test]
-    fn events_do_not_depend_on_where_the_bytes_are_cut(
+    fn events_do_not_depend_on_chunk_boundaries(
         texts in prop::collection::vec("[a-z :]{0,12}", 1..12),
         cuts in prop::collection::vec(1usize..9, 1..40),
     ) {
@@ -332,34 +334,34 @@
 
     /// A share only grows, so a session that is on the new version stays there.
     #[test]
-    fn a_session_never_moves_back(session in "[a-z0-9]{1,12}", a in 0u64..30_000, b in 0u64..30_000) {
-        let within = Duration::from_secs(24);
+    fn a_session_never_returns_to_the_old_version(session in "[a-z0-9]{1,12}", a in 0u64..30_000, b in 0u64..30_000) {
+        let duration = Duration::from_secs(24);
         let (early, late) = (Duration::from_millis(a.min(b)), Duration::from_millis(a.max(b)));
-        let share = |at| session_share(at, within, &ExposureConfig::default());
+        let share = |at| session_share(at, duration, &ExposureConfig::default());
         let on_new = |at| is_in_share(&session, "v2", share(at));
         prop_assert!(!on_new(early) || on_new(late));
     }
 }
 
 #[test]
-fn no_session_is_on_trial_in_the_first_half() {
-    let terms = ExposureConfig::default();
-    let within = Duration::from_secs(20);
+fn no_session_runs_on_the_new_version_in_the_first_half() {
+    let config = ExposureConfig::default();
+    let duration = Duration::from_secs(20);
 
-    assert_eq!(session_share(Duration::ZERO, within, &terms), 0.0);
-    assert_eq!(session_share(within / 2 + MS, within, &terms), 0.0);
-    assert!(session_share(within * 6 / 10, within, &terms) > 0.0);
-    assert!((session_share(within, within, &terms) - 1.0).abs() < 1e-9);
+    assert_eq!(session_share(Duration::ZERO, duration, &config), 0.0);
+    assert_eq!(session_share(duration / 2 + MS, duration, &config), 0.0);
+    assert!(session_share(duration * 6 / 10, duration, &config) > 0.0);
+    assert!((session_share(duration, duration, &config) - 1.0).abs() < 1e-9);
 }
 
 #[test]
-fn the_share_of_requests_without_a_session_is_small_until_it_grows() {
-    let terms = ExposureConfig::default();
-    let within = Duration::from_secs(20);
+fn the_request_share_is_small_until_the_end_of_the_roll_out() {
+    let config = ExposureConfig::default();
+    let duration = Duration::from_secs(20);
 
-    assert!(request_share(Duration::ZERO, within, &terms) > 0.0);
-    assert!(request_share(within / 2, within, &terms) < 0.15);
-    assert!((request_share(within, within, &terms) - 1.0).abs() < 1e-9);
+    assert!(request_share(Duration::ZERO, duration, &config) > 0.0);
+    assert!(request_share(duration / 2, duration, &config) < 0.15);
+    assert!((request_share(duration, duration, &config) - 1.0).abs() < 1e-9);
 }
 
 fn answer(confidence: u8) -> StageAnswer {
@@ -378,19 +380,19 @@
 }
 
 #[test]
-fn only_an_unsure_answer_goes_to_the_largest_model_and_only_if_it_may() {
-    let terms = EscalationConfig::default();
+fn only_a_low_confidence_answer_is_escalated_and_only_when_allowed() {
+    let config = EscalationConfig::default();
 
-    assert_eq!(escalate(&answer(20), &terms), Some(2));
-    assert_eq!(escalate(&answer(80), &terms), None);
-    assert_eq!(escalate(&StageAnswer { attempts_left: 0, ..answer(20) }, &terms), None);
-    assert_eq!(escalate(&StageAnswer { stage: 2, ..answer(20) }, &terms), None);
-    assert_eq!(escalate(&StageAnswer { time_left: MS, ..answer(20) }, &terms), None);
-    assert_eq!(escalate(&StageAnswer { confidence: None, ..answer(20) }, &terms), None);
+    assert_eq!(escalate(&answer(20), &config), Some(2));
+    assert_eq!(escalate(&answer(80), &config), None);
+    assert_eq!(escalate(&StageAnswer { attempts_left: 0, ..answer(20) }, &config), None);
+    assert_eq!(escalate(&StageAnswer { stage: 2, ..answer(20) }, &config), None);
+    assert_eq!(escalate(&StageAnswer { time_left: MS, ..answer(20) }, &config), None);
+    assert_eq!(escalate(&StageAnswer { confidence: None, ..answer(20) }, &config), None);
 }
 
 #[test]
-fn a_larger_model_is_waited_for_until_two_objectives_or_half_of_the_time_left() {
+fn escalation_times_out_after_two_objectives_or_half_of_the_time_left() {
     let patient = StageAnswer { time_left: 20_000 * MS, elapsed: 100 * MS, ..answer(20) };
     let hurried = StageAnswer { time_left: 3_000 * MS, ..patient };
     let late = StageAnswer { elapsed: 5_000 * MS, ..patient };
@@ -401,78 +403,84 @@
 }
 
 #[test]
-fn the_threshold_falls_with_the_wait_and_least_for_the_most_urgent() {
-    let terms = EscalationConfig::default();
+fn the_threshold_falls_with_the_wait_least_for_the_most_urgent() {
+    let config = EscalationConfig::default();
     let at = |wait_ms: u64, priority: u8| {
         let expected = Duration::from_millis(wait_ms);
-        threshold(&StageAnswer { expected_first_event: expected, priority, ..answer(50) }, &terms)
+        threshold(&StageAnswer { expected_first_event: expected, priority, ..answer(50) }, &config)
     };
 
-    assert!((at(100, 0) - terms.confident).abs() < 1e-9);
+    assert!((at(100, 0) - config.confident).abs() < 1e-9);
     assert!(at(300, 2) < at(250, 2));
     assert!(at(300, 2) < at(300, 0));
-    assert!((at(1_500, 2) - terms.confident_under_pressure).abs() < 1e-9);
+    assert!((at(1_500, 2) - config.confident_under_pressure).abs() < 1e-9);
     assert!(at(5_000, 2) < 1e-9, "late because others wait");
 }
 
 #[test]
-fn a_prompt_too_long_for_the_largest_model_takes_a_fair_answer_now() {
-    let terms = EscalationConfig::default();
-    let alone = Duration::from_secs(4);
-    let giant =
-        StageAnswer { expected_first_event: alone, expected_idle_first_event: alone, ..answer(40) };
+fn a_fair_answer_to_a_very_long_prompt_is_not_escalated() {
+    let config = EscalationConfig::default();
+    let prefill = Duration::from_secs(4);
+    let long_prompt = StageAnswer {
+        expected_first_event: prefill,
+        expected_idle_first_event: prefill,
+        ..answer(40)
+    };
 
-    assert_eq!(escalate(&giant, &terms), None);
-    assert_eq!(escalate(&StageAnswer { confidence: Some(10), ..giant }, &terms), Some(2));
+    assert_eq!(escalate(&long_prompt, &config), None);
+    assert_eq!(escalate(&StageAnswer { confidence: Some(10), ..long_prompt }, &config), Some(2));
 }
 
 #[test]
-fn an_answer_that_would_come_late_is_not_asked_again_where_others_wait() {
-    let terms = EscalationConfig::default();
+fn a_late_answer_is_not_escalated_to_a_busy_server() {
+    let config = EscalationConfig::default();
     let late = StageAnswer { elapsed: Duration::from_millis(1_950), ..answer(5) };
-    let alone = StageAnswer { expected_idle_first_event: late.expected_first_event, ..late };
+    let idle = StageAnswer { expected_idle_first_event: late.expected_first_event, ..late };
 
-    assert_eq!(escalate(&late, &terms), None);
-    assert_eq!(escalate(&alone, &terms), Some(2), "nobody waits there");
+    assert_eq!(escalate(&late, &config), None);
+    assert_eq!(escalate(&idle, &config), Some(2), "nobody waits there");
     let long_late = StageAnswer { elapsed: Duration::from_secs(5), ..late };
-    assert_eq!(escalate(&long_late, &terms), None);
+    assert_eq!(escalate(&long_late, &config), None);
 }
 
 #[test]
-fn waiting_makes_readings_slower_but_not_the_belief_in_the_best_one() {
-    let mut belief = TimingEstimate::default();
+fn slow_heads_barely_raise_the_prefill_time_estimate() {
+    let mut estimate = TimingEstimate::default();
     for _ in 0..50 {
-        belief.record_head(10_000, Duration::ZERO, Duration::from_millis(150));
+        estimate.record_head(10_000, Duration::ZERO, Duration::from_millis(150));
     }
-    let alone = belief.prefill_token_time();
+    let baseline = estimate.prefill_token_time();
     for _ in 0..10 {
-        belief.record_head(10_000, Duration::ZERO, Duration::from_millis(2_000));
+        estimate.record_head(10_000, Duration::ZERO, Duration::from_millis(2_000));
     }
 
-    assert!(belief.prefill_token_time() < alone * 2);
-    assert!(belief.mean_head_time().unwrap() > Duration::from_millis(500));
+    assert!(estimate.prefill_token_time() < baseline * 2);
+    assert!(estimate.mean_head_time().unwrap() > Duration::from_millis(500));
 }
 
 #[test]
-fn a_silent_server_is_left_sooner_than_a_slow_one() {
+fn a_silent_server_times_out_before_a_slow_one() {
     let objective = Duration::from_secs(2);
     let mean = Some(Duration::from_millis(900));
-    let patience = head_timeouts(RouteKind::Stream, objective, mean, Duration::ZERO, 1);
+    let timeouts = head_timeouts(RouteKind::Stream, objective, mean, Duration::ZERO, 1);
 
-    assert!(patience.silent < patience.slow);
-    assert!(patience.slow >= Duration::from_millis(3_600), "four times the mean");
+    assert!(timeouts.silent < timeouts.slow);
+    assert!(timeouts.slow >= Duration::from_millis(3_600), "four times the mean");
 }
 
 #[test]
-fn the_silence_of_one_stream_is_borne_longer_than_that_of_many() {
-    let gap = Some(1_200 * MS);
-    let dark = |awaited| event_timeouts(gap, awaited).silent;
+fn the_silence_timeout_is_longer_for_fewer_pending_answers() {
+    let event_gap = Some(1_200 * MS);
+    let silence_timeout = |awaited| event_timeouts(event_gap, awaited).silent;
 
     // An engine that reads a prompt of 60,000 tokens makes an event in 1.8 s.
-    assert!(dark(1) > 1_800 * MS);
-    assert!(dark(2) < dark(1) && dark(16) < 1_200 * MS);
-    assert_eq!(dark(0), dark(1));
-    assert!(event_timeouts(gap, 16).slow > 3_000 * MS, "a server that answers others is only slow");
+    assert!(silence_timeout(1) > 1_800 * MS);
+    assert!(silence_timeout(2) < silence_timeout(1) && silence_timeout(16) < 1_200 * MS);
+    assert_eq!(silence_timeout(0), silence_timeout(1));
+    assert!(
+        event_timeouts(event_gap, 16).slow > 3_000 * MS,
+        "a server that answers others is only slow"
+    );
 }
 
 fn route(kind: RouteKind) -> Route {
@@ -495,7 +503,7 @@
 }
 
 #[test]
-fn a_leaving_entry_takes_what_it_can_finish() {
+fn a_stopping_entry_accepts_what_it_can_finish() {
     let left = Duration::from_secs(3);
 
     assert!(can_finish(&route(RouteKind::OnceOnly), left));
@@ -504,13 +512,13 @@
 }
 
 #[test]
-fn a_version_that_never_shows_that_it_is_bad_gets_less_than_it_may() {
-    let terms = ExposureConfig::default();
+fn total_exposure_of_a_roll_out_stays_below_the_limit() {
+    let config = ExposureConfig::default();
     for seconds in [5, 12, 24, 60] {
-        let within = Duration::from_secs(seconds);
+        let duration = Duration::from_secs(seconds);
         let steps = 10_000;
         for share_at in [request_share, session_share] {
-            let share = |i: u32| share_at(within * i / steps, within, &terms);
+            let share = |i: u32| share_at(duration * i / steps, duration, &config);
             let exposed: f64 = (0..steps).map(share).sum::<f64>() / f64::from(steps);
 
             assert!(exposed < 0.14, "{exposed} of the requests");
@@ -519,7 +527,7 @@
 }
 
 #[test]
-fn thin_evidence_of_several_entries_proves_together_what_none_proves_alone() {
+fn combined_evidence_of_several_entries_finds_a_worse_version() {
     let guard = Guard { step_samples: 1, tolerated_rise: 0.15, false_hold: 0.1 };
     let old = Evidence { answers: 60, failures: 0, rated: 60, poor: 6 };
     let new = Evidence { answers: 4, failures: 0, rated: 4, poor: 2 };
@@ -530,14 +538,14 @@
     };
     let times = |e: Evidence| (1..8).fold(e, |sum, _| sum.plus(e));
 
-    let (alone, together) = (found(old, new), found(times(old), times(new)));
+    let (single, combined) = (found(old, new), found(times(old), times(new)));
 
-    assert_ne!(alone.finding(&guard), Finding::Worse);
-    assert_eq!(together.finding(&guard), Finding::Worse);
+    assert_ne!(single.finding(&guard), Finding::Worse);
+    assert_eq!(combined.finding(&guard), Finding::Worse);
 }
 
 #[test]
-fn a_version_that_only_may_be_worse_is_suspicious() {
+fn a_possibly_worse_version_is_suspicious() {
     let guard = Guard { step_samples: 1, tolerated_rise: 0.15, false_hold: 0.1 };
     let old = Evidence { answers: 300, failures: 2, rated: 298, poor: 30 };
     let found = |failures: u64| {
@@ -553,7 +561,7 @@
 }
 
 #[test]
-fn slow_sound_servers_do_not_hide_a_version_that_fails() {
+fn slow_healthy_servers_do_not_hide_a_failing_version() {
     let guard = Guard { step_samples: 1, tolerated_rise: 0.15, false_hold: 0.1 };
     let old = Evidence { answers: 170, failures: 1, rated: 169, poor: 44 };
     let mut test = VersionTest::default();
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -66,22 +66,23 @@
 }
 
 #[test]
-fn a_full_server_is_expected_to_take_longer_than_an_idle_far_one() {
+fn a_full_nearby_server_is_slower_than_an_idle_remote_one() {
     let near = load(8, 6);
     let far = ServerLoad { one_way_latency: Duration::from_millis(20), ..load(0, 0) };
     assert!(time_to_first_token(&near, 100) > time_to_first_token(&far, 100));
 }
 
 #[test]
-fn what_was_sent_since_the_report_counts() {
-    let told = ServerLoad { sent_since_report: 20, ..load(0, 0) };
-    let chosen =
-        choose_server(&[0, 1], 10, |server| Some(if server == 0 { told } else { load(6, 0) }));
+fn requests_sent_since_the_report_count() {
+    let busy_since_report = ServerLoad { sent_since_report: 20, ..load(0, 0) };
+    let chosen = choose_server(&[0, 1], 10, |server| {
+        Some(if server == 0 { busy_since_report } else { load(6, 0) })
+    });
     assert_eq!(chosen, Some(1));
 }
 
 #[test]
-fn a_cached_prefix_is_worth_its_prefill() {
+fn a_cached_prefix_saves_its_prefill_time() {
     let cached = ServerLoad { cached_tokens: 900, ..load(4, 0) };
     let chosen =
         choose_server(&[0, 1], 1_000, |server| Some(if server == 0 { load(3, 0) } else { cached }));
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn a_pool_that_loses_a_server_moves_few_keys() {
+fn removing_a_server_moves_few_keys() {
     let names: Vec<String> = (0..50).map(|i| format!("host-{i}")).collect();
     let all = Pool::new(names.iter().map(String::as_str));
     let fewer = Pool::new(names.iter().skip(1).map(String::as_str));
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn nine_small_organisations_are_not_starved_by_a_large_one() {
+fn a_large_organisation_does_not_starve_small_ones() {
     let mut queue = FairQueue::new(200);
     let mut dropped = BTreeMap::new();
     for i in 0..300 {
@@ -141,7 +142,7 @@
 }
 
 #[test]
-fn shares_follow_the_weights() {
+fn throughput_follows_the_weights() {
     let mut queue = FairQueue::new(1_000);
     for i in 0..400 {
         let (organisation, weight) = if i % 2 == 0 { ("p/a", 3.0) } else { ("p/b", 1.0) };
@@ -166,7 +167,7 @@
 }
 
 #[test]
-fn the_limit_gives_way_to_slow_tokens_and_comes_back() {
+fn the_limit_drops_under_slow_tokens_and_recovers() {
     let mut limit = AdaptiveLimit::new(32, Duration::from_millis(80));
     for _ in 0..20 {
         limit.observe(Duration::from_millis(200));
@@ -189,7 +190,7 @@
 }
 
 #[test]
-fn a_failing_server_stays_out_longer_each_time_and_comes_back_on_trial() {
+fn ejection_grows_with_each_failed_trial() {
     let rules = OutlierRules::default();
     let mut server = Outlier::default();
     let mut now = Duration::from_secs(1);
@@ -210,7 +211,7 @@
 }
 
 #[test]
-fn the_last_server_is_never_out() {
+fn ejections_are_ignored_when_too_few_servers_remain() {
     let rules = OutlierRules::default();
     assert!(!respects_out(1, 1, &rules));
     assert!(!respects_out(8, 8, &rules));
@@ -219,20 +220,20 @@
 }
 
 /// Finding after one look at the evidence.
-fn judge(old: Evidence, new: Evidence, guard: &Guard) -> Finding {
+fn finding(old: Evidence, new: Evidence, guard: &Guard) -> Finding {
     let mut test = VersionTest::default();
     test.observe(old, new, guard);
     test.finding(guard)
 }
 
 #[test]
-fn a_version_that_fails_more_is_found_worse_and_a_like_one_is_not() {
+fn a_worse_version_is_found_and_an_equal_one_is_not() {
     let guard = Guard::default();
     let old = evidence(1_000, 20, 100);
-    assert_eq!(judge(old, evidence(30, 15, 3), &guard), Finding::Worse);
-    assert_eq!(judge(old, evidence(40, 1, 30), &guard), Finding::Worse, "poor answers");
-    assert_eq!(judge(old, evidence(50, 1, 5), &guard), Finding::Undecided);
-    assert_eq!(judge(old, evidence(250, 5, 25), &guard), Finding::NoWorse);
+    assert_eq!(finding(old, evidence(30, 15, 3), &guard), Finding::Worse);
+    assert_eq!(finding(old, evidence(40, 1, 30), &guard), Finding::Worse, "poor answers");
+    assert_eq!(finding(old, evidence(50, 1, 5), &guard), Finding::Undecided);
+    assert_eq!(finding(old, evidence(250, 5, 25), &guard), Finding::NoWorse);
 }
 
 #[test]
@@ -242,7 +243,7 @@
 }
 
 #[test]
-fn good_answers_before_a_version_turns_bad_do_not_hide_it() {
+fn earlier_good_answers_do_not_hide_a_regression() {
     let guard = Guard { step_samples: u64::MAX, ..Guard::default() };
     let old = evidence(10_000, 0, 2_500);
     let mut test = VersionTest::default();
@@ -260,15 +261,15 @@
 }
 
 #[test]
-fn a_version_that_fails_everything_is_found_without_evidence_of_the_old_one() {
+fn a_failing_version_is_found_without_evidence_of_the_old_one() {
     let guard = Guard::default();
     let found = (1..200)
-        .find(|n| judge(Evidence::default(), evidence(*n, *n, 0), &guard) == Finding::Worse);
+        .find(|n| finding(Evidence::default(), evidence(*n, *n, 0), &guard) == Finding::Worse);
     assert!(found.is_some_and(|n| n < 60), "{found:?}");
 }
 
 #[test]
-fn a_growing_share_moves_no_session_back() {
+fn a_growing_share_only_adds_sessions() {
     let on_new = |share: f64| -> BTreeSet<u32> {
         let spec = roll_out(share);
         (0..2_000).filter(|i| takes_new_version(&spec, &format!("s{i}"), false)).collect()
@@ -279,12 +280,12 @@
 }
 
 #[test]
-fn a_held_version_takes_no_new_session() {
+fn a_held_version_gets_no_new_session() {
     assert!((0..500).all(|i| !takes_new_version(&roll_out(1.0), &format!("s{i}"), true)));
 }
 
 #[test]
-fn the_guard_moves_by_steps_and_leaves_paused_ones() {
+fn the_guard_advances_by_steps_and_does_not_advance_a_paused_roll_out() {
     let running = roll_out(0.2);
     let second = apply_step(&running, guard_step(&running, Finding::NoWorse));
     assert_eq!((second.step, second.state), (1, RollOutState::Running));
@@ -307,7 +308,7 @@
 
 /// Answers of a cheap stage that passes three of four, the rest escalated unless it is paid for.
 #[test]
-fn the_mean_stays_at_the_target_and_no_more_is_spent_on_quality() {
+fn the_mean_rating_stays_at_the_target_with_few_escalations() {
     let cascade: Box<str> = "p/c".into();
     let mut estimates = CascadeEstimates::default();
     let mut rng = ChaCha8Rng::seed_from_u64(3);
@@ -329,7 +330,7 @@
 }
 
 #[test]
-fn saved_up_quality_pays_for_few_poor_answers_in_a_row() {
+fn quality_credit_covers_few_poor_answers_in_a_row() {
     let cascade: Box<str> = "p/c".into();
     let mut estimates = CascadeEstimates::default();
     for _ in 0..10_000 {
@@ -344,7 +345,7 @@
 }
 
 #[test]
-fn a_process_goes_through_its_life_once() {
+fn lifecycle_states_are_entered_only_once() {
     let mut life = lifecycle::start();
     for event in [LifecycleEvent::Ready, LifecycleEvent::Leave, LifecycleEvent::Ready] {
         life.handle(&event);
@@ -380,7 +381,7 @@
 }
 
 #[test]
-fn an_entry_links_to_a_bounded_part_that_covers_every_version() {
+fn links_of_an_entry_are_bounded_and_cover_every_version() {
     let hosts = agents(2_100);
     let snapshot = snapshot_of(2_100, 17);
     let me = host("me", "r1", "z1", Role::Entry);
@@ -396,7 +397,7 @@
 }
 
 #[test]
-fn a_version_that_few_engines_have_is_linked_to_by_every_entry() {
+fn every_entry_links_to_a_server_of_a_rare_version() {
     let hosts = agents(2_100);
     let rare = ["p/e700", "p/e1400", "p/e2099"];
     let objects: Vec<Object> = (0..2_100)
@@ -419,7 +420,7 @@
 }
 
 #[test]
-fn a_host_that_goes_moves_few_links() {
+fn removing_a_host_changes_few_links() {
     let mut hosts = agents(400);
     let snapshot = snapshot_of(400, 4);
     let me = host("me", "r1", "z1", Role::Entry);
@@ -434,7 +435,7 @@
 }
 
 #[test]
-fn a_duty_falls_to_as_many_entries_as_share_it() {
+fn a_duty_is_assigned_to_the_configured_number_of_entries() {
     let entries: Vec<Host> = (0..40)
         .map(|i| host(&format!("entry-{i}"), "r", &format!("z{}", i % 4), Role::Entry))
         .collect();
