--- a/tests/model/charge.rs
+++ b/tests/model/charge.rs
@@ -20,26 +20,26 @@
 enum Mutation {
     None,
     NoMerge,
-    IdsForgotten,
+    SettledIdsIgnored,
     NoCopy,
     NoFencing,
     DeleteBeforeTotals,
 }
 
 /// Writer and number of a batch; a repeated write keeps both.
-type Name = (&'static str, u8);
+type BatchName = (&'static str, u8);
 type Records = BTreeSet<RequestId>;
 
 /// A settler's pass, step by step.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Pass {
+enum SettlerState {
     Idle,
     /// Has read the row, its ids and these batches.
     Read {
-        row: u8,
+        row_version: u8,
         lease: u8,
         known: Records,
-        batches: BTreeMap<Name, Records>,
+        batches: BTreeMap<BatchName, Records>,
     },
 }
 
@@ -51,19 +51,19 @@
     buffer: Records,
     copies: Records,
     /// The batch the entry is writing.
-    pending: Option<(Name, Records)>,
-    next_name: u8,
+    pending: Option<(BatchName, Records)>,
+    next_batch: u8,
     delivered: Records,
-    batches: BTreeMap<Name, Records>,
+    batches: BTreeMap<BatchName, Records>,
     /// Version of the window's row, its batches and the ids it names.
-    row: u8,
-    done: BTreeSet<Name>,
-    ids: Records,
+    row_version: u8,
+    settled_batches: BTreeSet<BatchName>,
+    settled_ids: Records,
     billed: BTreeMap<RequestId, u8>,
     /// Settler that holds the lease, as a fencing number.
     lease: u8,
-    passes: [Pass; SETTLERS],
-    lost: u8,
+    settlers: [SettlerState; SETTLERS],
+    lost_replies: u8,
 }
 
 fn start() -> State {
@@ -73,16 +73,16 @@
         buffer: BTreeSet::new(),
         copies: BTreeSet::new(),
         pending: None,
-        next_name: 0,
+        next_batch: 0,
         delivered: BTreeSet::new(),
         batches: BTreeMap::new(),
-        row: 0,
-        done: BTreeSet::new(),
-        ids: BTreeSet::new(),
+        row_version: 0,
+        settled_batches: BTreeSet::new(),
+        settled_ids: BTreeSet::new(),
         billed: BTreeMap::new(),
         lease: 0,
-        passes: [Pass::Idle, Pass::Idle],
-        lost: 0,
+        settlers: [SettlerState::Idle, SettlerState::Idle],
+        lost_replies: 0,
     }
 }
 
@@ -122,16 +122,16 @@
     if !state.buffer.is_empty() && state.pending.is_none() {
         let mut next = state.clone();
         let records = std::mem::take(&mut next.buffer);
-        next.pending = Some((("entry", state.next_name), records));
-        next.next_name += 1;
+        next.pending = Some((("entry", state.next_batch), records));
+        next.next_batch += 1;
         steps.push(("the entry names a batch", next));
     }
     if let Some((name, records)) = &state.pending {
         let mut written = state.clone();
         written.batches.insert(*name, records.clone());
-        if state.lost == 0 {
+        if state.lost_replies == 0 {
             let mut lost = written.clone();
-            lost.lost += 1;
+            lost.lost_replies += 1;
             steps.push(("a batch is written and its reply lost", lost));
         }
         written.pending = None;
@@ -161,55 +161,65 @@
 }
 
 fn settler_steps(state: &State, settler: usize, mutation: Mutation, steps: &mut Vec<Step<State>>) {
-    match &state.passes[settler] {
-        Pass::Idle => {
-            let fresh = state.batches.iter().filter(|(name, _)| !state.done.contains(*name));
-            let batches: BTreeMap<Name, Records> =
-                fresh.map(|(name, records)| (*name, records.clone())).collect();
-            delete_done(state, steps);
+    match &state.settlers[settler] {
+        SettlerState::Idle => {
+            let unsettled =
+                state.batches.iter().filter(|(name, _)| !state.settled_batches.contains(*name));
+            let batches: BTreeMap<BatchName, Records> =
+                unsettled.map(|(name, records)| (*name, records.clone())).collect();
+            delete_settled_batches(state, steps);
             let holds = usize::from(state.lease) % SETTLERS == settler;
             if batches.is_empty() || !holds {
                 return;
             }
             let mut next = state.clone();
-            let known = if mutation == Mutation::IdsForgotten {
+            let known = if mutation == Mutation::SettledIdsIgnored {
                 BTreeSet::new()
             } else {
-                state.ids.clone()
+                state.settled_ids.clone()
             };
             if mutation == Mutation::DeleteBeforeTotals {
                 next.batches.clear();
             }
-            next.passes[settler] =
-                Pass::Read { row: state.row, lease: state.lease, known, batches };
+            next.settlers[settler] = SettlerState::Read {
+                row_version: state.row_version,
+                lease: state.lease,
+                known,
+                batches,
+            };
             steps.push(("a settler reads the window", next));
         }
-        Pass::Read { row, lease, known, batches } => {
-            let mut gone = state.clone();
-            gone.passes[settler] = Pass::Idle;
-            steps.push(("a settler crashes", gone.clone()));
-            let permitted = *lease == state.lease && *row == state.row;
+        SettlerState::Read { row_version, lease, known, batches } => {
+            let mut idle = state.clone();
+            idle.settlers[settler] = SettlerState::Idle;
+            steps.push(("a settler crashes", idle.clone()));
+            let permitted = *lease == state.lease && *row_version == state.row_version;
             if !permitted && mutation != Mutation::NoFencing {
-                steps.push(("a settler's transaction fails", gone));
+                steps.push(("a settler's transaction fails", idle));
                 return;
             }
-            let mut next = gone;
-            add(&mut next, known, batches, mutation);
+            let mut next = idle;
+            add_to_totals(&mut next, known, batches, mutation);
             steps.push(("a settler adds a window", next));
         }
     }
 }
 
 /// A settled batch that is still there, or was written again, is deleted.
-fn delete_done(state: &State, steps: &mut Vec<Step<State>>) {
+fn delete_settled_batches(state: &State, steps: &mut Vec<Step<State>>) {
     let mut next = state.clone();
-    next.batches.retain(|name, _| !state.done.contains(name));
+    next.batches.retain(|name, _| !state.settled_batches.contains(name));
     if next != *state {
         steps.push(("a settled batch is deleted", next));
     }
 }
 
-fn add(state: &mut State, known: &Records, batches: &BTreeMap<Name, Records>, mutation: Mutation) {
+fn add_to_totals(
+    state: &mut State,
+    known: &Records,
+    batches: &BTreeMap<BatchName, Records>,
+    mutation: Mutation,
+) {
     let records: Vec<ChargeRecord> =
         batches.values().flatten().map(|id| record(*id, Delivery::Whole)).collect();
     if mutation == Mutation::NoMerge {
@@ -220,31 +230,33 @@
         let (_, ids) = settle(&merge(records), known);
         for request in ids {
             *state.billed.entry(request).or_default() += 1;
-            state.ids.insert(request);
+            state.settled_ids.insert(request);
         }
     }
-    state.row += 1;
-    state.done.extend(batches.keys().copied());
+    state.row_version += 1;
+    state.settled_batches.extend(batches.keys().copied());
 }
 
 /// Nothing more can happen by itself: everything written has been settled.
-fn is_settled(state: &State) -> bool {
-    let rescued = state.entry_up || state.copies.is_empty();
-    let flushed = state.buffer.is_empty() && state.pending.is_none() && rescued;
-    flushed && state.batches.is_empty() && state.passes.iter().all(|pass| *pass == Pass::Idle)
+fn is_quiescent(state: &State) -> bool {
+    let adopted = state.entry_up || state.copies.is_empty();
+    let flushed = state.buffer.is_empty() && state.pending.is_none() && adopted;
+    flushed
+        && state.batches.is_empty()
+        && state.settlers.iter().all(|settler| *settler == SettlerState::Idle)
 }
 
-fn broken(state: &State) -> Option<&'static str> {
+fn violated_invariant(state: &State) -> Option<&'static str> {
     if state.billed.values().any(|count| *count > 1) {
         return Some("a request was billed twice");
     }
     let missing = state.delivered.iter().any(|request| !state.billed.contains_key(request));
     let both_died = !state.entry_up && !state.agent_up;
-    (is_settled(state) && missing && !both_died).then_some("a delivered answer was never billed")
+    (is_quiescent(state) && missing && !both_died).then_some("a delivered answer was never billed")
 }
 
 fn run(mutation: Mutation) -> Found {
-    explore(&start(), |state| next(state, mutation), broken)
+    explore(&start(), |state| next(state, mutation), violated_invariant)
 }
 
 #[test]
@@ -256,7 +268,7 @@
 fn every_mutation_of_charges_is_found() {
     for mutation in [
         Mutation::NoMerge,
-        Mutation::IdsForgotten,
+        Mutation::SettledIdsIgnored,
         Mutation::NoCopy,
         Mutation::NoFencing,
         Mutation::DeleteBeforeTotals,
--- a/tests/model/claim.rs
+++ b/tests/model/claim.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutation {
     None,
-    TombstoneForgotten,
+    RefusalForgotten,
     SendBeforeClaim,
     RetryAfterUnknown,
     TakeOverAbandoned,
@@ -44,12 +44,12 @@
     Inserting(Option<u64>),
     ReadingBack,
     Sending,
-    Told(Told),
+    CallerAnswer(CallerAnswer),
     Crashed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Told {
+enum CallerAnswer {
     Answer,
     NotRun,
     Unknown,
@@ -61,7 +61,7 @@
     phase: Phase,
     attempts: Vec<AttemptState>,
     cancelled: bool,
-    released: bool,
+    claim_finished: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -82,7 +82,7 @@
 
 fn start() -> State {
     let entry =
-        Entry { phase: Phase::Idle, attempts: Vec::new(), cancelled: false, released: false };
+        Entry { phase: Phase::Idle, attempts: Vec::new(), cancelled: false, claim_finished: false };
     State {
         row: None,
         last_version: 0,
@@ -148,15 +148,15 @@
             };
             apply_reply(&mut next, i, reply, mutation);
             steps.push(("the entry reads back", next));
-            let blind =
+            let unreadable =
                 with_fault(state, |next| apply_reply(next, i, InsertReply::Unreadable, mutation));
-            steps.extend(blind.map(|next| ("the row can't be read back", next)));
+            steps.extend(unreadable.map(|next| ("the row can't be read back", next)));
         }
         Phase::Sending => sending_steps(state, i, mutation, steps),
-        Phase::Told(told) => release_step(state, i, *told, steps),
+        Phase::CallerAnswer(answer) => finish_claim_step(state, i, *answer, steps),
         Phase::Crashed => {}
     }
-    if !matches!(state.entries[i].phase, Phase::Crashed | Phase::Idle | Phase::Told(_)) {
+    if !matches!(state.entries[i].phase, Phase::Crashed | Phase::Idle | Phase::CallerAnswer(_)) {
         steps.extend(
             with_fault(state, |next| next.entries[i].phase = Phase::Crashed)
                 .map(|next| ("an entry crashes", next)),
@@ -206,24 +206,24 @@
         ClaimStep::ReadBack => Phase::ReadingBack,
         ClaimStep::Insert => Phase::Inserting(None),
         ClaimStep::TakeOver(version) => Phase::Inserting(Some(version)),
-        ClaimStep::NotRun => Phase::Told(Told::NotRun),
-        _ => Phase::Told(Told::Other),
+        ClaimStep::NotRun => Phase::CallerAnswer(CallerAnswer::NotRun),
+        _ => Phase::CallerAnswer(CallerAnswer::Other),
     };
 }
 
 fn sending_steps(state: &State, i: usize, mutation: Mutation, steps: &mut Vec<Step<State>>) {
     let attempts = &state.entries[i].attempts;
-    let is_open =
+    let is_pending =
         attempts.last().is_some_and(|s| *s == advance(initial_state(), AttemptEvent::Sent));
-    let may = may_retry(attempts, mutation == Mutation::RetryAfterUnknown);
-    if !is_open && may && attempts.len() < MAX_ATTEMPTS {
+    let may_send = may_retry(attempts, mutation == Mutation::RetryAfterUnknown);
+    if !is_pending && may_send && attempts.len() < MAX_ATTEMPTS {
         let mut next = state.clone();
         let number = attempts.len() as u8;
         next.entries[i].attempts.push(advance(initial_state(), AttemptEvent::Sent));
         push(&mut next, Frame::Start { entry: i as u8, number });
         steps.push(("the entry sends an attempt", next));
     }
-    if is_open {
+    if is_pending {
         let number = attempts.len() as u8 - 1;
         if !state.entries[i].cancelled {
             let mut next = state.clone();
@@ -236,38 +236,38 @@
                 Mutation::NotRunAfterLinkLoss => AttemptEvent::Refused,
                 _ => AttemptEvent::LinkLost,
             };
-            note(next, i, number, event);
+            record(next, i, number, event);
         });
         steps.extend(cut.map(|next| ("the entry's link breaks", next)));
     } else if !attempts.is_empty() {
         let mut next = state.clone();
-        next.entries[i].phase = Phase::Told(match request_outcome(attempts) {
-            RequestOutcome::NotRun => Told::NotRun,
-            RequestOutcome::Done => Told::Answer,
-            RequestOutcome::Unknown => Told::Unknown,
+        next.entries[i].phase = Phase::CallerAnswer(match request_outcome(attempts) {
+            RequestOutcome::NotRun => CallerAnswer::NotRun,
+            RequestOutcome::Done => CallerAnswer::Answer,
+            RequestOutcome::Unknown => CallerAnswer::Unknown,
         });
         steps.push(("the entry tells its caller", next));
     }
 }
 
 /// The entry writes down how the claimed request ended.
-fn release_step(state: &State, i: usize, told: Told, steps: &mut Vec<Step<State>>) {
+fn finish_claim_step(state: &State, i: usize, answer: CallerAnswer, steps: &mut Vec<Step<State>>) {
     let entry = &state.entries[i];
-    let Some((claim, _)) = state.row.as_ref().filter(|_| !entry.released) else {
+    let Some((claim, _)) = state.row.as_ref().filter(|_| !entry.claim_finished) else {
         return;
     };
     if claim.request != claim_of(i).request || entry.attempts.is_empty() {
         return;
     }
     let mut next = state.clone();
-    next.entries[i].released = true;
+    next.entries[i].claim_finished = true;
     next.last_version += 1;
-    let state_of = match told {
-        Told::NotRun => ClaimState::NotRun,
-        Told::Answer => ClaimState::Done(SavedAnswer { status: 200, body: "x".into() }),
+    let claim_state = match answer {
+        CallerAnswer::NotRun => ClaimState::NotRun,
+        CallerAnswer::Answer => ClaimState::Done(SavedAnswer { status: 200, body: "x".into() }),
         _ => ClaimState::Unknown,
     };
-    next.row = Some((Claim { state: state_of, ..claim.clone() }, next.last_version));
+    next.row = Some((Claim { state: claim_state, ..claim.clone() }, next.last_version));
     steps.push(("the entry finishes its claim", next));
 }
 
@@ -307,11 +307,11 @@
             steps.push(("an agent gets a cancel", next));
         }
         Frame::Refused { entry, number } => {
-            note(&mut next, usize::from(entry), number, AttemptEvent::Refused);
+            record(&mut next, usize::from(entry), number, AttemptEvent::Refused);
             steps.push(("the entry learns of a refusal", next));
         }
         Frame::Ended { entry, number } => {
-            note(&mut next, usize::from(entry), number, AttemptEvent::Ended);
+            record(&mut next, usize::from(entry), number, AttemptEvent::Ended);
             steps.push(("the entry gets the answer", next));
         }
     }
@@ -343,13 +343,13 @@
     let GateDecision::Refuse(_) = decision else {
         return;
     };
-    if mutation == Mutation::TombstoneForgotten {
+    if mutation == Mutation::RefusalForgotten {
         state.gates[usize::from(number) % AGENTS] = Gate::default();
     }
     push(state, Frame::Refused { entry, number });
 }
 
-fn note(state: &mut State, entry: usize, number: u8, event: AttemptEvent) {
+fn record(state: &mut State, entry: usize, number: u8, event: AttemptEvent) {
     if !matches!(state.entries[entry].phase, Phase::Sending) {
         return;
     }
@@ -357,17 +357,18 @@
     *attempt = advance(*attempt, event);
 }
 
-fn broken(state: &State) -> Option<&'static str> {
+fn violated_invariant(state: &State) -> Option<&'static str> {
     if state.runs.iter().sum::<u8>() > 1 {
         return Some("the request ran twice");
     }
-    let lied = (0..ENTRIES)
-        .any(|i| state.entries[i].phase == Phase::Told(Told::NotRun) && state.runs[i] > 0);
-    lied.then_some("a caller was told `not run` of a request that ran")
+    let is_false_not_run = (0..ENTRIES).any(|i| {
+        state.entries[i].phase == Phase::CallerAnswer(CallerAnswer::NotRun) && state.runs[i] > 0
+    });
+    is_false_not_run.then_some("a caller was told `not run` of a request that ran")
 }
 
 fn run(mutation: Mutation) -> Found {
-    explore(&start(), |state| next(state, mutation), broken)
+    explore(&start(), |state| next(state, mutation), violated_invariant)
 }
 
 #[test]
@@ -378,7 +379,7 @@
 #[test]
 fn every_mutation_of_claims_is_found() {
     for mutation in [
-        Mutation::TombstoneForgotten,
+        Mutation::RefusalForgotten,
         Mutation::SendBeforeClaim,
         Mutation::RetryAfterUnknown,
         Mutation::TakeOverAbandoned,
--- a/tests/model/config.rs
+++ b/tests/model/config.rs
@@ -22,13 +22,13 @@
     None,
     AgentDoesNotWait,
     AgentDoesNotCheck,
-    NoCheckFromQueue,
-    FollowsOlder,
+    NoCheckAfterQueue,
+    AcceptsOlderRevision,
 }
 
 /// A start on its way, or held at an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Sent {
+struct SentStart {
     number: u8,
     agent: u8,
     decided: Revision,
@@ -42,11 +42,11 @@
     /// Highest revision each life of a process has held.
     highest: [Revision; PROCESSES],
     restarts: u8,
-    sent: Vec<Sent>,
-    at_agent: Vec<Sent>,
+    sent: Vec<SentStart>,
+    at_agent: Vec<SentStart>,
     gates: [Gate; 2],
     decided: u8,
-    wrong: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 fn change(revision: Revision) -> Change {
@@ -74,7 +74,7 @@
 
 /// Revision held after a peer at `from` offered all its changes to one at `held`.
 fn after_update(held: Revision, from: Revision, mutation: Mutation) -> Revision {
-    if mutation == Mutation::FollowsOlder {
+    if mutation == Mutation::AcceptsOlderRevision {
         return from;
     }
     let mut log = log_at(held);
@@ -98,7 +98,7 @@
         at_agent: Vec::new(),
         gates: Default::default(),
         decided: 0,
-        wrong: None,
+        violation: None,
     }
 }
 
@@ -109,7 +109,7 @@
         next.head += 1;
         steps.push(("an operator's change is accepted", next));
     }
-    spread_steps(state, mutation, &mut steps);
+    propagation_steps(state, mutation, &mut steps);
     restart_steps(state, &mut steps);
     request_steps(state, mutation, &mut steps);
     steps
@@ -118,12 +118,12 @@
 fn set_held(state: &mut State, process: usize, revision: Revision) {
     state.held[process] = revision;
     if revision < state.highest[process] {
-        state.wrong = Some("a process went back to an older configuration");
+        state.violation = Some("a process went back to an older configuration");
     }
     state.highest[process] = state.highest[process].max(revision);
 }
 
-fn spread_steps(state: &State, mutation: Mutation, steps: &mut Vec<Step<State>>) {
+fn propagation_steps(state: &State, mutation: Mutation, steps: &mut Vec<Step<State>>) {
     for entry in 0..2 {
         // A lagging replica of the store may show any older head.
         for shown in 1..=state.head {
@@ -169,7 +169,7 @@
             for agent in 0..2 {
                 let mut next = state.clone();
                 let decided = state.held[entry];
-                next.sent.push(Sent { number: state.decided, agent, decided });
+                next.sent.push(SentStart { number: state.decided, agent, decided });
                 next.sent.sort();
                 next.decided += 1;
                 steps.push(("an entry sends a request", next));
@@ -185,23 +185,23 @@
     for (at, sent) in state.at_agent.iter().enumerate() {
         let mut next = state.clone();
         next.at_agent.remove(at);
-        go_on(&mut next, *sent, mutation);
+        retry_waiting(&mut next, *sent, mutation);
         steps.push(("an agent looks at a waiting request again", next));
     }
 }
 
-fn key(sent: Sent) -> AttemptKey {
+fn key(sent: SentStart) -> AttemptKey {
     AttemptKey { request: u128::from(sent.number), number: 0 }
 }
 
-fn view(state: &State, sent: Sent, mutation: Mutation) -> GateView {
+fn view(state: &State, sent: SentStart, mutation: Mutation) -> GateView {
     let revision = state.held[AGENTS.start + usize::from(sent.agent)];
     let available = mutation == Mutation::AgentDoesNotCheck || is_available(revision);
     let revision = if mutation == Mutation::AgentDoesNotWait { Revision::MAX } else { revision };
     GateView { revision, allowed: true, available, leaving: false }
 }
 
-fn offer(state: &mut State, sent: Sent, mutation: Mutation) {
+fn offer(state: &mut State, sent: SentStart, mutation: Mutation) {
     let view = view(state, sent, mutation);
     let held = state.held[AGENTS.start + usize::from(sent.agent)];
     let gate = &mut state.gates[usize::from(sent.agent)];
@@ -211,20 +211,20 @@
             state.at_agent.sort();
         }
         GateDecision::Refuse(_) if held < sent.decided => {
-            state.wrong = Some("an agent refused by a configuration older than the decision");
+            state.violation = Some("an agent refused by a configuration older than the decision");
         }
         _ => {}
     }
 }
 
-fn go_on(state: &mut State, sent: Sent, mutation: Mutation) {
+fn retry_waiting(state: &mut State, sent: SentStart, mutation: Mutation) {
     let gate = &state.gates[usize::from(sent.agent)];
     if gate.state(key(sent)) == Some(GateState::Behind) {
         offer(state, sent, mutation);
         return;
     }
     let mut view = view(state, sent, mutation);
-    if mutation == Mutation::NoCheckFromQueue {
+    if mutation == Mutation::NoCheckAfterQueue {
         view.available = true;
     }
     let decision = state.gates[usize::from(sent.agent)].take(key(sent), view);
@@ -234,16 +234,16 @@
     let agent = state.held[AGENTS.start + usize::from(sent.agent)];
     // The newer of the two views has to allow the version: one of the two knowing is enough.
     if !is_available(agent.max(sent.decided)) || !is_available(agent) {
-        state.wrong = Some("a withdrawn version got a new request");
+        state.violation = Some("a withdrawn version got a new request");
     }
 }
 
 fn run(mutation: Mutation) -> Found {
-    explore(&start(), |state| next(state, mutation), |state| state.wrong)
+    explore(&start(), |state| next(state, mutation), |state| state.violation)
 }
 
 #[test]
-fn a_withdrawn_version_gets_no_request_and_nothing_reverts() {
+fn a_withdrawn_version_gets_no_request_and_no_process_goes_back() {
     assert_holds("config", &run(Mutation::None), 20_000);
 }
 
@@ -252,8 +252,8 @@
     for mutation in [
         Mutation::AgentDoesNotWait,
         Mutation::AgentDoesNotCheck,
-        Mutation::NoCheckFromQueue,
-        Mutation::FollowsOlder,
+        Mutation::NoCheckAfterQueue,
+        Mutation::AcceptsOlderRevision,
     ] {
         assert_found("config", &format!("{mutation:?}"), &run(mutation));
     }
--- a/tests/model/lease.rs
+++ b/tests/model/lease.rs
@@ -19,7 +19,7 @@
     None,
     NoFencingCondition,
     ValidFromReply,
-    TakesOverAtOnce,
+    TakesOverImmediately,
     NoMargin,
 }
 
@@ -28,11 +28,11 @@
     view: LeaseView,
     version: u64,
     /// A renewal or take-over on its way: the row, the version it expects, when it was sent.
-    writing: Option<(LeaseRow, Option<u64>, u64)>,
+    lease_write: Option<(LeaseRow, Option<u64>, u64)>,
     /// The reply to a write that took effect: the row, its version, when the write was sent.
     reply: Option<(LeaseRow, u64, u64)>,
     /// A protected write on its way, with the version and fencing number it was permitted under.
-    acting: Option<(u64, u64)>,
+    protected_write: Option<(u64, u64)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -42,12 +42,12 @@
     last_version: u64,
     processes: [Process; PROCESSES],
     /// Fencing number of the last protected write that took effect.
-    protected: u64,
+    last_protected_fencing: u64,
     faults: u8,
-    wrong: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
-fn terms(mutation: Mutation) -> LeaseTiming {
+fn timing(mutation: Mutation) -> LeaseTiming {
     let margin = if mutation == Mutation::NoMargin { 0 } else { 1 };
     LeaseTiming { duration: Duration::from_secs(3), margin: Duration::from_secs(margin) }
 }
@@ -64,18 +64,18 @@
     let process = Process {
         view: LeaseView::default(),
         version: 0,
-        writing: None,
+        lease_write: None,
         reply: None,
-        acting: None,
+        protected_write: None,
     };
     State {
         now: 0,
         row: None,
         last_version: 0,
         processes: [process.clone(), process],
-        protected: 0,
+        last_protected_fencing: 0,
         faults: 0,
-        wrong: None,
+        violation: None,
     }
 }
 
@@ -87,8 +87,8 @@
         steps.push(("time passes", next));
     }
     for i in 0..PROCESSES {
-        tend_steps(state, i, mutation, &mut steps);
-        act_steps(state, i, mutation, &mut steps);
+        lease_steps(state, i, mutation, &mut steps);
+        protected_write_steps(state, i, mutation, &mut steps);
     }
     for (_, next) in &mut steps {
         check_holders(next);
@@ -99,46 +99,46 @@
 /// Two processes may not both believe that they hold the lease. With the margin this is true
 /// even for a holder whose clock runs one tick behind.
 fn check_holders(state: &mut State) {
-    let slow = at(state.now.saturating_sub(1));
+    let delayed = at(state.now.saturating_sub(1));
     let holds = |i: usize, now| state.processes[i].view.fencing_token(now).is_some();
-    let both =
-        holds(0, at(state.now)) && holds(1, slow) || holds(1, at(state.now)) && holds(0, slow);
+    let both = holds(0, at(state.now)) && holds(1, delayed)
+        || holds(1, at(state.now)) && holds(0, delayed);
     if both {
-        state.wrong = Some("two processes hold the lease");
+        state.violation = Some("two processes hold the lease");
     }
 }
 
 /// Reading, planning and writing the lease row; the write's answer may be late or lost.
-fn tend_steps(state: &State, i: usize, mutation: Mutation, steps: &mut Vec<Step<State>>) {
+fn lease_steps(state: &State, i: usize, mutation: Mutation, steps: &mut Vec<Step<State>>) {
     if let Some((row, version, sent)) = state.processes[i].reply.clone() {
         let mut next = state.clone();
         let counted_from = if mutation == Mutation::ValidFromReply { state.now } else { sent };
         let process = &mut next.processes[i];
         process.reply = None;
         process.version = version;
-        process.view.record_commit(row, version, at(counted_from), terms(mutation));
+        process.view.record_commit(row, version, at(counted_from), timing(mutation));
         steps.push(("the reply to a lease write arrives", next));
         return;
     }
-    let Some((row, expected, sent)) = state.processes[i].writing.clone() else {
+    let Some((row, expected, sent)) = state.processes[i].lease_write.clone() else {
         let mut next = state.clone();
         let now = at(state.now);
         let view = &mut next.processes[i].view;
         view.observe(state.row.clone(), now);
-        let mut plan = view.plan(name(i), now, terms(mutation));
-        if mutation == Mutation::TakesOverAtOnce {
-            plan = view.plan(name(i), now + at(100), terms(mutation));
+        let mut plan = view.plan(name(i), now, timing(mutation));
+        if mutation == Mutation::TakesOverImmediately {
+            plan = view.plan(name(i), now + at(100), timing(mutation));
         }
         if let LeaseAction::Write { row, expected } = plan
             && state.last_version < LAST_VERSION
         {
-            next.processes[i].writing = Some((row, expected, state.now));
+            next.processes[i].lease_write = Some((row, expected, state.now));
         }
         steps.push(("a process reads the lease", next));
         return;
     };
     let mut next = state.clone();
-    next.processes[i].writing = None;
+    next.processes[i].lease_write = None;
     if state.row.as_ref().map(|(_, version)| *version) != expected {
         next.processes[i].view.record_conflict();
         steps.push(("a lease write fails its condition", next));
@@ -156,30 +156,35 @@
 }
 
 /// A protected write: permitted now, carried out at any later time.
-fn act_steps(state: &State, i: usize, mutation: Mutation, steps: &mut Vec<Step<State>>) {
+fn protected_write_steps(
+    state: &State,
+    i: usize,
+    mutation: Mutation,
+    steps: &mut Vec<Step<State>>,
+) {
     let process = &state.processes[i];
-    let Some((version, fencing)) = process.acting else {
+    let Some((version, fencing)) = process.protected_write else {
         if let Some(fencing) = process.view.fencing_token(at(state.now)) {
             let mut next = state.clone();
-            next.processes[i].acting = Some((process.version, fencing));
+            next.processes[i].protected_write = Some((process.version, fencing));
             steps.push(("a holder sends a protected write", next));
         }
         return;
     };
     let mut next = state.clone();
-    next.processes[i].acting = None;
+    next.processes[i].protected_write = None;
     let still_held = state.row.as_ref().is_some_and(|(_, v)| *v == version);
     if still_held || mutation == Mutation::NoFencingCondition {
-        if fencing < state.protected {
-            next.wrong = Some("an earlier holder's write came after a later holder's");
+        if fencing < state.last_protected_fencing {
+            next.violation = Some("an earlier holder's write came after a later holder's");
         }
-        next.protected = fencing;
+        next.last_protected_fencing = fencing;
     }
     steps.push(("a protected write arrives", next));
 }
 
 fn run(mutation: Mutation) -> Found {
-    explore(&start(), |state| next(state, mutation), |state| state.wrong)
+    explore(&start(), |state| next(state, mutation), |state| state.violation)
 }
 
 #[test]
@@ -192,7 +197,7 @@
     for mutation in [
         Mutation::NoFencingCondition,
         Mutation::ValidFromReply,
-        Mutation::TakesOverAtOnce,
+        Mutation::TakesOverImmediately,
         Mutation::NoMargin,
     ] {
         assert_found("lease", &format!("{mutation:?}"), &run(mutation));
