--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,11 +1,11 @@
-//! The clock by which processes decide: it goes on while the Host is suspended.
+//! Monotonic clock that keeps counting while the Host is suspended.
 //!
-//! The clocks of the standard library and of the runtime stand still while a Host is suspended, so that
-//! after it everything looks as fresh as before: deadlines, leases, what was received from others. This one
-//! counts that time (`CLOCK_BOOTTIME`) and never goes back; the time of day does, and is not used.
+//! `std::time::Instant` and Tokio's timers stop during a suspension, so that afterwards deadlines, leases
+//! and state received from peers would still look current. This clock reads `CLOCK_BOOTTIME`, which includes
+//! suspended time and never goes backwards. Wall-clock time can go backwards and is not used.
 //!
-//! Timers of the runtime do not fire by it. Whoever waits for a moment on this clock is woken as soon as the
-//! suspension is noticed, and looks again ([`Clock::timeout_at`]).
+//! Tokio's timers don't follow this clock. Code that waits for a point in time on it is woken when a
+//! suspension is detected and then checks the time again ([`Clock::timeout_at`]).
 
 use std::{
     future::Future,
@@ -20,41 +20,41 @@
 use rustix::time::{ClockId, clock_gettime};
 use tokio::{sync::watch, time::sleep};
 
-/// Difference between both clocks from which on the Host was suspended: they are read one after the other, and
-/// a process that waits for its turn in between sees some milliseconds.
+/// Difference between the two clocks above which the Host counts as suspended. They are read one after the
+/// other, and a process preempted in between sees a difference of some milliseconds.
 const MIN_SUSPENSION: Duration = Duration::from_millis(150);
 
-/// Time since the Host started, with the time for which it was suspended.
+/// Time since the Host booted, including suspended time.
 pub fn since_boot() -> Duration {
     let now = clock_gettime(ClockId::Boottime);
     Duration::new(now.tv_sec as u64, now.tv_nsec as u32)
 }
 
-/// When both clocks were last compared.
+/// Readings of both clocks at the last comparison.
 #[derive(Clone, Copy, Debug)]
 struct Compared {
     steady: Instant,
     boot: Duration,
 }
 
-/// One process's clock.
+/// Clock of one process.
 #[derive(Debug)]
 pub struct Clock {
-    /// Time since the Host started when this clock was made.
+    /// Time since boot when this clock was created.
     started: Duration,
-    /// What it showed then.
+    /// Time that this clock showed when it was created.
     origin: Duration,
     compared: Mutex<Compared>,
-    /// Suspensions noticed.
+    /// Number of suspensions detected.
     wakes: watch::Sender<u64>,
-    /// When the last one was noticed, milliseconds on this clock; 0 where there was none.
+    /// When the last suspension was detected, in milliseconds on this clock; 0 if there was none.
     woke_at_ms: AtomicU64,
-    /// Time that tests have let pass as if the Host had been suspended, milliseconds.
+    /// Suspended time simulated by tests, in milliseconds.
     skipped_ms: AtomicU64,
 }
 
 impl Clock {
-    /// A clock that shows `origin` now.
+    /// Creates a clock that shows `origin` now.
     pub fn starting_at(origin: Duration) -> Self {
         let started = since_boot();
         Self {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Time on this clock.
+    /// Current time on this clock.
     pub fn now(&self) -> Duration {
         (self.origin + self.since_boot()).saturating_sub(self.started)
     }
@@ -76,16 +76,17 @@
         since_boot() + Duration::from_millis(self.skipped_ms.load(Ordering::Acquire))
     }
 
-    /// Lets time pass as if the Host had been suspended; for tests.
+    /// Advances the clock as if the Host had been suspended for `time`; for tests.
     pub fn simulate_suspension(&self, time: Duration) {
         self.skipped_ms.fetch_add(time.as_millis() as u64, Ordering::AcqRel);
     }
 
-    /// Looks whether the Host was suspended since the last look, and wakes those who wait if it was; gives
-    /// for how long.
+    /// Checks whether the Host was suspended since the last check. If it was, wakes all waiters and returns
+    /// the length of the suspension.
     pub fn detect_suspension(&self) -> Option<Duration> {
         let suspended = {
-            let mut compared = self.compared.lock().expect("no panics under the lock");
+            let mut compared =
+                self.compared.lock().expect("no code panics while holding this lock");
             let now = Compared { steady: Instant::now(), boot: self.since_boot() };
             let before = std::mem::replace(&mut *compared, now);
             let steady = now.steady.saturating_duration_since(before.steady);
@@ -99,18 +100,18 @@
         Some(suspended)
     }
 
-    /// When it was last noticed that the Host had been suspended; zero where it never was.
+    /// When a suspension was last detected; zero if there was none.
     pub fn last_resumed_at(&self) -> Duration {
         Duration::from_millis(self.woke_at_ms.load(Ordering::Acquire))
     }
 
-    /// Notifies of each suspension from now on.
+    /// Subscribes to the suspensions detected from now on.
     pub fn subscribe_suspensions(&self) -> watch::Receiver<u64> {
         self.wakes.subscribe()
     }
 
-    /// Waits for work until a moment on this clock; none once that has passed, also where it passed while
-    /// the Host was suspended. What is ready by then is taken.
+    /// Runs `work` until a point in time on this clock; `None` once that has passed, also when it passed
+    /// while the Host was suspended. Output that is ready takes precedence over the timeout.
     pub async fn timeout_at<F: Future>(&self, moment: Duration, work: F) -> Option<F::Output> {
         let mut work = pin!(work);
         let mut wakes = self.subscribe_suspensions();
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,13 +1,13 @@
-//! Identifiers shared by every layer.
+//! Identifier types shared by all layers, and functions that parse and format them.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
 
-/// Name of a partner, unique in the system.
+/// Name of a partner; unique across the system.
 pub type PartnerId = Box<str>;
-/// An object's full name, `partner/name`; a version's is `partner/model@version`.
+/// Full name of a configuration object: `partner/name`, or `partner/model@version` for a version.
 pub type ObjectId = Box<str>;
 /// Full name of an Organisation.
 pub type OrganisationId = ObjectId;
@@ -15,70 +15,74 @@
 pub type VersionId = ObjectId;
 /// Full name of a BackendServer.
 pub type ServerId = ObjectId;
-/// One life of one process; random, so two lives are never mistaken for each other.
+/// Identifies one run of a process. Random, so that a restarted process is never mistaken for its
+/// predecessor.
 pub type Incarnation = u128;
-/// One caller request: 48 bits of milliseconds since 1970, then 80 random bits.
+/// Identifies one caller request: 48 bits of milliseconds since the Unix epoch, then 80 random bits.
 pub type RequestId = u128;
-/// Number of a configuration revision; it only grows.
+/// Number of a configuration revision or store transaction. It only increases; in the platform's store,
+/// only within one [`Era`].
 pub type Revision = u64;
-/// Counts how often the platform's store came back from an older copy; revisions are given out again then.
+/// Number of times the platform's store has been restored from a backup. A restored store reuses
+/// revision numbers, so revisions of different eras can't be compared.
 pub type Era = u64;
 
-/// A moment in the life of the platform's store. The era goes first: revisions only grow within one.
+/// Position in the history of the platform's store. `era` is the first field because the derived
+/// ordering must compare it first: revisions increase only within one era.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct StoreVersion {
-    /// Times the store came back from a copy before.
+    /// Number of restores before this point.
     pub era: Era,
-    /// Transaction.
+    /// Number of the transaction within the era.
     pub revision: Revision,
 }
 
-/// Cost in millionths of the currency unit the partners settle in.
+/// Cost in millionths of the currency unit in which partners settle.
 pub type MicroCost = u64;
 
 const RANDOM_BITS: u32 = 80;
 
-/// Draws a new incarnation.
+/// Generates a random incarnation.
 pub fn new_incarnation() -> Incarnation {
     rand::rng().random()
 }
 
-/// Draws a request id for a request that arrived at `now`.
+/// Generates an id for a request that arrived at `now`.
 pub fn new_request_id(now: SystemTime) -> RequestId {
     let ms = now.duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
     let low: u128 = rand::rng().random::<u128>() >> (128 - RANDOM_BITS);
     (ms << RANDOM_BITS) | low
 }
 
-/// Time of arrival that a request id carries, as time since 1970.
+/// Arrival time encoded in a request id, as time since the Unix epoch.
 pub fn request_arrival_time(request: RequestId) -> Duration {
     let ms = u64::try_from(request >> RANDOM_BITS).unwrap_or(u64::MAX);
     Duration::from_millis(ms)
 }
 
-/// Writes an id the way logs, headers and records show it: 32 hex digits.
+/// Formats an id as 32 hex digits, the form used in logs, headers and records.
 pub fn format_id(id: u128) -> Box<str> {
     format!("{id:032x}").into()
 }
 
-/// Reads an id written by [`format_id`].
+/// Parses an id formatted by [`format_id`].
 pub fn parse_id(text: &str) -> Option<u128> {
     u128::from_str_radix(text, 16).ok()
 }
 
-/// The partner part of a full name.
+/// Partner part of a full name.
 pub fn partner_of(id: &str) -> &str {
     id.split_once('/').map_or(id, |(partner, _)| partner)
 }
 
-/// The model part of a version's full name.
+/// Model part of a version's full name.
 pub fn model_of(version: &str) -> &str {
     version.split_once('@').map_or(version, |(model, _)| model)
 }
 
-/// Makes a full name out of a reference that may leave its own partner out.
+/// Expands a reference to a full name. A reference without a partner belongs to `partner`.
 pub fn qualify(partner: &str, reference: &str) -> ObjectId {
     if reference.contains('/') {
         return reference.into();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! mintmoor: a model-aware router for versions and cascades of language models.
 //!
-//! The modules, from the bottom up; dependencies point downwards only. The design is in
-//! `docs/decisions/0001-shape-of-the-system.md`.
+//! Modules are declared in layers, lowest first; a module depends only on the layers below it.
+//! `docs/decisions/0001-shape-of-the-system.md` describes the design.
 
 #![deny(unsafe_code)]
 
