--- a/src/platform/engine.rs
+++ b/src/platform/engine.rs
@@ -1,14 +1,14 @@
-//! What an engine and its agent say to each other besides completions.
+//! Messages between an engine and its agent, apart from completions.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::VersionId;
 
-/// An order to an engine, and the state it reports.
+/// Versions an engine is ordered to load; also the state that the engine reports.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// Fencing number of the order, or of the last order obeyed.
+    /// Fencing number of the order; in a report, that of the last order carried out.
     pub fencing: u64,
-    /// Versions that should be loaded, or are.
+    /// Versions to load; in a report, those loaded.
     pub versions: Vec<VersionId>,
 }
--- a/src/platform/host_settings.rs
+++ b/src/platform/host_settings.rs
@@ -1,4 +1,4 @@
-//! The settings file that the platform writes for a process on one of its Hosts.
+//! Parses the settings file that the platform writes for a process on one of its Hosts.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -6,10 +6,10 @@
 
 use crate::routing::Region;
 
-/// Environment variable that holds the path of the file.
+/// Environment variable with the path of the file.
 pub const SETTINGS_VARIABLE: &str = "MINTMOOR_CONFIG";
 
-/// What the platform's file says of a Host, in our words.
+/// Settings of a process on a Host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostSettings {
     /// Name of the Host.
@@ -18,37 +18,37 @@
     pub zone: Box<str>,
     /// Region of each AvailabilityZone.
     pub regions: HashMap<Box<str>, Region>,
-    /// Where callers connect.
+    /// Address at which callers connect.
     pub caller_address: SocketAddr,
-    /// Where the balancer asks whether this process takes work.
+    /// Address of the readiness endpoint that the load balancer polls.
     pub readiness_address: SocketAddr,
-    /// Where the other entries connect; none where the role has no such address.
+    /// Address at which other entries connect; `None` if the role has none.
     pub peer_address: Option<SocketAddr>,
-    /// Peer addresses of a few entries; they may be stale.
+    /// Peer addresses of some entries; may be stale.
     pub seed_peers: Vec<SocketAddr>,
-    /// Store, as `IP:PORT`.
+    /// Address of the platform's store, `IP:PORT`.
     pub store_address: Box<str>,
-    /// Time from the request to stop until the process is killed.
+    /// Time between the request to stop and the kill signal.
     pub shutdown_grace: Duration,
-    /// Time for which a server that announces draining goes on serving.
+    /// Time for which a server keeps serving after it announced that it drains.
     pub drain_time: Duration,
-    /// Time after trouble in which a host has to have caught up.
+    /// Time within which a Host has to catch up after a disruption.
     pub catch_up_time: Duration,
-    /// Sends beyond the first of each request that are allowed per request.
+    /// Retry budget: retries allowed per request.
     pub retry_ratio: f64,
-    /// Sends allowed beyond that ratio in a window, over all entries.
+    /// Retries allowed in a window on top of that ratio, over all entries.
     pub retry_extra: f64,
-    /// Window the two are counted in.
+    /// Window over which both are counted.
     pub retry_window: Duration,
 }
 
-/// Why the platform's file can't be used.
+/// Why the settings file is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HostSettingsError {
-    /// Not the format.
-    #[error("is not readable: {0}")]
+    /// The file can't be parsed.
+    #[error("can't be parsed: {0}")]
     Syntax(Box<str>),
-    /// A value has no default and is missing, or is wrong; all of them at once.
+    /// Required values that are missing and values that are invalid; lists all of them.
     #[error("{}", .0.join("; "))]
     Values(Vec<String>),
 }
@@ -76,10 +76,10 @@
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct ListenDoc {
-    /// Where callers connect.
+    /// Address at which callers connect.
     frontend: Option<Box<str>>,
     readiness: Option<Box<str>>,
-    /// Free for the entries among themselves.
+    /// Address that the platform reserves for traffic between entries.
     control_plane: Option<Box<str>>,
 }
 
@@ -88,7 +88,7 @@
 struct BoundsDoc {
     grace_s: Option<f64>,
     drain_ms: Option<f64>,
-    /// Time after trouble from which the host is held to all bounds.
+    /// Time after a disruption from which the platform enforces all bounds again.
     contact_ms: Option<f64>,
     retry_ratio: Option<f64>,
     retry_extra: Option<f64>,
@@ -97,11 +97,11 @@
 
 #[derive(Default, Deserialize)]
 struct PlatformDoc {
-    /// The store's.
+    /// Address of the store.
     address: Option<Box<str>>,
 }
 
-/// Defaults of bounds that a deployment leaves out; those of both first deployments.
+// Defaults for bounds that the file omits: the values of the first two deployments.
 const DEFAULT_GRACE_S: f64 = 8.0;
 const DEFAULT_DRAIN_MS: f64 = 2_000.0;
 const DEFAULT_CONTACT_MS: f64 = 3_000.0;
@@ -109,10 +109,10 @@
 const DEFAULT_RETRY_EXTRA: f64 = 20.0;
 const DEFAULT_RETRY_WINDOW_S: f64 = 10.0;
 
-/// Reads the file's text.
+/// Parses the text of the settings file.
 ///
 /// # Errors
-/// Everything that is wrong with it at once.
+/// Reports all missing and invalid values together.
 pub fn parse(text: &str) -> Result<HostSettings, HostSettingsError> {
     let doc: Doc = serde_saphyr::from_str(text)
         .map_err(|e| HostSettingsError::Syntax(e.to_string().into()))?;
@@ -158,7 +158,7 @@
     };
     let parsed = text.parse().ok();
     if parsed.is_none() {
-        problems.push(format!("{key} `{text}` is no IP address and port"));
+        problems.push(format!("{key} `{text}` is not an IP address with a port"));
     }
     parsed
 }
--- a/src/platform/http_client.rs
+++ b/src/platform/http_client.rs
@@ -1,4 +1,4 @@
-//! One HTTP client for the platform, engines, services and the command line.
+//! HTTP client for the platform, engines, backend services and the command line.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,26 +15,25 @@
 
 use crate::platform::{Error, Result};
 
-/// Time a connection may take: several round trips between regions.
+/// Maximum time to connect: several round trips between regions.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time between probes of an idle connection, so that a peer that fell silent is noticed while a
-/// long poll waits.
+/// Interval of TCP keepalive probes, which detect a dead peer during a long poll.
 const KEEPALIVE: Duration = Duration::from_secs(1);
-/// Time after which a connection whose bytes nobody acknowledges is given up.
+/// Time after which a connection with unacknowledged data is closed.
 const USER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct HttpReply {
-    /// HTTP status.
+    /// Status code.
     pub status: StatusCode,
-    /// Answer headers.
+    /// Headers.
     pub headers: HeaderMap,
-    /// Answer body.
+    /// Body.
     pub body: Bytes,
 }
 
-/// A pooled HTTP client; clones share the pool.
+/// HTTP client with a connection pool; clones share the pool.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     client: Client<HttpsConnector<HttpConnector>, Full<Bytes>>,
@@ -47,7 +46,7 @@
 }
 
 impl HttpClient {
-    /// Makes a client that accepts servers with certificates under `roots`.
+    /// Creates a client that trusts server certificates issued under `roots`.
     pub fn trusting(roots: RootCertStore) -> Self {
         let provider = Arc::new(ring::default_provider());
         let config = ClientConfig::builder_with_provider(provider)
@@ -74,10 +73,10 @@
         Self { client }
     }
 
-    /// Sends a request and returns as soon as the answer's headers are there.
+    /// Sends a request and returns when the response headers have arrived.
     ///
     /// # Errors
-    /// [`Error::Refused`] when nothing was reached, [`Error::Unknown`] otherwise.
+    /// [`Error::Refused`] when no connection could be made, [`Error::Unknown`] otherwise.
     pub async fn open(
         &self,
         method: Method,
@@ -97,10 +96,10 @@
         })
     }
 
-    /// Sends a request and reads the whole answer within `timeout`.
+    /// Sends a request and reads the complete response within `timeout`.
     ///
     /// # Errors
-    /// As [`HttpClient::open`]; a timeout is [`Error::Unknown`].
+    /// Those of [`HttpClient::open`]; a timeout is [`Error::Unknown`].
     pub async fn call(
         &self,
         method: Method,
@@ -122,10 +121,11 @@
         reply
     }
 
-    /// Sends JSON and reads JSON; a status other than success is an error.
+    /// Sends a JSON request and parses a JSON response.
     ///
     /// # Errors
-    /// As [`HttpClient::call`]; 429 and 503 are [`Error::Refused`], other failures unknown.
+    /// Those of [`HttpClient::call`]. An unsuccessful status is [`Error::Refused`] if it is 503 or a 4xx,
+    /// otherwise [`Error::Unknown`]. An invalid body is [`Error::Unreadable`].
     pub async fn call_json<Req: serde::Serialize, Res: serde::de::DeserializeOwned>(
         &self,
         method: Method,
@@ -143,7 +143,7 @@
     }
 }
 
-/// Turns a failed status into an error that says whether the call can have had an effect.
+/// Maps an unsuccessful status to an error that says whether the call may have had an effect.
 pub(crate) fn check_status(uri: &str, reply: &HttpReply) -> Result<()> {
     if reply.status.is_success() {
         return Ok(());
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,6 +1,7 @@
-//! Clients of the platform's services, as plain structs of closures.
+//! Adapter to the platform: clients of its services and conversions of its formats.
 //!
-//! A site puts an adapter to its own services here; the shapes are in `docs/PLATFORM.md`.
+//! The clients of the table, object, rating and host services wrap a closure, so that tests can pass fakes
+//! and a site can plug in its own services. `docs/PLATFORM.md` specifies the interfaces.
 
 pub mod documents;
 mod engine;
@@ -25,10 +26,10 @@
     Check, InsertOutcome, Row, TableClient, TableReply, TableRequest, Transaction, Write,
 };
 
-/// Path at which the platform's balancer asks whether an entry takes work.
+/// Path that the platform's load balancer requests to check whether an entry accepts work.
 pub const READINESS_PATH: &str = "/-/readyz";
 
 use std::{future::Future, pin::Pin};
 
-/// The future a client's closure returns.
+/// Future returned by a client's closure.
 pub type Reply<T> = Pin<Box<dyn Future<Output = Result<T>> + Send>>;
--- a/src/platform/ratings.rs
+++ b/src/platform/ratings.rs
@@ -1,4 +1,4 @@
-//! The service that rates answers.
+//! Client of the service that rates the quality of answers.
 
 use std::{fmt, sync::Arc, time::Duration};
 
@@ -12,16 +12,16 @@
 
 const TIMEOUT: Duration = Duration::from_millis(500);
 
-/// An answer to be rated.
+/// An answer to rate.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RatingRequest {
-    /// Kind of task the caller named, or empty.
+    /// Kind of task named by the caller; may be empty.
     pub task: Box<str>,
     /// Version that answered.
     pub version: VersionId,
-    /// What was asked.
+    /// Prompt of the request.
     pub prompt: Box<str>,
-    /// What was answered.
+    /// Text of the answer.
     pub answer: Box<str>,
 }
 
@@ -43,12 +43,12 @@
 }
 
 impl RatingsClient {
-    /// A client whose calls go through `send`; tests pass a fake.
+    /// Creates a client whose calls go through `send`; tests pass a fake.
     pub fn new(send: impl Fn(RatingRequest) -> Reply<f64> + Send + Sync + 'static) -> Self {
         Self { send: Arc::new(send) }
     }
 
-    /// A client of the service at `base`.
+    /// Creates a client of the HTTP service at `base`.
     pub fn over_http(http: HttpClient, base: &str) -> Self {
         let uri: Arc<str> = format!("{base}/v1/ratings").into();
         Self::new(move |req| {
@@ -60,10 +60,10 @@
         })
     }
 
-    /// Rates an answer, 0 to 1.
+    /// Rates an answer from 0 to 1.
     ///
     /// # Errors
-    /// When the service gives no answer in time.
+    /// When the service can't be reached, is too slow or its reply is invalid.
     pub async fn rate(&self, req: RatingRequest) -> Result<f64> {
         (self.send)(req).await
     }
--- a/src/platform/request_headers.rs
+++ b/src/platform/request_headers.rs
@@ -1,5 +1,5 @@
-//! HTTP headers of requests, read into and written from our types; responses are in
-//! [`super::response_headers`].
+//! Parses the heads of callers' requests and builds the headers of attempts sent to BackendServers.
+//! [`super::response_headers`] parses the responses.
 
 use std::time::Duration;
 
@@ -7,26 +7,26 @@
 
 use crate::routing::{Organisation, PromptPart, RequestHead};
 
-/// Id of one try of a caller, echoed in its answer.
+/// Id of one attempt by a caller, echoed in the response.
 pub(super) const REQUEST_ID: &str = "x-request-id";
-/// Milliseconds: for callers the time they wait, for servers the time left.
+/// Milliseconds: from a caller the time it will wait, to a server the time that is left.
 const TIME_LEFT: &str = "x-deadline-ms";
-/// `prompt,answer` tokens; the second is the most the answer may have.
+/// `prompt,answer` token counts; the second is the maximum length of the answer.
 const TOKENS: &str = "x-token-usage";
-/// `id:tokens` of each prompt part; the page calls it a prefix hash.
+/// Comma-separated `id:tokens` of the prompt parts; the platform's documentation calls it a prefix hash.
 const PROMPT_PARTS: &str = "x-prefix-hash";
 const MODEL: &str = "x-model";
-/// What callers send as the model where the choice is ours.
+/// Model name that leaves the choice of the model to the router.
 const ANY_MODEL: &str = "*";
 const SESSION: &str = "session";
 const LAST_EVENT: &str = "last-event-id";
-/// Id of the server life that may run the request.
+/// Id of the server instance that may run the request; any other rejects it.
 const EXPECTED_SERVER: &str = "x-expect-instance";
 const ORGANISATION: &str = "x-tenant";
 const PRIORITY: &str = "x-request-priority";
 const AUTH_SCHEME: &str = "Bearer ";
 
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [HeaderName; 7] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -37,7 +37,7 @@
     header::UPGRADE,
 ];
 pub(super) const KEEP_ALIVE: &str = "keep-alive";
-/// Headers that only this system may set towards a server.
+/// Headers that only the router may send to a server; a caller's are removed.
 const OURS: [&str; 11] = [
     EXPECTED_SERVER,
     ORGANISATION,
@@ -52,24 +52,25 @@
     "authorization",
 ];
 
-/// A request head that can't be served.
+/// Why a request head is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
-    /// No id to match an answer by.
+    /// Without an id, the response can't be matched to the request.
     #[error("the request has no id")]
     NoId,
-    /// No host to route by.
+    /// Without a host, the request can't be routed.
     #[error("the request names no host")]
     NoHost,
-    /// Two ways to find where the body ends, which two readers may take differently.
-    #[error("the request gives its length twice")]
+    /// Both `Transfer-Encoding` and `Content-Length` are set: two parsers may disagree on where the body
+    /// ends (request smuggling).
+    #[error("the request has both Transfer-Encoding and Content-Length")]
     AmbiguousLength,
 }
 
-/// Reads a caller's request head.
+/// Parses a caller's request head.
 ///
 /// # Errors
-/// When the request can't be distinguished from others or its end is ambiguous.
+/// When the id or host is missing or the length of the body is ambiguous.
 pub fn parse_request_head(
     method: &Method,
     uri: &Uri,
@@ -109,29 +110,29 @@
     })
 }
 
-/// Id of a request whose head may be wrong otherwise, for logs.
+/// Id of a request, for logs; also of one whose head can't be parsed.
 pub fn request_id(headers: &HeaderMap) -> Option<&str> {
     text(headers, REQUEST_ID)
 }
 
-/// What one attempt adds to the request.
+/// Values that one attempt adds to the caller's headers.
 #[derive(Clone, Debug)]
 pub struct AttemptHeaders<'a> {
-    /// Id of the server chosen.
+    /// Id of the selected server.
     pub server: &'a str,
     /// Organisation of the caller's key.
     pub organisation: Option<&'a Organisation>,
     /// Time left for the attempt.
     pub time_left: Duration,
-    /// Model that we chose, where the caller left it to us.
+    /// Model selected by the router, if the caller left the choice open.
     pub model: Option<&'a str>,
-    /// Urgency, 0 first.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Last event the caller has, where the attempt resumes a stream.
+    /// Last event that the caller received, if the attempt resumes a stream.
     pub last_event_id: Option<u64>,
 }
 
-/// Headers of one attempt.
+/// Builds the headers of one attempt.
 pub fn build_attempt_headers(head: &RequestHead, attempt: &AttemptHeaders<'_>) -> HeaderMap {
     let mut headers = head.headers.clone();
     let mut set = |name: &'static str, value: &str| {
--- a/src/platform/response_headers.rs
+++ b/src/platform/response_headers.rs
@@ -1,4 +1,4 @@
-//! Heads of answers, each header decoded once into our types.
+//! Parses the heads of BackendServers' responses; each header is decoded once, here.
 
 use std::time::SystemTime;
 
@@ -10,19 +10,19 @@
     routing::{ResponseHead, ResponseKind},
 };
 
-/// Signature of the server that answered.
+/// Signature of the server that sent the response.
 const SIGNATURE: &str = "x-instance-stamp";
 /// Present when the server did not run the request.
 const NOT_RUN: &str = "x-not-executed";
-/// `running,waiting,slots` of the server.
+/// Load of the server: `running,waiting,slots`.
 const LOAD: &str = "x-instance-load";
-/// Requests a second, a decimal number; only in the answers of a rate-limited server.
+/// Requests per second, as a decimal number; sent only by a rate-limited server.
 const RATE_LIMIT: &str = "server-limit";
-/// Present and other than `0` while the server drains.
+/// Present with a value other than `0` while the server drains.
 const DRAINING: &str = "server-leaving";
 const CONFIDENCE: &str = "x-confidence";
 
-/// Headers of answers that are read here.
+/// Response headers that this adapter reads.
 const READ: [&str; 11] = [
     SIGNATURE,
     NOT_RUN,
@@ -36,7 +36,8 @@
     "content-encoding",
     "transfer-encoding",
 ];
-/// Headers of answers that are for the caller, or that nothing here needs (docs/incidents/0013).
+/// Known response headers that are only passed on: they are meant for the caller or not needed here
+/// (docs/incidents/0013).
 const PASSED_ON: [&str; 18] = [
     "allow",
     "cache-control",
@@ -58,7 +59,7 @@
     "x-weight-versions",
 ];
 
-/// Reads the head of an answer to the request with this id.
+/// Parses the head of a response to the request with this id.
 pub fn parse_response_head(
     status: StatusCode,
     headers: &HeaderMap,
@@ -96,7 +97,8 @@
     if status.is_success() { ResponseKind::Success } else { ResponseKind::Failure }
 }
 
-/// The limit that an answer names. Where it names several, the smallest is what the server surely takes.
+/// Rate limit advertised by a response; the smallest if there are several, since the server accepts at
+/// least that.
 fn read_rate_limit(headers: &HeaderMap) -> AdvertisedLimit {
     let lines = headers.get_all(RATE_LIMIT).iter().map(|value| value.to_str().unwrap_or_default());
     let said = lines.flat_map(|line| line.split(',')).map(AdvertisedLimit::read);
@@ -111,7 +113,7 @@
     Some(ReportedLoad { running, waiting, slots })
 }
 
-/// The pause that an answer asks for; the longest where it names several.
+/// Pause requested by a response; the longest if there are several.
 fn read_retry_after(headers: &HeaderMap) -> RetryAfter {
     let lines = headers.get_all(header::RETRY_AFTER).iter();
     let lines = lines.map(|value| value.to_str().unwrap_or_default());
@@ -119,12 +121,12 @@
     pauses.reduce(RetryAfter::longer).unwrap_or_default()
 }
 
-/// Headers that nothing reads and that are not known to concern the caller alone.
+/// Headers that this adapter neither reads nor lists as passed on.
 fn unread(headers: &HeaderMap) -> Vec<HeaderName> {
     headers.keys().filter(|name| !is_known_header(name.as_str())).cloned().collect()
 }
 
-/// Whether the adapter knows a header of answers.
+/// Whether a response header is read here or known to be passed on only.
 pub fn is_known_header(name: &str) -> bool {
     READ.contains(&name) || PASSED_ON.contains(&name)
 }
