--- a/src/platform/documents.rs
+++ b/src/platform/documents.rs
@@ -1,4 +1,5 @@
-//! Documents the operator and the BackendServers keep in the store, read into our types.
+//! Parses the documents that the operator and the BackendServers keep in the store, and builds those that
+//! report to the operator.
 
 use std::{collections::HashMap, net::SocketAddr, num::NonZeroU32, sync::Arc, time::Duration};
 
@@ -19,21 +20,21 @@
 
 const CONFIGURATION: &str = "config";
 const ROLL_OUT_PREFIX: &str = "rollout/";
-/// The rest of the key is the AvailabilityZone.
+/// Prefix of the keys of evacuation orders; the rest of the key names the AvailabilityZone.
 const EVACUATION_PREFIX: &str = "evacuate/";
 
-/// What the operator changed.
+/// A change by the operator.
 #[derive(Clone, Debug)]
 pub enum OperatorChange {
     /// A new version of the configuration.
     Configuration(Box<RoutingTable>),
-    /// An order to roll a version out.
+    /// A new or changed order to roll out a version.
     RollOut(RollOutOrder),
-    /// The order for this service is gone.
+    /// The roll-out order for this service was deleted.
     RollOutWithdrawn(Box<str>),
-    /// Nothing may be sent to the servers of this AvailabilityZone.
+    /// The servers of this AvailabilityZone must not receive requests.
     ZoneEvacuated(Box<str>),
-    /// This AvailabilityZone is taken back.
+    /// The evacuation order for this AvailabilityZone was deleted; its servers may receive requests again.
     EvacuationWithdrawn(Box<str>),
 }
 
@@ -53,18 +54,18 @@
 #[serde(rename_all = "kebab-case")]
 struct ServiceDoc {
     name: Box<str>,
-    /// Missing where no model runs.
+    /// Missing for services that run no model.
     engine: Option<EngineDoc>,
-    /// Requests a second that a cold server takes; 0 or missing where they start warm.
+    /// Requests per second that a cold server accepts; 0 or missing if servers start warm.
     #[serde(default)]
     cold_per_s: f64,
-    /// How long a server is cold after its start.
+    /// Time for which a server is cold after its start.
     #[serde(default)]
     cold_start_s: f64,
 }
 
-/// Longest time that a server is believed to be cold, where it takes seconds: a row may have another writer, and a
-/// number without bounds is no time.
+/// Upper bound for cold times, which are seconds in practice. A row may come from another writer, and an
+/// unbounded number can't be converted to a duration.
 const MAX_COLD_MS: f64 = 3_600_000.0;
 
 impl ServiceDoc {
@@ -77,7 +78,7 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct EngineDoc {
-    /// Tokens that running requests and kept parts have room for, not bytes.
+    /// Capacity in tokens, not bytes; shared by running requests and cached prompt parts.
     kv_capacity: Option<u64>,
 }
 
@@ -90,19 +91,19 @@
     route_kind: Option<Box<str>>,
     timeout_ms: Option<f64>,
     target_latency_ms: Option<f64>,
-    /// Longest pause between events, though its name speaks of tokens.
+    /// Maximum pause between events, although the name refers to inter-token latency.
     itl_target_ms: Option<f64>,
     #[serde(default)]
     priority: u8,
-    /// Models of the cascade, smallest first.
+    /// Models of the cascade, from smallest to largest.
     #[serde(default)]
     sizes: Vec<Box<str>>,
-    /// The only service; absent where `split` names several.
+    /// Single target service; missing if `split` lists several.
     service: Option<Box<str>>,
     #[serde(default)]
     split: Vec<SplitDoc>,
     max_attempts: Option<u32>,
-    /// Regions, not single zones.
+    /// Names of regions, not of zones.
     #[serde(default)]
     allowed_regions: Vec<Box<str>>,
     #[serde(default)]
@@ -144,7 +145,7 @@
 struct RollOutDoc {
     service: Box<str>,
     to: Box<str>,
-    /// Time in which the roll-out is to be done.
+    /// Time within which the roll-out should complete.
     duration_s: f64,
 }
 
@@ -154,8 +155,8 @@
     to: Box<str>,
 }
 
-/// A server writes all of these about itself: a row that lacks one, or has one of another type, is not
-/// its own and names no server.
+/// Row that a server writes about itself. Servers always write the required fields, so a row in which one
+/// is missing or has another type comes from another writer and is rejected.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct ServerDoc {
@@ -165,14 +166,14 @@
     version: Box<str>,
     slots: NonZeroU32,
     state: StateDoc,
-    /// How much longer it is cold, as of when it wrote.
+    /// Remaining cold time when the row was written.
     cold_remaining_ms: f64,
-    /// Counts what the server wrote or accepted in this life.
+    /// Counter that the server increases with what it writes or accepts; orders the rows of one process.
     sequence: u64,
-    /// Missing where no model runs.
+    /// Missing for services that run no model.
     #[serde(default)]
     models: Vec<NameDoc>,
-    /// Missing on platforms whose servers have a new id after each start.
+    /// Start time; missing on platforms whose servers get a new id with each start.
     #[serde(default, deserialize_with = "whole_number")]
     born: Option<StartTime>,
 }
@@ -181,11 +182,11 @@
 #[serde(rename_all = "kebab-case")]
 enum StateDoc {
     Ready,
-    /// About to leave.
+    /// About to stop.
     Draining,
 }
 
-/// Reads a number that may be missing but not null.
+/// Deserializes a number; the field may be missing but must not be null.
 fn whole_number<'de, D: Deserializer<'de>>(from: D) -> std::result::Result<Option<u64>, D::Error> {
     u64::deserialize(from).map(Some)
 }
@@ -195,13 +196,13 @@
     name: Box<str>,
 }
 
-/// Timeout of a route that sets none.
+/// Timeout of routes that don't set one.
 const DEFAULT_TIMEOUT_MS: f64 = 30_000.0;
 
-/// Reads a row the operator wrote; nothing for kinds of rows not known here.
+/// Parses a row of the operator; `None` for unknown kinds of rows and a deleted configuration.
 ///
 /// # Errors
-/// When the document can't be read.
+/// When the document can't be parsed.
 pub fn parse_operator_row(row: &Row) -> Result<Option<OperatorChange>> {
     if let Some(service) = row.key.strip_prefix(ROLL_OUT_PREFIX) {
         if row.is_removed {
@@ -216,7 +217,7 @@
         })));
     }
     if let Some(zone) = evacuated_zone(&row.key) {
-        // What the document says is of no use: the row itself is the order.
+        // The existence of the row is the order; its document is not used.
         return Ok(Some(match row.is_removed {
             true => OperatorChange::EvacuationWithdrawn(zone.into()),
             false => OperatorChange::ZoneEvacuated(zone.into()),
@@ -229,7 +230,7 @@
     Ok(Some(OperatorChange::Configuration(Box::new(read_config(doc)))))
 }
 
-/// The kind of an operator's row that nothing here reads: what its key begins with.
+/// Kind of an operator's row, the first segment of its key, if this adapter doesn't know it.
 pub fn unknown_row_kind(key: &str) -> Option<&str> {
     let is_known = is_config_key(key)
         || key.starts_with(ROLL_OUT_PREFIX)
@@ -237,27 +238,27 @@
     (!is_known).then(|| key.split('/').next().unwrap_or(key))
 }
 
-/// Whether a row of the operator's holds the configuration.
+/// Whether this is the key of the operator's configuration.
 pub fn is_config_key(key: &str) -> bool {
     key == CONFIGURATION
 }
 
-/// AvailabilityZone that an operator's row orders to evacuate.
+/// AvailabilityZone that the operator's row with this key evacuates.
 pub fn evacuated_zone(key: &str) -> Option<&str> {
     key.strip_prefix(EVACUATION_PREFIX)
 }
 
-/// Reads the row of a BackendServer.
+/// Parses the row of a BackendServer.
 ///
 /// # Errors
-/// When the document can't be read, or has what no server reports of itself.
+/// When the document can't be parsed or has values that no server reports.
 pub fn parse_server_row(row: &Row) -> Result<BackendServer> {
     let doc: ServerDoc = parse(row)?;
     if doc.address.ip().is_unspecified()
         || doc.address.ip().is_multicast()
         || doc.address.port() == 0
     {
-        return Err(unreadable(row, &"nobody can listen at its address"));
+        return Err(unreadable(row, &"no server can listen at its address"));
     }
     Ok(BackendServer {
         id: row.key.clone(),
@@ -275,10 +276,10 @@
     })
 }
 
-/// Reads what was last reported about a roll-out.
+/// Parses the last reported status of a roll-out.
 ///
 /// # Errors
-/// When the document can't be read.
+/// When the document can't be parsed.
 pub fn parse_status_row(row: &Row) -> Result<RollOutStatus> {
     let doc: StatusDoc = parse(row)?;
     let progress = match &*doc.state {
@@ -289,17 +290,17 @@
     Ok(RollOutStatus { to: doc.to, progress })
 }
 
-/// Key of the row about a service's roll-out.
+/// Key of the status row of a service's roll-out.
 pub fn roll_out_status_key(service: &str) -> Box<str> {
     format!("{ROLL_OUT_PREFIX}{service}").into()
 }
 
-/// Service a status row is about.
+/// Service of the status row with this key.
 pub fn service_of_status_key(key: &str) -> Option<&str> {
     key.strip_prefix(ROLL_OUT_PREFIX)
 }
 
-/// The document about a roll-out.
+/// Serializes the status of a roll-out.
 pub fn encode_status(status: &RollOutStatus) -> Vec<u8> {
     let state = match status.progress {
         RollOutProgress::Running => "in_progress",
@@ -307,7 +308,7 @@
         RollOutProgress::RolledBack => "rolled_back",
     };
     let doc = StatusDoc { state: state.into(), to: status.to.clone() };
-    serde_json::to_vec(&doc).expect("a document of texts can be written")
+    serde_json::to_vec(&doc).expect("a document of strings can be serialized")
 }
 
 fn parse<T: for<'de> Deserialize<'de>>(row: &Row) -> Result<T> {
@@ -355,7 +356,7 @@
         kind: match doc.route_kind.as_deref() {
             Some("safe") => RouteKind::Idempotent,
             Some("stream") => RouteKind::Stream,
-            // An unknown kind is served with the most care.
+            // Unknown kinds are treated as non-idempotent, the safest assumption.
             _ => RouteKind::AtMostOnce,
         },
         timeout: milliseconds(timeout),
--- a/src/platform/hosts.rs
+++ b/src/platform/hosts.rs
@@ -1,4 +1,4 @@
-//! The platform's lagging list of Hosts.
+//! Client of the platform's list of Hosts, which lags behind the actual state.
 
 use std::{
     fmt,
@@ -22,17 +22,17 @@
 };
 
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest list read, bytes.
+/// Maximum size of the decompressed list in bytes.
 const MAX_LIST: u64 = 64 << 20;
 
-/// Whether a Host stays.
+/// Whether a Host stays in service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
     /// In service.
     #[default]
     Live,
-    /// About to be taken away.
+    /// About to be removed.
     Leaving,
 }
 
@@ -40,31 +40,31 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// An entry.
+    /// An entry, which accepts callers' requests.
     Entry,
-    /// An agent beside the BackendServer named.
+    /// An agent next to this BackendServer.
     Agent(ServerId),
 }
 
-/// One Host in the list.
+/// A Host in the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Host {
-    /// Name of the host.
+    /// Name of the Host.
     pub name: Box<str>,
-    /// Region.
+    /// Region of the Host.
     pub region: Box<str>,
-    /// AvailabilityZone.
+    /// AvailabilityZone of the Host.
     pub zone: Box<str>,
-    /// Where the process on it takes links.
+    /// Address at which its process accepts links.
     pub address: SocketAddr,
-    /// What runs on it.
+    /// Process that runs on the Host.
     pub role: Role,
-    /// Live or leaving.
+    /// Whether the Host stays in service.
     #[serde(default)]
     pub state: HostState,
 }
 
-/// Client of the host list.
+/// Client of the service that lists the Hosts.
 #[derive(Clone)]
 pub struct HostsClient {
     send: Arc<dyn Fn() -> Reply<Option<Vec<Host>>> + Send + Sync>,
@@ -77,23 +77,23 @@
 }
 
 impl HostsClient {
-    /// A client whose calls go through `send`; tests pass a fake.
+    /// Creates a client whose calls go through `send`; tests pass a fake.
     pub fn new(send: impl Fn() -> Reply<Option<Vec<Host>>> + Send + Sync + 'static) -> Self {
         Self { send: Arc::new(send) }
     }
 
-    /// A client of the service at `base`, which is asked for changes only: at the size of
-    /// `docs/CAPACITY.md` the whole list each time would be a hundred times a node's budget.
+    /// Creates a client of the HTTP service at `base`. It sends the ETag of the last list, since at the size
+    /// in `docs/CAPACITY.md` loading the full list on each poll would take a hundred times a node's budget.
     pub fn over_http(http: HttpClient, base: &str) -> Self {
         let uri: Arc<str> = format!("{base}/v1/hosts").into();
         let tag: Arc<Mutex<Option<HeaderValue>>> = Arc::default();
         Self::new(move || Box::pin(fetch(http.clone(), uri.clone(), tag.clone())))
     }
 
-    /// Reads the list; nothing when it has not changed since the last call.
+    /// Reads the list; `None` if it has not changed since the last call.
     ///
     /// # Errors
-    /// When the service gives no answer.
+    /// When the service can't be reached or its reply is invalid.
     pub async fn poll(&self) -> Result<Option<Vec<Host>>> {
         (self.send)().await
     }
@@ -106,7 +106,7 @@
 ) -> Result<Option<Vec<Host>>> {
     let mut headers = HeaderMap::new();
     headers.insert(ACCEPT_ENCODING, HeaderValue::from_static("gzip"));
-    if let Some(tag) = tag.lock().expect("no panics under the lock").clone() {
+    if let Some(tag) = tag.lock().expect("no code panics while holding this lock").clone() {
         headers.insert(IF_NONE_MATCH, tag);
     }
     let reply = http.call(Method::GET, &uri, headers, Bytes::new(), TIMEOUT).await?;
@@ -117,7 +117,7 @@
     let body = unpack(&reply)?;
     let hosts = serde_json::from_slice(&body)
         .map_err(|e| Error::Unreadable(format!("{uri}: {e}").into()))?;
-    *tag.lock().expect("no panics under the lock") = reply.headers.get(ETAG).cloned();
+    *tag.lock().expect("no code panics while holding this lock") = reply.headers.get(ETAG).cloned();
     Ok(Some(hosts))
 }
 
--- a/src/platform/objects.rs
+++ b/src/platform/objects.rs
@@ -1,4 +1,4 @@
-//! The object store.
+//! Client of the object store.
 
 use std::{fmt, sync::Arc, time::Duration};
 
@@ -12,24 +12,24 @@
 /// A call to the object store.
 #[derive(Clone, Debug)]
 pub enum ObjectRequest {
-    /// Writes an object whole, over an older one of the same name.
+    /// Writes an object, replacing one of the same name.
     Put(Box<str>, Bytes),
     /// Reads an object.
     Get(Box<str>),
-    /// Names with a prefix, in order.
+    /// Lists the names with a prefix, sorted.
     List(Box<str>),
-    /// Deletes an object; deleting none is no error.
+    /// Deletes an object; it is no error if there is none.
     Delete(Box<str>),
 }
 
-/// An answer of the object store.
+/// A reply of the object store.
 #[derive(Clone, Debug)]
 pub enum ObjectReply {
-    /// Done.
+    /// The object was written or deleted.
     Done,
-    /// The object, if there is one.
+    /// The object that was read; `None` if there is none.
     Object(Option<Bytes>),
-    /// Names.
+    /// The names that match the prefix.
     Names(Vec<Box<str>>),
 }
 
@@ -46,21 +46,21 @@
 }
 
 impl ObjectsClient {
-    /// A client whose calls go through `send`; tests pass a fake.
+    /// Creates a client whose calls go through `send`; tests pass a fake.
     pub fn new(send: impl Fn(ObjectRequest) -> Reply<ObjectReply> + Send + Sync + 'static) -> Self {
         Self { send: Arc::new(send) }
     }
 
-    /// A client of the service at `base`.
+    /// Creates a client of the HTTP service at `base`.
     pub fn over_http(http: HttpClient, base: &str) -> Self {
         let base: Arc<str> = base.into();
         Self::new(move |req| Box::pin(call(http.clone(), base.clone(), req)))
     }
 
-    /// Writes an object; repeating it with the same bytes is harmless.
+    /// Writes an object. The call is idempotent.
     ///
     /// # Errors
-    /// When the service gives no answer.
+    /// When the service can't be reached or its reply is invalid.
     pub async fn put(&self, name: &str, body: Bytes) -> Result<()> {
         (self.send)(ObjectRequest::Put(name.into(), body)).await.map(drop)
     }
@@ -68,29 +68,29 @@
     /// Reads an object.
     ///
     /// # Errors
-    /// When the service gives no answer.
+    /// When the service can't be reached or its reply is invalid.
     pub async fn get(&self, name: &str) -> Result<Option<Bytes>> {
         match (self.send)(ObjectRequest::Get(name.into())).await? {
             ObjectReply::Object(body) => Ok(body),
-            _ => Err(Error::Unreadable("answer to another call".into())),
+            _ => Err(Error::Unreadable("unexpected kind of reply".into())),
         }
     }
 
     /// Lists names with a prefix.
     ///
     /// # Errors
-    /// When the service gives no answer.
+    /// When the service can't be reached or its reply is invalid.
     pub async fn list(&self, prefix: &str) -> Result<Vec<Box<str>>> {
         match (self.send)(ObjectRequest::List(prefix.into())).await? {
             ObjectReply::Names(names) => Ok(names),
-            _ => Err(Error::Unreadable("answer to another call".into())),
+            _ => Err(Error::Unreadable("unexpected kind of reply".into())),
         }
     }
 
     /// Deletes an object.
     ///
     /// # Errors
-    /// When the service gives no answer.
+    /// When the service can't be reached or its reply is invalid.
     pub async fn delete(&self, name: &str) -> Result<()> {
         (self.send)(ObjectRequest::Delete(name.into())).await.map(drop)
     }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! Client of the platform's store: rows in tables, a feed of their changes, and transactions.
+//! Client of the platform's store, which keeps rows in tables and offers a feed of changes and transactions.
 
 use std::time::Duration;
 
@@ -15,16 +15,16 @@
 /// A table of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Table {
-    /// What the operator orders: configuration and roll-outs.
+    /// Written by the operator: configuration, roll-outs and evacuations.
     #[serde(rename = "op")]
     Orders,
-    /// The BackendServers that are alive.
+    /// BackendServers that are running.
     #[serde(rename = "servers")]
     Servers,
-    /// What this system reports to the operator.
+    /// Written by this system: reports to the operator.
     #[serde(rename = "status")]
     Status,
-    /// This system's own rows.
+    /// Private rows of this system.
     #[serde(rename = "mintmoor")]
     Own,
     /// A table that this system does not use.
@@ -44,80 +44,81 @@
     }
 }
 
-/// A row, or the news that it is gone.
+/// A row, or a notice that it was deleted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// Its table.
+    /// Table of the row.
     pub table: Table,
-    /// Its key.
+    /// Key, unique in the table.
     pub key: Box<str>,
-    /// Its document; empty when it is gone or its bytes can't be decoded, and then nothing reads it.
+    /// Document. Empty when the row was deleted or its bytes can't be decoded; parsing it then fails.
     #[serde(with = "serde_bytes")]
     pub value: Vec<u8>,
-    /// Transaction that last wrote it.
+    /// Number of the transaction that last wrote the row.
     pub version: Revision,
-    /// Era of the store when it was read; not reported on links where the store never came back from a copy.
+    /// Era of the store when the row was read; not sent over links while the store has never been restored.
     #[serde(default, skip_serializing_if = "is_first")]
     pub era: Era,
-    /// Whether it is gone.
+    /// Whether the row was deleted.
     pub is_removed: bool,
 }
 
 impl Row {
-    /// When it was last written.
+    /// Position in the store's history at which the row was last written.
     pub fn written_at(&self) -> StoreVersion {
         StoreVersion { era: self.era, revision: self.version }
     }
 }
 
-/// Whether an era is the one in which the store never came back from a copy.
-#[allow(clippy::trivially_copy_pass_by_ref, reason = "serde hands in references")]
+/// Whether an era is the first, before any restore of the store.
+#[allow(clippy::trivially_copy_pass_by_ref, reason = "serde passes a reference")]
 pub(crate) fn is_first(era: &Era) -> bool {
     *era == 0
 }
 
-/// Rows, and how new they are.
+/// Rows with the store version they were read at.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rows {
-    /// In the order of their keys, or for a feed of their changes.
+    /// Rows in key order, or for a feed in the order of their changes.
     pub rows: Vec<Row>,
-    /// Newest transaction the answer covers.
+    /// Newest transaction that the rows include.
     pub version: StoreVersion,
-    /// The store's steady clock.
+    /// Monotonic clock of the store.
     pub now: Duration,
 }
 
-/// What a feed brought.
+/// Reply of the change feed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FeedReply {
-    /// What changed since; empty when nothing did.
+    /// Rows changed since the requested version; empty if there are none.
     Changes(Rows),
-    /// The store no longer knows, or came back from an older copy; the table has to be read anew.
+    /// The store has discarded that part of its history or was restored from a backup; the table must be
+    /// read again in full.
     ResyncRequired,
 }
 
-/// One row of a transaction.
+/// Conditional write of one row.
 #[derive(Clone, Debug)]
 pub struct Put {
-    /// Table.
+    /// Table of the row.
     pub table: Table,
-    /// Key.
+    /// Key of the row.
     pub key: Box<str>,
-    /// Version the row must have; 0 means that it must not exist.
+    /// Version the row must have; 0 if it must not exist.
     pub expected: Revision,
     /// New document.
     pub value: Vec<u8>,
 }
 
-/// What became of a transaction.
+/// Outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It is kept, under this version.
+    /// It was committed with this number.
     Written(Revision),
-    /// A row had another version.
+    /// A row did not have the expected version; nothing was written.
     Conflict,
-    /// It was made in another era than the rows were read in. Revisions are given out again, so it may be
-    /// kept although a row is not what it was: all has to be read anew.
+    /// It was committed in another era than the one in which the rows were read. A restored store reuses
+    /// revision numbers, so a condition may have held although the row differs; everything must be read again.
     EraMismatch,
 }
 
@@ -126,7 +127,7 @@
 struct RowDoc {
     table: Table,
     key: Box<str>,
-    /// Text, but for what another writer left there.
+    /// Base64 text; another writer may have stored any JSON value.
     #[serde(default)]
     value: serde_json::Value,
     #[serde(default)]
@@ -167,21 +168,21 @@
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
 struct TransactionDoc<'a> {
-    /// Rows and the versions they must have.
+    /// Versions that the rows must have.
     expected_rev: Vec<Expected<'a>>,
     puts: Vec<PutDoc<'a>>,
     remove: [(); 0],
 }
 
-/// In all answers: rises by one each time the store comes back from a copy.
+/// Response header that increases by one with each restore of the store; part of all responses.
 const ERA: &str = "store-era";
 
-/// Time a read or a write may take; the store answers in 4 ms, and 60 times that when slow.
+/// Timeout of a read or write; the store takes 4 ms, and 60 times as long when it is slow.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time a feed may take beyond what it was asked to wait.
+/// Time allowed for a feed request on top of its wait time.
 const FEED_SLACK: Duration = Duration::from_millis(500);
 
-/// Client of the store; clones share its connections.
+/// Client of the store; clones share a connection pool.
 #[derive(Clone, Debug)]
 pub struct StoreClient {
     http: HttpClient,
@@ -189,7 +190,7 @@
 }
 
 impl StoreClient {
-    /// A client of the store at this address, `IP:PORT`.
+    /// Creates a client of the store at this address, `IP:PORT`.
     pub fn new(http: HttpClient, address: &str) -> Self {
         Self { http, base: format!("http://{address}/-/").into() }
     }
@@ -197,7 +198,7 @@
     /// Reads all rows of a table.
     ///
     /// # Errors
-    /// When the store gives no answer or refuses.
+    /// When a call fails or the store is restored during the read.
     pub async fn read_table(&self, table: Table) -> Result<Rows> {
         let mut all =
             Rows { rows: Vec::new(), version: StoreVersion::default(), now: Duration::ZERO };
@@ -208,27 +209,30 @@
             let doc = read_rows(&path, &reply)?;
             let era = read_era(&reply);
             if from.is_empty() {
-                // Later pages may be newer; the feed then brings their changes once more.
+                // Later pages may be newer; the feed then repeats those changes.
                 all.version = StoreVersion { era, revision: doc.ver };
                 all.now = Duration::from_secs_f64(doc.now_ms / 1e3);
             }
             if era != all.version.era {
-                return Err(Error::Unreadable("the store came back from a copy".into()));
+                return Err(Error::Unreadable(
+                    "the store was restored from a backup during the read".into(),
+                ));
             }
             let more = doc.truncated;
             all.rows.extend(doc.rows.into_iter().map(|row| read_row(row, era)));
             let Some(last) = all.rows.last().filter(|_| more) else {
                 return Ok(all);
             };
-            // The smallest key after the last one read.
+            // The smallest key that sorts after the last one read.
             from = format!("{}%00", last.key);
         }
     }
 
-    /// Waits until a table has changed since a version, or for `wait`.
+    /// Returns the changes of a table after a version; if there are none yet, waits for the first for up to
+    /// `wait`.
     ///
     /// # Errors
-    /// When the store gives no answer or refuses.
+    /// When the call fails.
     pub async fn poll_changes(
         &self,
         table: Table,
@@ -245,7 +249,8 @@
         }
         let doc = read_rows(&path, &reply)?;
         if read_era(&reply) != era {
-            // Others have written past what is known here since: these changes do not follow on it.
+            // After the restore, other writers reused the revisions that are known here, so these changes
+            // don't continue from them.
             return Ok(FeedReply::ResyncRequired);
         }
         let rows = doc.rows.into_iter().map(|row| read_row(row, era)).collect();
@@ -254,10 +259,10 @@
         Ok(FeedReply::Changes(Rows { rows, version, now }))
     }
 
-    /// Writes rows, all or none, if each has the version expected, as read in this era.
+    /// Writes rows in one transaction if each has its expected version, as read in `era`.
     ///
     /// # Errors
-    /// [`Error::Refused`] when nothing was written, [`Error::Unknown`] when it may have been.
+    /// [`Error::Refused`] when nothing was written, [`Error::Unknown`] when the rows may have been written.
     pub async fn write(&self, puts: &[Put], era: Era) -> Result<WriteOutcome> {
         let doc = TransactionDoc {
             expected_rev: puts
@@ -312,14 +317,14 @@
         .map_err(|e| Error::Unreadable(format!("{path}: {e}").into()))
 }
 
-/// The era that an answer reports; the first one where the store does not report any.
+/// Era reported by a response; 0 if it reports none.
 fn read_era(reply: &HttpReply) -> Era {
     let reported = reply.headers.get(ERA).and_then(|value| value.to_str().ok());
     reported.and_then(|text| text.trim().parse().ok()).unwrap_or_default()
 }
 
-/// Reads a row. One whose bytes can't be decoded has an empty document: whoever reads that document finds
-/// it unreadable and says so, and the table's other rows hold.
+/// Converts a row. If its bytes can't be decoded, its document is empty: parsing that document then
+/// reports an error, and the other rows of the table stay usable.
 fn read_row(doc: RowDoc, era: Era) -> Row {
     let value = doc.value.as_str().and_then(|text| STANDARD.decode(text).ok()).unwrap_or_default();
     Row { table: doc.table, key: doc.key, value, version: doc.ver, era, is_removed: doc.removed }
--- a/src/platform/table.rs
+++ b/src/platform/table.rs
@@ -1,4 +1,4 @@
-//! The transactional table service.
+//! Client of the transactional table service.
 
 use std::{fmt, sync::Arc, time::Duration};
 
@@ -10,60 +10,60 @@
 
 const TIMEOUT: Duration = Duration::from_secs(2);
 const MAX_READ_ATTEMPTS: usize = 4;
-/// A read is not repeated once it has taken this long: the service is slow, not forgetful.
+/// Reads are not retried after this time: the service is then slow rather than losing replies.
 const READ_RETRY_WINDOW: Duration = Duration::from_millis(500);
 
-/// One row with the number of the transaction that last wrote it.
+/// A row with the number of the transaction that last wrote it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// Path-like key.
+    /// Key, structured like a path.
     pub key: Box<str>,
-    /// Number of the transaction that wrote it.
+    /// Number of the transaction that last wrote it.
     pub version: u64,
-    /// Value.
+    /// Document stored in the row.
     pub value: serde_json::Value,
 }
 
 impl Row {
-    /// Reads the value as a type.
+    /// Parses the value.
     ///
     /// # Errors
-    /// [`Error::Unreadable`] when the value has another shape.
+    /// [`Error::Unreadable`] when the value doesn't match the type.
     pub fn parse<T: DeserializeOwned>(&self) -> Result<T> {
         serde_json::from_value(self.value.clone())
             .map_err(|e| Error::Unreadable(format!("row {}: {e}", self.key).into()))
     }
 }
 
-/// A condition: the row has this version, or is absent.
+/// Precondition of a transaction: the version that a row has.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Check {
     /// Key of the row.
     pub key: Box<str>,
-    /// Version it must have; none means that the row must be absent.
+    /// Version it must have; `None` if the row must not exist.
     pub version: Option<u64>,
 }
 
-/// A row written, or deleted when there is no value.
+/// Write or deletion of one row.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Write {
     /// Key of the row.
     pub key: Box<str>,
-    /// New value; none deletes.
+    /// New value; `None` deletes the row.
     pub value: Option<serde_json::Value>,
 }
 
-/// Writes that happen all or not at all, if every check holds.
+/// Writes that are committed together if all preconditions hold.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// Conditions.
+    /// Preconditions.
     pub checks: Vec<Check>,
-    /// Writes.
+    /// Rows to write or delete.
     pub writes: Vec<Write>,
 }
 
 impl Transaction {
-    /// Adds a condition.
+    /// Adds a precondition; `None` requires that the row doesn't exist.
     #[must_use]
     pub fn check(mut self, key: impl Into<Box<str>>, version: Option<u64>) -> Self {
         self.checks.push(Check { key: key.into(), version });
@@ -73,7 +73,7 @@
     /// Adds a row to write.
     #[must_use]
     pub fn put(mut self, key: impl Into<Box<str>>, value: &impl Serialize) -> Self {
-        let value = serde_json::to_value(value).expect("rows are plain data");
+        let value = serde_json::to_value(value).expect("rows can be serialized to JSON");
         self.writes.push(Write { key: key.into(), value: Some(value) });
         self
     }
@@ -94,41 +94,41 @@
     Transact(Transaction),
     /// Reads one row.
     Get(Box<str>),
-    /// Reads rows with a prefix, in key order, after a key, up to a limit.
+    /// Reads a page of the rows with a key prefix, in key order.
     List {
         /// Prefix of the keys.
         prefix: Box<str>,
-        /// Key to start behind; empty for the start.
+        /// Key after which the page starts; empty for the first page.
         after: Box<str>,
-        /// Rows at most.
+        /// Maximum number of rows.
         limit: usize,
     },
 }
 
-/// An answer of the table service.
+/// A reply of the table service.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TableReply {
-    /// The transaction took effect under this number.
+    /// The transaction was committed with this number.
     Committed(u64),
-    /// These checks did not hold; nothing was written.
+    /// Keys whose preconditions did not hold; nothing was written.
     Conflict(Vec<Box<str>>),
-    /// The row, if there is one.
+    /// The row that was read; `None` if there is none.
     Row(Option<Row>),
     /// Rows in key order.
     Rows(Vec<Row>),
 }
 
-/// How an insert came out.
+/// Outcome of an insert.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum InsertOutcome {
-    /// The row is written, and has this version.
+    /// The row was written and has this version.
     Inserted(u64),
-    /// The row has another version than was expected.
+    /// The row does not have the expected version; nothing was written.
     Conflict,
-    /// Nothing was written.
+    /// The service could not be reached or rejected the call; nothing was written.
     Refused,
-    /// It is not known whether the row was written.
+    /// The reply was lost; the row may have been written.
     Lost,
 }
 
@@ -145,12 +145,12 @@
 }
 
 impl TableClient {
-    /// A client whose calls go through `send`; tests pass a fake.
+    /// Creates a client whose calls go through `send`; tests pass a fake.
     pub fn new(send: impl Fn(TableRequest) -> Reply<TableReply> + Send + Sync + 'static) -> Self {
         Self { send: Arc::new(send) }
     }
 
-    /// A client of the service at `base`, such as `http://10.0.0.1:7000`.
+    /// Creates a client of the HTTP service at `base`, such as `http://10.0.0.1:7000`.
     pub fn over_http(http: HttpClient, base: &str) -> Self {
         let uri: Arc<str> = format!("{base}/v1/table").into();
         Self::new(move |req| {
@@ -159,10 +159,11 @@
         })
     }
 
-    /// Commits a transaction; the inner error lists the checks that did not hold.
+    /// Commits a transaction and returns its number, or in the inner `Err` the keys whose preconditions did
+    /// not hold.
     ///
     /// # Errors
-    /// The outer error says whether the transaction can have taken effect.
+    /// The outer error says whether the transaction may have taken effect.
     pub async fn transact(
         &self,
         tx: Transaction,
@@ -170,11 +171,11 @@
         match (self.send)(TableRequest::Transact(tx)).await? {
             TableReply::Committed(version) => Ok(Ok(version)),
             TableReply::Conflict(keys) => Ok(Err(keys)),
-            _ => Err(Error::Unreadable("answer to another call".into())),
+            _ => Err(Error::Unreadable("unexpected kind of reply".into())),
         }
     }
 
-    /// Carries a read out; one whose answer was lost is harmless to repeat for a while.
+    /// Sends a read and retries it when the reply is lost, which is safe since reads have no effect.
     async fn read(&self, req: TableRequest) -> Result<TableReply> {
         let began = Instant::now();
         for _ in 1..MAX_READ_ATTEMPTS {
@@ -189,23 +190,23 @@
     /// Reads one row.
     ///
     /// # Errors
-    /// When the service gives no answer.
+    /// When the service can't be reached or its reply is invalid.
     pub async fn get(&self, key: &str) -> Result<Option<Row>> {
         match self.read(TableRequest::Get(key.into())).await? {
             TableReply::Row(row) => Ok(row),
-            _ => Err(Error::Unreadable("answer to another call".into())),
+            _ => Err(Error::Unreadable("unexpected kind of reply".into())),
         }
     }
 
-    /// Reads rows with a prefix, after a key, up to `limit`.
+    /// Reads up to `limit` rows whose keys have a prefix and sort after `after`.
     ///
     /// # Errors
-    /// When the service gives no answer.
+    /// When the service can't be reached or its reply is invalid.
     pub async fn list(&self, prefix: &str, after: &str, limit: usize) -> Result<Vec<Row>> {
         let req = TableRequest::List { prefix: prefix.into(), after: after.into(), limit };
         match self.read(req).await? {
             TableReply::Rows(rows) => Ok(rows),
-            _ => Err(Error::Unreadable("answer to another call".into())),
+            _ => Err(Error::Unreadable("unexpected kind of reply".into())),
         }
     }
 }
