--- a/src/routing/backend_server.rs
+++ b/src/routing/backend_server.rs
@@ -1,40 +1,40 @@
-//! A BackendServer as the platform lists it.
+//! BackendServer as listed by the platform.
 
 use std::{net::SocketAddr, time::Duration};
 
 use crate::ids::StoreVersion;
 
-/// Start of a server's life, milliseconds since the Unix epoch by the server's own clock.
+/// Start time of a server process, in milliseconds since the Unix epoch by the server's clock.
 pub type StartTime = u64;
 
-/// Version of the software or weights a server runs.
+/// Version of the software or model weights that a server runs.
 pub type ServerVersion = Box<str>;
 
-/// One life of a BackendServer; a restart is a new one, with a new id or a later start.
+/// One process of a BackendServer. A restart is a new process with a new id or a later start time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendServer {
-    /// Id, which requests name so that no other server runs them.
+    /// Id. Requests carry it, so that no other server at the same address runs them.
     pub id: Box<str>,
-    /// When this life began; none where the platform does not report it.
+    /// Start time of the process; `None` if the platform doesn't report it.
     pub started_at: Option<StartTime>,
-    /// Service it belongs to.
+    /// Service that the server belongs to.
     pub service: Box<str>,
-    /// Where it takes requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
-    /// AvailabilityZone it stands in.
+    /// AvailabilityZone of the server.
     pub zone: Box<str>,
-    /// Version it runs.
+    /// Version that it runs.
     pub version: ServerVersion,
-    /// Requests it runs at a time.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether its row says that it is draining.
+    /// Whether its row marks it as draining.
     pub is_draining: bool,
-    /// How much longer it was cold when it wrote its row.
+    /// Remaining cold time when the row was written.
     pub cold_for: Duration,
-    /// Counts what it wrote or accepted in this life.
+    /// Counter that the server increases with what it writes or accepts; orders the rows of one process.
     pub sequence: u64,
-    /// When its row was written, so that two rows that say the same are distinguished.
+    /// Store version of its row, which distinguishes rows with equal content.
     pub written_at: StoreVersion,
-    /// Models it has loaded; empty where it is no model engine.
+    /// Loaded models; empty if the server is not a model engine.
     pub models: Vec<Box<str>>,
 }
--- a/src/routing/fingerprint.rs
+++ b/src/routing/fingerprint.rs
@@ -1,30 +1,30 @@
-//! What a request is known by when it comes again under another id.
+//! Fingerprint that identifies a request when it is repeated under another id.
 
 use sha2::{Digest, Sha256};
 
 use crate::routing::{Organisation, Request};
 
-/// Bytes of a fingerprint.
+/// Length of a fingerprint in bytes.
 const LENGTH: usize = 16;
 
-/// The same for all tries of the same work, and for nothing else: a hash of method, host, path, query,
-/// Organisation and body.
+/// Hash of a request's method, host, path, query, Organisation and body; equal for all repetitions of the
+/// same work and for nothing else.
 ///
-/// The id, the deadline and what is chosen for an attempt differ from try to try and are left out. The
-/// Organisation is in it, and the hash is one that nobody can find a second text for (SHA-256, cut to
-/// 128 bits), so that no Organisation can have another one's request refused.
+/// The id, the deadline and the values selected per attempt differ between repetitions and are not hashed.
+/// The Organisation is included and the hash is collision-resistant (SHA-256, truncated to 128 bits), so
+/// that no Organisation can cause another one's request to be refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Fingerprint(pub u128);
 
 impl Fingerprint {
-    /// The fingerprint of a request of this Organisation.
+    /// Computes the fingerprint of a request by this Organisation.
     pub fn of(req: &Request, organisation: Option<&Organisation>) -> Self {
         let head = &req.head;
         let target = head.uri.path_and_query().map_or("", |target| target.as_str());
         let organisation = organisation.map_or("", |organisation| &organisation.name);
         let mut hash = Sha256::new();
         for text in [head.method.as_str(), &head.host, target, organisation] {
-            // With its length, so that no two lists of texts give the same bytes.
+            // The length prefix ensures that different lists of fields never yield the same bytes.
             hash.update((text.len() as u64).to_le_bytes());
             hash.update(text);
         }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,5 +1,5 @@
-//! The data of the request path: what the operator configured, which BackendServers there are,
-//! and what a request asks for. Plain types; decisions over them are in [`crate::policy`].
+//! Data types of the request path: the operator's configuration, the BackendServers, requests and
+//! responses. Decisions based on them are in [`crate::policy`].
 
 mod backend_server;
 mod fingerprint;
--- a/src/routing/request.rs
+++ b/src/routing/request.rs
@@ -1,16 +1,16 @@
-//! What a request asks for, in our words.
+//! Parsed request of a caller.
 
 use std::time::Duration;
 
 use bytes::Bytes;
 use http::{HeaderMap, Method, Uri};
 
-/// One part of a prompt; requests that begin with the same parts can share their KV cache.
+/// Part of a prompt. Requests that begin with the same parts can share KV cache entries on a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromptPart {
     /// Hash of the part.
     pub id: u64,
-    /// Its length.
+    /// Length in tokens.
     pub tokens: u64,
 }
 
@@ -21,48 +21,48 @@
     pub method: Method,
     /// Path and query, passed on unchanged.
     pub uri: Uri,
-    /// Host that the caller named.
+    /// Host that the request is addressed to.
     pub host: Box<str>,
-    /// Id of this try of the caller; answers are matched by it.
+    /// Id of this attempt by the caller; used to match responses to requests.
     pub id: Box<str>,
-    /// Key the caller showed.
+    /// API key sent by the caller.
     pub api_key: Option<Box<str>>,
-    /// Time the caller will wait.
+    /// Time for which the caller will wait.
     pub caller_timeout: Option<Duration>,
-    /// Model the caller names; none where it leaves the choice to us.
+    /// Model requested by the caller; `None` leaves the choice to the router.
     pub model: Option<Box<str>>,
-    /// Tokens of the prompt.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u64,
-    /// Tokens the answer may have at most.
+    /// Maximum length of the answer in tokens.
     pub max_answer_tokens: u64,
-    /// Parts of the prompt in their order; the last is the request's or its session's own.
+    /// Parts of the prompt in order; the last one belongs to this request or its session only.
     pub prompt_parts: Vec<PromptPart>,
     /// Session the request belongs to.
     pub session: Option<Box<str>>,
-    /// Last event of an interrupted stream that the caller has.
+    /// Last event of an interrupted stream that the caller received.
     pub last_event_id: Option<u64>,
-    /// Headers to pass on: all but those of the connection, the key and those we set ourselves.
+    /// Headers to pass on: all except hop-by-hop headers, the API key and headers that the router sets.
     pub headers: HeaderMap,
 }
 
 impl RequestHead {
-    /// What the session or, without one, the request itself is known by.
+    /// Key of the session; without a session, the id of the request.
     pub fn session_key(&self) -> &str {
         self.session.as_deref().unwrap_or(&self.id)
     }
 
-    /// The longest run of parts that other requests may share, by its last part.
+    /// Last part of the prompt's longest prefix that other requests may share.
     pub fn last_shared_part(&self) -> Option<&PromptPart> {
         let shared = self.prompt_parts.len().checked_sub(2)?;
         self.prompt_parts.get(shared)
     }
 }
 
-/// A request whose body is here.
+/// A request with its body.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Everything but the body.
+    /// Head of the request.
     pub head: RequestHead,
-    /// The body, passed on unchanged.
+    /// Body, passed on unchanged.
     pub body: Bytes,
 }
--- a/src/routing/response.rs
+++ b/src/routing/response.rs
@@ -1,67 +1,69 @@
-//! What the head of a BackendServer's answer says.
+//! Parsed head of a BackendServer's response.
 
 use http::{HeaderMap, HeaderName, StatusCode};
 
 use crate::policy::{load::ReportedLoad, rate_limit::AdvertisedLimit, retry_after::RetryAfter};
 
-/// What an answer proves about its request.
+/// What a response proves about its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ResponseKind {
-    /// The server ran it and succeeded.
+    /// The server ran the request successfully.
     Success,
-    /// The server ran it and failed.
+    /// The server ran the request and failed.
     Failure,
-    /// The server did not run it and never will: full, leaving or out of time.
+    /// The server did not run the request and never will: it is full, stopping or the deadline has passed.
     NotRun,
-    /// Another server has the address; the request did not run.
+    /// Another server than expected uses the address; the request did not run.
     WrongServer,
-    /// The answer belongs to another request, so nothing is known about this one.
+    /// The response belongs to another request; nothing is known about this one.
     WrongRequest,
-    /// No signature of the server, or an encoding nobody asked for: these are not its bytes.
+    /// The server's signature is missing, or the body has a content encoding that was not requested: an
+    /// intermediary produced or altered the response.
     Unsigned,
 }
 
 impl ResponseKind {
-    /// Whether the answer is its server's own, so that what its head announces is true of that server.
+    /// Whether the response comes unaltered from the server it was requested from, so that what its head
+    /// announces applies to that server.
     pub fn is_authentic(self) -> bool {
         matches!(self, Self::Success | Self::Failure | Self::NotRun)
     }
 }
 
-/// The head of an answer.
+/// Head of a response.
 #[derive(Clone, Debug)]
 pub struct ResponseHead {
-    /// What it proves.
+    /// What the response proves about its request.
     pub kind: ResponseKind,
-    /// Status, passed on unchanged.
+    /// Status, passed on to the caller unchanged.
     pub status: StatusCode,
-    /// Headers to pass on: all but those of the connection.
+    /// Headers to pass on: all except hop-by-hop headers.
     pub headers: HeaderMap,
-    /// The model's own opinion of its answer, 0 to 100.
+    /// Confidence of the model in its answer, 0 to 100.
     pub confidence: Option<u8>,
-    /// How loaded the server says it is.
+    /// Load reported by the server.
     pub load: Option<ReportedLoad>,
-    /// How many requests it says it takes.
+    /// Rate limit advertised by the server.
     pub rate_limit: AdvertisedLimit,
     /// Whether the server announces that it is draining.
     pub is_draining: bool,
-    /// How long it asks to be sent nothing.
+    /// Pause requested by the server, in which it should receive no requests.
     pub retry_after: RetryAfter,
-    /// Headers that nothing here reads.
+    /// Headers that the platform's adapter doesn't know.
     pub unknown_headers: Vec<HeaderName>,
-    /// Whether the server asks that the connection not be used again.
+    /// Whether the server closes the connection after this response.
     pub closes_connection: bool,
 }
 
 impl ResponseHead {
-    /// Whether the server rejected the request and announced why or for how long: that is no failure of it, and what
-    /// it announced keeps further requests away.
+    /// Whether the server rejected the request and announced the reason or the duration. Such a rejection is
+    /// not counted as a failure, since the announcement already keeps further requests away.
     pub fn announces_rejection(&self) -> bool {
         let is_draining = self.is_draining && self.kind == ResponseKind::NotRun;
         is_draining || (self.is_overload_rejection() && self.retry_after.pause().is_some())
     }
 
-    /// Whether the server rejected the request for want of capacity.
+    /// Whether the server rejected the request because it lacks capacity.
     pub fn is_overload_rejection(&self) -> bool {
         let statuses = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS];
         self.kind.is_authentic() && statuses.contains(&self.status)
--- a/src/routing/roll_out.rs
+++ b/src/routing/roll_out.rs
@@ -1,4 +1,4 @@
-//! An operator's order to move a service to another version, and how far it got.
+//! Operator's order to roll out a version of a service, and the status reported for it.
 
 use std::time::Duration;
 
@@ -7,40 +7,40 @@
 /// An order to move a service's traffic to a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RollOutOrder {
-    /// The service.
+    /// Service whose traffic is moved.
     pub service: Box<str>,
-    /// The version to move to.
+    /// Version to move to.
     pub to: ServerVersion,
-    /// Time in which it is to be done.
+    /// Time within which the roll-out should complete.
     pub duration: Duration,
-    /// When the store's row was written, which distinguishes one order from the next.
+    /// Store version of the order's row, which distinguishes it from later orders.
     pub written_at: StoreVersion,
 }
 
 impl RollOutOrder {
-    /// Whether this one is the other, written again after the store came back from a copy without it.
+    /// Whether this is the same order as `other`, written again after a restore that lost it.
     pub fn is_reissue_of(&self, other: &Self) -> bool {
         let is_same = (&self.to, self.duration) == (&other.to, other.duration);
         is_same && self.written_at.era != other.written_at.era
     }
 }
 
-/// How far a roll-out got.
+/// Progress of a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RollOutProgress {
     /// Traffic is being moved.
     Running,
-    /// All traffic runs on the new version; the platform stops the old servers.
+    /// All traffic goes to the new version; the platform stops the old servers.
     Completed,
-    /// The new version was bad; the platform takes its servers away.
+    /// The new version was judged bad; the platform removes its servers.
     RolledBack,
 }
 
-/// What this system reports to the operator about a roll-out.
+/// Status of a roll-out as reported to the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RollOutStatus {
-    /// The version it moves to.
+    /// Version that the roll-out moves to.
     pub to: ServerVersion,
-    /// How far it got.
+    /// Progress so far.
     pub progress: RollOutProgress,
 }
--- a/src/routing/table.rs
+++ b/src/routing/table.rs
@@ -1,25 +1,25 @@
-//! The operator's configuration, in the form requests are routed by.
+//! Routing table built from the operator's configuration.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use crate::{ids::Revision, policy::cold::ColdTerms};
 
-/// Name of a region, which has one or more AvailabilityZones.
+/// Name of a region, which consists of one or more AvailabilityZones.
 pub type Region = Box<str>;
 
-/// How a request on a route may be repeated.
+/// How a route's requests may be repeated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// Requests may run more than once.
     #[default]
     Idempotent,
-    /// May run at most once.
+    /// Requests may run at most once.
     AtMostOnce,
-    /// Answered by a stream of events; idempotent only where the route allows to resume it.
+    /// Responses are event streams; requests may run again only if the route's streams are resumable.
     Stream,
 }
 
-/// A service a route sends requests to, and its share of them.
+/// Service that a route sends requests to, with its share of them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
     /// Name of the service.
@@ -28,41 +28,41 @@
     pub weight: f64,
 }
 
-/// One route of the configuration.
+/// Route of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Name, for logs and metrics.
     pub name: Box<str>,
-    /// Start of the paths it serves; begins and ends with a slash.
+    /// Prefix of the paths it serves; begins and ends with a slash.
     pub prefix: Box<str>,
-    /// Services that may run its requests; never empty.
+    /// Services that run its requests; never empty.
     pub targets: Vec<Target>,
-    /// What may be repeated.
+    /// How its requests may be repeated.
     pub kind: RouteKind,
-    /// Longest time a caller is kept waiting.
+    /// Maximum time that a caller waits.
     pub timeout: Duration,
-    /// Time to the answer, or to a stream's first event, that the operator aims at.
+    /// Operator's latency objective: time to the response, or to a stream's first event.
     pub objective: Duration,
-    /// Longest pause between two events of a stream that still counts as on time.
+    /// Maximum pause between two events of a stream that still counts as on time.
     pub max_event_gap: Option<Duration>,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Runs that one request may cause.
+    /// Maximum number of times that one request may run.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     pub is_public: bool,
-    /// Whether requests carry prompt parts worth keeping together.
+    /// Whether requests that share prompt parts should go to the same server.
     pub is_sticky: bool,
-    /// Whether a broken stream may go on at another server.
+    /// Whether an interrupted stream may be resumed at another server.
     pub is_resumable: bool,
-    /// Regions whose servers may run its requests; empty where all may.
+    /// Regions whose servers may run its requests; empty if all may.
     pub permitted_regions: Vec<Region>,
-    /// Models of the cascade, smallest first; empty where the caller names the model.
+    /// Models of the cascade, from smallest to largest; empty if the caller names the model.
     pub cascade: Vec<Box<str>>,
 }
 
-/// Whether a server in a region may run the requests of a route and an Organisation: where both have homes, both
-/// bind. A region that is not known is nobody's home.
+/// Whether servers in a region may run an Organisation's requests on a route. If both restrict the
+/// regions, the region must satisfy both; an unknown region satisfies no restriction.
 pub fn is_permitted_region(
     route: &Route,
     organisation: Option<&Organisation>,
@@ -88,49 +88,50 @@
     }
 }
 
-/// An Organisation as the operator declares it.
+/// Organisation as declared by the operator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Organisation {
-    /// Name, which servers receive.
+    /// Name, which is sent to servers.
     pub name: Box<str>,
-    /// Rank that replaces the route's, if it has one.
+    /// Priority that overrides the route's, if set.
     pub priority: Option<u8>,
-    /// Regions whose servers may run its requests; empty where all may.
+    /// Regions whose servers may run its requests; empty if all may.
     pub permitted_regions: Vec<Region>,
 }
 
-/// What callers may send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     pub body_bytes: usize,
-    /// Time in which a request's head has to arrive.
+    /// Time within which a request's head must arrive.
     pub header_timeout: Duration,
-    /// Time a connection may stay idle.
+    /// Maximum time that a connection may stay idle.
     pub idle_timeout: Duration,
 }
 
-/// One version of the configuration; replaced as a whole.
+/// One version of the operator's configuration; replaced as a whole.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RoutingTable {
-    /// Version; it only grows.
+    /// Version; increases with each change.
     pub version: Revision,
-    /// Routes by host, the longest prefix first.
+    /// Routes by host, sorted by descending prefix length.
     pub routes: HashMap<Box<str>, Vec<Arc<Route>>>,
-    /// Tokens that one BackendServer of a service has memory for; none where no model runs.
+    /// Capacity in tokens of the KV cache of a BackendServer, by service; missing for services that run no
+    /// model.
     pub kv_cache_tokens: HashMap<Box<str>, u64>,
-    /// What a cold BackendServer of a service takes; none where they start warm.
+    /// Limits of cold BackendServers, by service; missing for services that start warm.
     pub cold_starts: HashMap<Box<str>, ColdTerms>,
-    /// Organisations by key; none where requests need no keys at all.
+    /// Organisations by API key; `None` if requests need no API keys.
     pub organisations_by_key: Option<HashMap<Box<str>, Arc<Organisation>>>,
-    /// Limits on callers; none where the operator sets none.
+    /// Limits on callers; `None` if the operator sets none.
     pub limits: Option<CallerLimits>,
 }
 
 impl RoutingTable {
-    /// The route of a request, if there is one.
+    /// Finds the route with the longest prefix that matches a request.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.routes.get(host)?;
         routes.iter().find(|route| path.starts_with(&*route.prefix))
