--- a/src/control/config.rs
+++ b/src/control/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force in one process, and how it follows the store and its peers.
+//! Active configuration of a process, kept up to date from the store and from peers.
 
 use std::sync::{Arc, Mutex};
 
@@ -14,11 +14,11 @@
     telemetry::{Metrics, event},
 };
 
-/// Row that holds the newest revision.
+/// Key of the row that holds the newest revision.
 pub const HEAD_KEY: &str = "head/config";
 const PAGE: usize = 500;
 
-/// Key of a change's row; it sorts by revision.
+/// Key of a change's row. The revision is zero-padded, so that keys sort by revision.
 pub fn change_key(revision: Revision) -> Box<str> {
     format!("changes/{revision:020}").into()
 }
@@ -28,7 +28,7 @@
     format!("objects/{}/{id}", kind.as_str()).into()
 }
 
-/// Configuration of one process; clones share it.
+/// Active configuration of one process; clones share their state.
 #[derive(Clone, Debug)]
 pub struct Config {
     log: Arc<Mutex<ConfigLog>>,
@@ -38,7 +38,7 @@
 }
 
 impl Config {
-    /// An empty configuration at revision 0.
+    /// Creates an empty configuration at revision 0.
     pub fn new(metrics: Metrics) -> Self {
         Self {
             log: Arc::default(),
@@ -48,34 +48,39 @@
         }
     }
 
-    /// Snapshot in force.
+    /// Active snapshot.
     pub fn snapshot(&self) -> Arc<Snapshot> {
         self.snapshot.load_full()
     }
 
-    /// Revision in force.
+    /// Active revision.
     pub fn revision(&self) -> Revision {
         *self.revision.borrow()
     }
 
-    /// Wakes when a newer revision is in force.
+    /// Subscribes to changes of the active revision.
     pub fn subscribe(&self) -> watch::Receiver<Revision> {
         self.revision.subscribe()
     }
 
-    /// Changes after a revision, or nothing when they are no longer kept.
+    /// Changes after a revision; `None` if some of them are no longer kept.
     pub fn changes_after(&self, revision: Revision) -> Option<Vec<Change>> {
-        self.log.lock().expect("no panics under the lock").changes_after(revision)
+        self.log.lock().expect("no code panics while holding this lock").changes_after(revision)
     }
 
-    /// All objects in force.
+    /// All active objects.
     pub fn objects(&self) -> Vec<Object> {
-        self.log.lock().expect("no panics under the lock").objects().cloned().collect()
+        self.log
+            .lock()
+            .expect("no code panics while holding this lock")
+            .objects()
+            .cloned()
+            .collect()
     }
 
-    /// What brings a peer at `revision` up to date; nothing when it is not behind.
+    /// Update that brings a peer from `revision` to the active revision; `None` if it is not behind.
     pub fn update_for(&self, revision: Revision) -> Option<ConfigUpdate> {
-        let log = self.log.lock().expect("no panics under the lock");
+        let log = self.log.lock().expect("no code panics while holding this lock");
         if revision >= log.revision() {
             return None;
         }
@@ -88,9 +93,9 @@
         })
     }
 
-    /// Takes an update over; what is not newer is left out. True when a newer revision is in force.
+    /// Applies the parts of an update that are newer than the active revision; returns whether there were any.
     pub fn apply(&self, update: ConfigUpdate) -> bool {
-        let mut log = self.log.lock().expect("no panics under the lock");
+        let mut log = self.log.lock().expect("no code panics while holding this lock");
         let before = log.revision();
         match update {
             ConfigUpdate::Delta(changes) => {
@@ -112,10 +117,10 @@
         true
     }
 
-    /// Reads the store's head and, when it is ahead, what is missing here.
+    /// Reads the newest revision from the store and, if the active one is older, the missing changes.
     ///
     /// # Errors
-    /// When the store gives no answer; what is in force stays in force.
+    /// When a call to the store fails; the active configuration stays as it is.
     pub async fn poll(&self, table: &TableClient, health: &StoreHealth) -> Result<()> {
         let head = health.track("config_head", table.get(HEAD_KEY)).await?;
         let head: Revision = match head {
@@ -158,7 +163,8 @@
         }
     }
 
-    /// Reads every object; consistent when the head did not move meanwhile.
+    /// Reads all objects and applies them if the newest revision did not change meanwhile, since otherwise
+    /// they may be inconsistent.
     async fn read_all(&self, table: &TableClient, health: &StoreHealth) -> Result<()> {
         let Some(before) = health.track("config_head", table.get(HEAD_KEY)).await? else {
             return Ok(());
--- a/src/control/lease.rs
+++ b/src/control/lease.rs
@@ -1,4 +1,4 @@
-//! Holding a lease in the table service.
+//! Acquires and renews leases kept in the table service.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     telemetry::event,
 };
 
-/// One process's hold on one lease.
+/// A lease as seen and held by one process.
 #[derive(Debug)]
 pub struct Lease {
     name: Box<str>,
@@ -23,26 +23,26 @@
     version: u64,
 }
 
-/// Permission to act under a lease, for as long as its row is unchanged.
+/// Permission to act under a lease while its row is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Permit {
     /// Key of the lease's row.
     pub key: Box<str>,
-    /// Version the row must still have when a write under the lease commits.
+    /// Version that the row must still have when a write under the lease commits.
     pub version: u64,
-    /// Fencing number.
+    /// Fencing number of the lease; increases with each new holder.
     pub fencing: u64,
 }
 
 impl Permit {
-    /// A transaction that fails when the lease has passed to someone else.
+    /// Creates a transaction that fails if the lease has been renewed or taken over since.
     pub fn transaction(&self) -> Transaction {
         Transaction::default().check(self.key.clone(), Some(self.version))
     }
 }
 
 impl Lease {
-    /// A lease not yet looked at.
+    /// Creates the view of a lease whose row has not been read yet.
     pub fn new(name: &str, me: Incarnation, terms: LeaseTerms) -> Self {
         Self {
             name: name.into(),
@@ -62,16 +62,16 @@
         format!("leases/{}", self.name).into()
     }
 
-    /// Permission to act now, if this process holds the lease.
+    /// Permission to act now; `None` if this process doesn't hold the lease.
     pub fn permit(&self) -> Option<Permit> {
         let fencing = self.view.fencing(self.now())?;
         Some(Permit { key: self.key(), version: self.version, fencing })
     }
 
-    /// Reads the row, then takes or renews the lease if that is due.
+    /// Reads the lease's row and acquires or renews the lease if due.
     ///
     /// # Errors
-    /// When the store gives no answer; what is held runs out by itself.
+    /// When a call to the store fails; a held lease then expires by itself.
     pub async fn acquire_or_renew(
         &mut self,
         table: &TableClient,
@@ -107,7 +107,7 @@
                 }
                 Ok(())
             }
-            // A lost reply is settled by the next read: the row then shows our own renewal.
+            // After a lost reply, the next read of the row shows whether the renewal was written.
             Err(e @ Error::Unknown(_)) => Err(e),
             Err(e) => Err(e),
         }
--- a/src/control/membership.rs
+++ b/src/control/membership.rs
@@ -1,4 +1,7 @@
-//! Which agents an entry links to: a bounded, deterministic part of each version's pool.
+//! Selection of the agents that an entry links to, and assignment of shared tasks to entries.
+//!
+//! Each entry links to a bounded subset of each version's pool. All decisions are deterministic functions
+//! of the list of Hosts, so that entries need no coordination.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,13 +13,13 @@
     resources::Snapshot,
 };
 
-/// Links kept to each version's pool at least, as far as `max_links` lets it.
+/// Minimum number of links to each version's pool, as far as `max_links` allows.
 const MIN_LINKS_PER_POOL: usize = 8;
 
-/// Chooses the agents an entry on `me` links to.
+/// Selects the agents that the entry on `me` links to.
 ///
-/// Own zone goes before own region before other regions; within those, rendezvous hashing, so
-/// that a host that comes or goes moves few links.
+/// Agents in the same zone come first, then those in the same region, then all others. Within each class,
+/// rendezvous hashing gives the order, so that few links move when a host joins or leaves.
 pub fn select_links(me: &Host, hosts: &[Host], snapshot: &Snapshot, max_links: usize) -> Vec<Host> {
     let mut agents: Vec<&Host> = hosts.iter().filter(|host| is_live_agent(host)).collect();
     agents.sort_by_key(|host| (distance_class(me, host), rank(me, host)));
@@ -25,7 +28,7 @@
     let mut chosen: BTreeSet<&str> = BTreeSet::new();
     chosen.extend(relay_agent(me, hosts).map(|host| &*host.name));
     let mut links: BTreeMap<&VersionId, usize> = BTreeMap::new();
-    // One more link a pool in each round, so that a version few engines have is not crowded out.
+    // Each round adds up to one link per pool, so that versions on few engines are not crowded out.
     for wanted in 1..=MIN_LINKS_PER_POOL {
         for (host, versions) in agents.iter().zip(&pools) {
             let lacks = versions.iter().any(|v| links.get(v).copied().unwrap_or(0) < wanted);
@@ -46,9 +49,10 @@
     agents.into_iter().filter(|host| chosen.contains(&*host.name)).cloned().collect()
 }
 
-/// Whether a duty that a few entries share falls to `me`: rendezvous hashing over live entries.
+/// Whether `me` is one of the `sharers` entries that perform a task, chosen by rendezvous hashing over the
+/// live entries.
 ///
-/// An entry that is not in the list, or a list without entries, can't share and does the duty.
+/// An entry that is missing from the list can't coordinate with the others and performs the task itself.
 pub fn is_assigned(me: &Host, hosts: &[Host], duty: &str, sharers: usize, scope: Scope) -> bool {
     let rank = |host: &Host| xxh3_64(format!("{duty}|{}", host.name).as_bytes());
     let shares = |host: &&Host| {
@@ -64,9 +68,9 @@
     live.iter().filter(|host| rank(host) > mine).count() < sharers
 }
 
-/// The agent that writes rows for the entries of `me`'s region.
+/// Agent that writes rows on behalf of the entries in `me`'s region.
 ///
-/// Entries that see the list differently may use two; that costs transactions, nothing else.
+/// Entries with different views of the list may use different agents, which only costs transactions.
 pub fn relay_agent<'a>(me: &Host, hosts: &'a [Host]) -> Option<&'a Host> {
     hosts
         .iter()
@@ -74,12 +78,12 @@
         .max_by_key(|host| xxh3_64(format!("relay|{}", host.name).as_bytes()))
 }
 
-/// Over which entries a duty is shared.
+/// Set of entries that a task is shared among.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// Those of the same AvailabilityZone.
+    /// Entries in the same AvailabilityZone.
     Zone,
-    /// All.
+    /// All entries.
     Global,
 }
 
@@ -87,7 +91,7 @@
     matches!(host.role, Role::Agent(_)) && host.state == HostState::Live
 }
 
-/// 0 for the same zone, 1 for the same region, 2 for another region.
+/// Network distance between two Hosts: 0 in the same zone, 1 in the same region, 2 across regions.
 pub fn distance_class(me: &Host, other: &Host) -> u8 {
     if me.region != other.region {
         return 2;
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! Control state: configuration in force, membership, leases and the thread that owns them.
+//! Control plane of a process: active configuration, membership, leases and the thread that maintains them.
 
 pub mod config;
 pub mod lease;
--- a/src/control/pull.rs
+++ b/src/control/pull.rs
@@ -1,23 +1,23 @@
-//! Whose turn it is to answer a pull: one peer is asked at a time.
+//! Limits a process to one outstanding pull, a request to a peer for missing configuration.
 
 use std::{
     sync::Mutex,
     time::{Duration, Instant},
 };
 
-/// One answer to a pull is waited for this long before another peer is asked.
+/// Time after which an unanswered pull no longer blocks the next one.
 const PATIENCE: Duration = Duration::from_millis(500);
 
-/// The pull under way in one process, if there is one.
+/// Slot for the outstanding pull of a process.
 #[derive(Debug, Default)]
 pub struct PullSlot {
     asked: Mutex<Option<Instant>>,
 }
 
 impl PullSlot {
-    /// Takes the turn to ask a peer; false while another peer's answer is waited for.
+    /// Occupies the slot; returns false if a recent pull is still outstanding.
     pub fn try_acquire(&self) -> bool {
-        let mut asked = self.asked.lock().expect("no panics under the lock");
+        let mut asked = self.asked.lock().expect("no code panics while holding this lock");
         if asked.is_some_and(|since| since.elapsed() < PATIENCE) {
             return false;
         }
@@ -25,8 +25,8 @@
         true
     }
 
-    /// Notes that an answer has come.
+    /// Frees the slot after a response has arrived.
     pub fn release(&self) {
-        *self.asked.lock().expect("no panics under the lock") = None;
+        *self.asked.lock().expect("no code panics while holding this lock") = None;
     }
 }
--- a/src/control/store_health.rs
+++ b/src/control/store_health.rs
@@ -1,4 +1,4 @@
-//! Whether the platform's store answers, as this process has last seen it.
+//! Tracks whether the platform's store is reachable from this process.
 
 use std::{
     future::Future,
@@ -13,10 +13,11 @@
     telemetry::{Metrics, event},
 };
 
-/// Time without any answer after which the store counts as out rather than as losing replies.
+/// Time without a successful call after which the store counts as unavailable; a shorter failure may just
+/// be a lost reply.
 const OUTAGE_AFTER: Duration = Duration::from_secs(2);
 
-/// Store health of one process; clones share it.
+/// Reachability of the store from one process; clones share their state.
 #[derive(Clone, Debug)]
 pub struct StoreHealth {
     down_since: Arc<Mutex<Option<Instant>>>,
@@ -24,29 +25,29 @@
 }
 
 impl StoreHealth {
-    /// Starts out as up.
+    /// Creates a tracker that considers the store reachable.
     pub fn new(metrics: Metrics) -> Self {
         Self { down_since: Arc::default(), metrics }
     }
 
-    /// Whether the last call failed.
+    /// Whether the most recent call failed.
     pub fn last_call_failed(&self) -> bool {
         self.lock().is_some()
     }
 
-    /// Whether no call has been answered for a while.
+    /// Whether calls have been failing for at least two seconds.
     pub fn is_unavailable(&self) -> bool {
         self.lock().is_some_and(|since| since.elapsed() >= OUTAGE_AFTER)
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Option<Instant>> {
-        self.down_since.lock().expect("no panics under the lock")
+        self.down_since.lock().expect("no code panics while holding this lock")
     }
 
-    /// Carries a call out, counts it and notes whether it was answered.
+    /// Awaits a call, counts it in the metrics and records whether it succeeded.
     ///
     /// # Errors
-    /// The call's own.
+    /// Those of the call.
     pub async fn track<T>(&self, cause: &str, call: impl Future<Output = Result<T>>) -> Result<T> {
         self.metrics.count_store_call(cause);
         let res = call.await;
--- a/src/control/thread.rs
+++ b/src/control/thread.rs
@@ -1,11 +1,11 @@
-//! The one thread that runs control work, so that traffic never waits behind it.
+//! Dedicated thread for control work, so that traffic never waits for it.
 
 use std::{future::Future, thread::JoinHandle};
 
-/// Runs control work on a thread and runtime of its own until it ends.
+/// Starts a thread with its own runtime and runs control work on it until the work completes.
 ///
 /// # Errors
-/// When the thread or its runtime can't be made.
+/// When the thread or its runtime can't be created.
 pub fn spawn<F, Fut>(name: &str, work: F) -> std::io::Result<JoinHandle<()>>
 where
     F: FnOnce() -> Fut + Send + 'static,
