--- a/src/clock.rs
+++ b/src/clock.rs
@@ -32,100 +32,103 @@
 
 /// Readings of both clocks at the last comparison.
 #[derive(Clone, Copy, Debug)]
-struct Compared {
-    steady: Instant,
-    boot: Duration,
+struct ClockReadings {
+    monotonic: Instant,
+    boottime: Duration,
 }
 
 /// Clock of one process.
 #[derive(Debug)]
 pub struct Clock {
     /// Time since boot when this clock was created.
-    started: Duration,
+    created_at: Duration,
     /// Time that this clock showed when it was created.
     origin: Duration,
-    compared: Mutex<Compared>,
+    last_readings: Mutex<ClockReadings>,
     /// Number of suspensions detected.
-    wakes: watch::Sender<u64>,
+    suspensions: watch::Sender<u64>,
     /// When the last suspension was detected, in milliseconds on this clock; 0 if there was none.
-    woke_at_ms: AtomicU64,
+    last_resumed_ms: AtomicU64,
     /// Suspended time simulated by tests, in milliseconds.
-    skipped_ms: AtomicU64,
+    simulated_ms: AtomicU64,
 }
 
 impl Clock {
     /// Creates a clock that shows `origin` now.
     pub fn starting_at(origin: Duration) -> Self {
-        let started = since_boot();
+        let created_at = since_boot();
         Self {
-            started,
+            created_at,
             origin,
-            compared: Mutex::new(Compared { steady: Instant::now(), boot: started }),
-            wakes: watch::Sender::new(0),
-            woke_at_ms: AtomicU64::new(0),
-            skipped_ms: AtomicU64::new(0),
+            last_readings: Mutex::new(ClockReadings {
+                monotonic: Instant::now(),
+                boottime: created_at,
+            }),
+            suspensions: watch::Sender::new(0),
+            last_resumed_ms: AtomicU64::new(0),
+            simulated_ms: AtomicU64::new(0),
         }
     }
 
     /// Current time on this clock.
     pub fn now(&self) -> Duration {
-        (self.origin + self.since_boot()).saturating_sub(self.started)
+        (self.origin + self.since_boot()).saturating_sub(self.created_at)
     }
 
     fn since_boot(&self) -> Duration {
-        since_boot() + Duration::from_millis(self.skipped_ms.load(Ordering::Acquire))
+        since_boot() + Duration::from_millis(self.simulated_ms.load(Ordering::Acquire))
     }
 
     /// Advances the clock as if the Host had been suspended for `time`; for tests.
     pub fn simulate_suspension(&self, time: Duration) {
-        self.skipped_ms.fetch_add(time.as_millis() as u64, Ordering::AcqRel);
+        self.simulated_ms.fetch_add(time.as_millis() as u64, Ordering::AcqRel);
     }
 
     /// Checks whether the Host was suspended since the last check. If it was, wakes all waiters and returns
     /// the length of the suspension.
     pub fn detect_suspension(&self) -> Option<Duration> {
         let suspended = {
-            let mut compared =
-                self.compared.lock().expect("no code panics while holding this lock");
-            let now = Compared { steady: Instant::now(), boot: self.since_boot() };
-            let before = std::mem::replace(&mut *compared, now);
-            let steady = now.steady.saturating_duration_since(before.steady);
-            now.boot.saturating_sub(before.boot).saturating_sub(steady)
+            let mut last_readings =
+                self.last_readings.lock().expect("no code panics while holding this lock");
+            let now = ClockReadings { monotonic: Instant::now(), boottime: self.since_boot() };
+            let previous = std::mem::replace(&mut *last_readings, now);
+            let monotonic = now.monotonic.saturating_duration_since(previous.monotonic);
+            now.boottime.saturating_sub(previous.boottime).saturating_sub(monotonic)
         };
         if suspended < MIN_SUSPENSION {
             return None;
         }
-        self.woke_at_ms.store(self.now().as_millis() as u64, Ordering::Release);
-        self.wakes.send_modify(|wakes| *wakes += 1);
+        self.last_resumed_ms.store(self.now().as_millis() as u64, Ordering::Release);
+        self.suspensions.send_modify(|count| *count += 1);
         Some(suspended)
     }
 
     /// When a suspension was last detected; zero if there was none.
     pub fn last_resumed_at(&self) -> Duration {
-        Duration::from_millis(self.woke_at_ms.load(Ordering::Acquire))
+        Duration::from_millis(self.last_resumed_ms.load(Ordering::Acquire))
     }
 
     /// Subscribes to the suspensions detected from now on.
     pub fn subscribe_suspensions(&self) -> watch::Receiver<u64> {
-        self.wakes.subscribe()
+        self.suspensions.subscribe()
     }
 
     /// Runs `work` until a point in time on this clock; `None` once that has passed, also when it passed
     /// while the Host was suspended. Output that is ready takes precedence over the timeout.
-    pub async fn timeout_at<F: Future>(&self, moment: Duration, work: F) -> Option<F::Output> {
+    pub async fn timeout_at<F: Future>(&self, deadline: Duration, work: F) -> Option<F::Output> {
         let mut work = pin!(work);
-        let mut wakes = self.subscribe_suspensions();
+        let mut suspensions = self.subscribe_suspensions();
         loop {
-            let left = moment.saturating_sub(self.now());
+            let left = deadline.saturating_sub(self.now());
             tokio::select! {
                 biased;
                 output = work.as_mut() => return Some(output),
                 () = sleep(left) => {
-                    if self.now() >= moment {
+                    if self.now() >= deadline {
                         return None;
                     }
                 }
-                _ = wakes.changed() => {}
+                _ = suspensions.changed() => {}
             }
         }
     }
