--- a/src/platform/host_settings.rs
+++ b/src/platform/host_settings.rs
@@ -117,9 +117,10 @@
     let doc: Doc = serde_saphyr::from_str(text)
         .map_err(|e| HostSettingsError::Syntax(e.to_string().into()))?;
     let mut problems = Vec::new();
-    let caller_address = address("listen.frontend", doc.listen.frontend.as_deref(), &mut problems);
+    let caller_address =
+        parse_address("listen.frontend", doc.listen.frontend.as_deref(), &mut problems);
     let readiness_address =
-        address("listen.readiness", doc.listen.readiness.as_deref(), &mut problems);
+        parse_address("listen.readiness", doc.listen.readiness.as_deref(), &mut problems);
     if doc.platform.address.is_none() {
         problems.push("platform.address is missing".into());
     }
@@ -151,7 +152,7 @@
     })
 }
 
-fn address(key: &str, value: Option<&str>, problems: &mut Vec<String>) -> Option<SocketAddr> {
+fn parse_address(key: &str, value: Option<&str>, problems: &mut Vec<String>) -> Option<SocketAddr> {
     let Some(text) = value else {
         problems.push(format!("{key} is missing"));
         return None;
--- a/src/platform/http_client.rs
+++ b/src/platform/http_client.rs
@@ -18,9 +18,9 @@
 /// Maximum time to connect: several round trips between regions.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Interval of TCP keepalive probes, which detect a dead peer during a long poll.
-const KEEPALIVE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Time after which a connection with unacknowledged data is closed.
-const USER_TIMEOUT: Duration = Duration::from_secs(2);
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A complete response.
 #[derive(Clone, Debug)]
@@ -58,10 +58,10 @@
         tcp.set_nodelay(true);
         tcp.enforce_http(false);
         tcp.set_connect_timeout(Some(CONNECT_TIMEOUT));
-        tcp.set_keepalive(Some(KEEPALIVE));
-        tcp.set_keepalive_interval(Some(KEEPALIVE));
+        tcp.set_keepalive(Some(KEEPALIVE_INTERVAL));
+        tcp.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
         tcp.set_keepalive_retries(Some(1));
-        tcp.set_tcp_user_timeout(Some(USER_TIMEOUT));
+        tcp.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
         let connector = HttpsConnectorBuilder::new()
             .with_tls_config(config)
             .https_or_http()
--- a/src/platform/request_headers.rs
+++ b/src/platform/request_headers.rs
@@ -12,14 +12,14 @@
 /// Milliseconds: from a caller the time it will wait, to a server the time that is left.
 const TIME_LEFT: &str = "x-deadline-ms";
 /// `prompt,answer` token counts; the second is the maximum length of the answer.
-const TOKENS: &str = "x-token-usage";
+const TOKEN_COUNTS: &str = "x-token-usage";
 /// Comma-separated `id:tokens` of the prompt parts; the platform's documentation calls it a prefix hash.
 const PROMPT_PARTS: &str = "x-prefix-hash";
 const MODEL: &str = "x-model";
 /// Model name that leaves the choice of the model to the router.
 const ANY_MODEL: &str = "*";
 const SESSION: &str = "session";
-const LAST_EVENT: &str = "last-event-id";
+const LAST_EVENT_ID: &str = "last-event-id";
 /// Id of the server instance that may run the request; any other rejects it.
 const EXPECTED_SERVER: &str = "x-expect-instance";
 const ORGANISATION: &str = "x-tenant";
@@ -38,7 +38,7 @@
 ];
 pub(super) const KEEP_ALIVE: &str = "keep-alive";
 /// Headers that only the router may send to a server; a caller's are removed.
-const OURS: [&str; 11] = [
+const ROUTER_ONLY: [&str; 11] = [
     EXPECTED_SERVER,
     ORGANISATION,
     PRIORITY,
@@ -57,10 +57,10 @@
 pub enum HeadError {
     /// Without an id, the response can't be matched to the request.
     #[error("the request has no id")]
-    NoId,
+    MissingId,
     /// Without a host, the request can't be routed.
     #[error("the request names no host")]
-    NoHost,
+    MissingHost,
     /// Both `Transfer-Encoding` and `Content-Length` are set: two parsers may disagree on where the body
     /// ends (request smuggling).
     #[error("the request has both Transfer-Encoding and Content-Length")]
@@ -81,12 +81,13 @@
     {
         return Err(HeadError::AmbiguousLength);
     }
-    let id = text(headers, REQUEST_ID).ok_or(HeadError::NoId)?;
-    let host = text(headers, "host").or_else(|| uri.host()).ok_or(HeadError::NoHost)?;
+    let id = header_text(headers, REQUEST_ID).ok_or(HeadError::MissingId)?;
+    let host = header_text(headers, "host").or_else(|| uri.host()).ok_or(HeadError::MissingHost)?;
     let host = host.split(':').next().unwrap_or(host);
-    let (prompt_tokens, max_answer_tokens) = text(headers, TOKENS).map_or((0, 0), read_tokens);
+    let (prompt_tokens, max_answer_tokens) =
+        header_text(headers, TOKEN_COUNTS).map_or((0, 0), parse_token_counts);
     let mut passed_on = without_hop_by_hop(headers);
-    for name in OURS {
+    for name in ROUTER_ONLY {
         passed_on.remove(name);
     }
     passed_on.remove(header::CONTENT_LENGTH);
@@ -96,23 +97,25 @@
         uri: uri.clone(),
         host: host.into(),
         id: id.into(),
-        api_key: text(headers, "authorization")
+        api_key: header_text(headers, "authorization")
             .and_then(|value| value.strip_prefix(AUTH_SCHEME))
             .map(|key| key.trim().into()),
-        caller_timeout: number(headers, TIME_LEFT).map(Duration::from_millis),
-        model: text(headers, MODEL).filter(|model| *model != ANY_MODEL).map(Into::into),
+        caller_timeout: header_number(headers, TIME_LEFT).map(Duration::from_millis),
+        model: header_text(headers, MODEL).filter(|model| *model != ANY_MODEL).map(Into::into),
         prompt_tokens,
         max_answer_tokens,
-        prompt_parts: text(headers, PROMPT_PARTS).map(read_parts).unwrap_or_default(),
-        session: text(headers, SESSION).map(Into::into),
-        last_event_id: number(headers, LAST_EVENT),
+        prompt_parts: header_text(headers, PROMPT_PARTS)
+            .map(parse_prompt_parts)
+            .unwrap_or_default(),
+        session: header_text(headers, SESSION).map(Into::into),
+        last_event_id: header_number(headers, LAST_EVENT_ID),
         headers: passed_on,
     })
 }
 
 /// Id of a request, for logs; also of one whose head can't be parsed.
 pub fn request_id(headers: &HeaderMap) -> Option<&str> {
-    text(headers, REQUEST_ID)
+    header_text(headers, REQUEST_ID)
 }
 
 /// Values that one attempt adds to the caller's headers.
@@ -149,39 +152,39 @@
     if let Some(model) = attempt.model {
         set(MODEL, model);
     }
-    if let Some(event) = attempt.last_event_id {
-        set(LAST_EVENT, &event.to_string());
+    if let Some(event_id) = attempt.last_event_id {
+        set(LAST_EVENT_ID, &event_id.to_string());
     }
     headers
 }
 
-pub(super) fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+pub(super) fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-pub(super) fn number(headers: &HeaderMap, name: &str) -> Option<u64> {
-    text(headers, name)?.trim().parse().ok()
+pub(super) fn header_number(headers: &HeaderMap, name: &str) -> Option<u64> {
+    header_text(headers, name)?.trim().parse().ok()
 }
 
 pub(super) fn without_hop_by_hop(headers: &HeaderMap) -> HeaderMap {
-    let mut kept = headers.clone();
+    let mut remaining = headers.clone();
     let named = headers.get_all(header::CONNECTION).iter().filter_map(|v| v.to_str().ok());
     for name in named.flat_map(|value| value.split(',')) {
-        kept.remove(name.trim());
+        remaining.remove(name.trim());
     }
     for name in &HOP_BY_HOP {
-        kept.remove(name);
+        remaining.remove(name);
     }
-    kept.remove(KEEP_ALIVE);
-    kept
+    remaining.remove(KEEP_ALIVE);
+    remaining
 }
 
-fn read_tokens(value: &str) -> (u64, u64) {
+fn parse_token_counts(value: &str) -> (u64, u64) {
     let mut numbers = value.split(',').map(|n| n.trim().parse().unwrap_or(0));
     (numbers.next().unwrap_or(0), numbers.next().unwrap_or(0))
 }
 
-fn read_parts(value: &str) -> Vec<PromptPart> {
+fn parse_prompt_parts(value: &str) -> Vec<PromptPart> {
     let part = |entry: &str| {
         let (id, tokens) = entry.trim().split_once(':')?;
         let id = u64::from_str_radix(id, 16).ok()?;
--- a/src/platform/response_headers.rs
+++ b/src/platform/response_headers.rs
@@ -5,7 +5,9 @@
 use http::{HeaderMap, HeaderName, StatusCode, header};
 
 use crate::{
-    platform::request_headers::{KEEP_ALIVE, REQUEST_ID, number, text, without_hop_by_hop},
+    platform::request_headers::{
+        KEEP_ALIVE, REQUEST_ID, header_number, header_text, without_hop_by_hop,
+    },
     policy::{load::ReportedLoad, rate_limit::AdvertisedLimit, retry_after::RetryAfter},
     routing::{ResponseHead, ResponseKind},
 };
@@ -13,22 +15,22 @@
 /// Signature of the server that sent the response.
 const SIGNATURE: &str = "x-instance-stamp";
 /// Present when the server did not run the request.
-const NOT_RUN: &str = "x-not-executed";
+const NOT_EXECUTED: &str = "x-not-executed";
 /// Load of the server: `running,waiting,slots`.
 const LOAD: &str = "x-instance-load";
 /// Requests per second, as a decimal number; sent only by a rate-limited server.
 const RATE_LIMIT: &str = "server-limit";
 /// Present with a value other than `0` while the server drains.
-const DRAINING: &str = "server-leaving";
+const LEAVING: &str = "server-leaving";
 const CONFIDENCE: &str = "x-confidence";
 
 /// Response headers that this adapter reads.
-const READ: [&str; 11] = [
+const READ_HEADERS: [&str; 11] = [
     SIGNATURE,
-    NOT_RUN,
+    NOT_EXECUTED,
     LOAD,
     RATE_LIMIT,
-    DRAINING,
+    LEAVING,
     CONFIDENCE,
     REQUEST_ID,
     "retry-after",
@@ -38,7 +40,7 @@
 ];
 /// Known response headers that are only passed on: they are meant for the caller or not needed here
 /// (docs/incidents/0013).
-const PASSED_ON: [&str; 18] = [
+const PASSED_ON_HEADERS: [&str; 18] = [
     "allow",
     "cache-control",
     "content-language",
@@ -66,29 +68,29 @@
     request_id: &str,
 ) -> ResponseHead {
     let closes_connection =
-        text(headers, "connection").is_some_and(|v| v.eq_ignore_ascii_case("close"));
+        header_text(headers, "connection").is_some_and(|v| v.eq_ignore_ascii_case("close"));
     ResponseHead {
-        kind: kind_of_answer(status, headers, request_id),
+        kind: classify_response(status, headers, request_id),
         status,
         headers: without_hop_by_hop(headers),
-        confidence: number(headers, CONFIDENCE).and_then(|value| u8::try_from(value).ok()),
-        load: text(headers, LOAD).and_then(read_load),
-        rate_limit: read_rate_limit(headers),
-        is_draining: headers.get_all(DRAINING).iter().any(|value| value != "0"),
-        retry_after: read_retry_after(headers),
-        unknown_headers: unread(headers),
+        confidence: header_number(headers, CONFIDENCE).and_then(|value| u8::try_from(value).ok()),
+        load: header_text(headers, LOAD).and_then(parse_load),
+        rate_limit: parse_rate_limit(headers),
+        is_draining: headers.get_all(LEAVING).iter().any(|value| value != "0"),
+        retry_after: parse_retry_after(headers),
+        unknown_headers: collect_unknown_headers(headers),
         closes_connection,
     }
 }
 
-fn kind_of_answer(status: StatusCode, headers: &HeaderMap, request_id: &str) -> ResponseKind {
-    if text(headers, REQUEST_ID).is_some_and(|id| id != request_id) {
+fn classify_response(status: StatusCode, headers: &HeaderMap, request_id: &str) -> ResponseKind {
+    if header_text(headers, REQUEST_ID).is_some_and(|id| id != request_id) {
         return ResponseKind::WrongRequest;
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
         return ResponseKind::WrongServer;
     }
-    if headers.contains_key(NOT_RUN) {
+    if headers.contains_key(NOT_EXECUTED) {
         return ResponseKind::NotRun;
     }
     if !headers.contains_key(SIGNATURE) || headers.contains_key(header::CONTENT_ENCODING) {
@@ -99,13 +101,13 @@
 
 /// Rate limit advertised by a response; the smallest if there are several, since the server accepts at
 /// least that.
-fn read_rate_limit(headers: &HeaderMap) -> AdvertisedLimit {
+fn parse_rate_limit(headers: &HeaderMap) -> AdvertisedLimit {
     let lines = headers.get_all(RATE_LIMIT).iter().map(|value| value.to_str().unwrap_or_default());
-    let said = lines.flat_map(|line| line.split(',')).map(AdvertisedLimit::read);
-    said.reduce(AdvertisedLimit::smaller).unwrap_or(AdvertisedLimit::Nothing)
+    let limits = lines.flat_map(|line| line.split(',')).map(AdvertisedLimit::read);
+    limits.reduce(AdvertisedLimit::smaller).unwrap_or(AdvertisedLimit::Nothing)
 }
 
-fn read_load(value: &str) -> Option<ReportedLoad> {
+fn parse_load(value: &str) -> Option<ReportedLoad> {
     let mut numbers = value.split(',').map(|n| n.trim().parse().ok());
     let running = numbers.next()??;
     let waiting = numbers.next()??;
@@ -114,7 +116,7 @@
 }
 
 /// Pause requested by a response; the longest if there are several.
-fn read_retry_after(headers: &HeaderMap) -> RetryAfter {
+fn parse_retry_after(headers: &HeaderMap) -> RetryAfter {
     let lines = headers.get_all(header::RETRY_AFTER).iter();
     let lines = lines.map(|value| value.to_str().unwrap_or_default());
     let pauses = lines.map(|line| RetryAfter::read(line, SystemTime::now()));
@@ -122,11 +124,11 @@
 }
 
 /// Headers that this adapter neither reads nor lists as passed on.
-fn unread(headers: &HeaderMap) -> Vec<HeaderName> {
+fn collect_unknown_headers(headers: &HeaderMap) -> Vec<HeaderName> {
     headers.keys().filter(|name| !is_known_header(name.as_str())).cloned().collect()
 }
 
 /// Whether a response header is read here or known to be passed on only.
 pub fn is_known_header(name: &str) -> bool {
-    READ.contains(&name) || PASSED_ON.contains(&name)
+    READ_HEADERS.contains(&name) || PASSED_ON_HEADERS.contains(&name)
 }
--- a/tests/platform/adapter.rs
+++ b/tests/platform/adapter.rs
@@ -116,8 +116,8 @@
         ("transfer-encoding", "chunked"),
     ];
     assert_eq!(get(&both).unwrap_err(), HeadError::AmbiguousLength);
-    assert_eq!(get(&[("host", "h")]).unwrap_err(), HeadError::NoId);
-    assert_eq!(get(&[("x-request-id", "r")]).unwrap_err(), HeadError::NoHost);
+    assert_eq!(get(&[("host", "h")]).unwrap_err(), HeadError::MissingId);
+    assert_eq!(get(&[("x-request-id", "r")]).unwrap_err(), HeadError::MissingHost);
 }
 
 #[test]
