--- a/src/platform/documents.rs
+++ b/src/platform/documents.rs
@@ -18,7 +18,7 @@
     },
 };
 
-const CONFIGURATION: &str = "config";
+const CONFIG_KEY: &str = "config";
 const ROLL_OUT_PREFIX: &str = "rollout/";
 /// Prefix of the keys of evacuation orders; the rest of the key names the AvailabilityZone.
 const EVACUATION_PREFIX: &str = "evacuate/";
@@ -69,7 +69,7 @@
 const MAX_COLD_MS: f64 = 3_600_000.0;
 
 impl ServiceDoc {
-    fn cold(&self) -> Option<ColdTerms> {
+    fn cold_terms(&self) -> Option<ColdTerms> {
         let lasts = milliseconds((self.cold_start_s * 1e3).min(MAX_COLD_MS));
         (self.cold_per_s > 0.0).then_some(ColdTerms { sends_per_second: self.cold_per_s, lasts })
     }
@@ -227,7 +227,7 @@
         return Ok(None);
     }
     let doc: ConfigDoc = parse(row)?;
-    Ok(Some(OperatorChange::Configuration(Box::new(read_config(doc)))))
+    Ok(Some(OperatorChange::Configuration(Box::new(build_routing_table(doc)))))
 }
 
 /// Kind of an operator's row, the first segment of its key, if this adapter doesn't know it.
@@ -240,7 +240,7 @@
 
 /// Whether this is the key of the operator's configuration.
 pub fn is_config_key(key: &str) -> bool {
-    key == CONFIGURATION
+    key == CONFIG_KEY
 }
 
 /// AvailabilityZone that the operator's row with this key evacuates.
@@ -320,29 +320,29 @@
     Error::Unreadable(format!("{table:?} row {}: {e}", row.key).into())
 }
 
-fn read_config(doc: ConfigDoc) -> RoutingTable {
+fn build_routing_table(doc: ConfigDoc) -> RoutingTable {
     let mut routes: HashMap<Box<str>, Vec<Arc<Route>>> = HashMap::new();
     for route in doc.routes {
         let host = route.host.clone();
-        routes.entry(host).or_default().push(Arc::new(read_route(route)));
+        routes.entry(host).or_default().push(Arc::new(build_route(route)));
     }
-    for of_host in routes.values_mut() {
-        of_host.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
+    for routes_of_host in routes.values_mut() {
+        routes_of_host.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
     }
     let cold_starts =
-        doc.services.iter().filter_map(|s| Some((s.name.clone(), s.cold()?))).collect();
-    let memory = |service: ServiceDoc| Some((service.name, service.engine?.kv_capacity?));
+        doc.services.iter().filter_map(|s| Some((s.name.clone(), s.cold_terms()?))).collect();
+    let kv_cache = |service: ServiceDoc| Some((service.name, service.engine?.kv_capacity?));
     RoutingTable {
         version: doc.version,
         routes,
-        kv_cache_tokens: doc.services.into_iter().filter_map(memory).collect(),
+        kv_cache_tokens: doc.services.into_iter().filter_map(kv_cache).collect(),
         cold_starts,
-        organisations_by_key: doc.tenants.map(read_keys),
-        limits: doc.limits.as_ref().map(read_limits),
+        organisations_by_key: doc.tenants.map(index_organisations),
+        limits: doc.limits.as_ref().map(build_limits),
     }
 }
 
-fn read_route(doc: RouteDoc) -> Route {
+fn build_route(doc: RouteDoc) -> Route {
     let mut targets: Vec<Target> =
         doc.split.into_iter().map(|s| Target { service: s.service, weight: s.weight }).collect();
     if let Some(service) = doc.service {
@@ -372,7 +372,7 @@
     }
 }
 
-fn read_keys(docs: Vec<OrganisationDoc>) -> HashMap<Box<str>, Arc<Organisation>> {
+fn index_organisations(docs: Vec<OrganisationDoc>) -> HashMap<Box<str>, Arc<Organisation>> {
     let mut keys = HashMap::new();
     for doc in docs {
         let organisation = Arc::new(Organisation {
@@ -387,7 +387,7 @@
     keys
 }
 
-fn read_limits(doc: &LimitsDoc) -> CallerLimits {
+fn build_limits(doc: &LimitsDoc) -> CallerLimits {
     CallerLimits {
         header_bytes: doc.max_header_bytes,
         body_bytes: doc.max_body_bytes,
--- a/src/platform/hosts.rs
+++ b/src/platform/hosts.rs
@@ -18,12 +18,12 @@
 
 use crate::{
     ids::ServerId,
-    platform::{Error, HttpClient, HttpReply, Reply, Result, http_client::check_status},
+    platform::{Error, HttpClient, HttpReply, ReplyFuture, Result, http_client::check_status},
 };
 
 const TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum size of the decompressed list in bytes.
-const MAX_LIST: u64 = 64 << 20;
+const MAX_LIST_BYTES: u64 = 64 << 20;
 
 /// Whether a Host stays in service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -67,7 +67,7 @@
 /// Client of the service that lists the Hosts.
 #[derive(Clone)]
 pub struct HostsClient {
-    send: Arc<dyn Fn() -> Reply<Option<Vec<Host>>> + Send + Sync>,
+    send: Arc<dyn Fn() -> ReplyFuture<Option<Vec<Host>>> + Send + Sync>,
 }
 
 impl fmt::Debug for HostsClient {
@@ -78,7 +78,7 @@
 
 impl HostsClient {
     /// Creates a client whose calls go through `send`; tests pass a fake.
-    pub fn new(send: impl Fn() -> Reply<Option<Vec<Host>>> + Send + Sync + 'static) -> Self {
+    pub fn new(send: impl Fn() -> ReplyFuture<Option<Vec<Host>>> + Send + Sync + 'static) -> Self {
         Self { send: Arc::new(send) }
     }
 
@@ -86,8 +86,8 @@
     /// in `docs/CAPACITY.md` loading the full list on each poll would take a hundred times a node's budget.
     pub fn over_http(http: HttpClient, base: &str) -> Self {
         let uri: Arc<str> = format!("{base}/v1/hosts").into();
-        let tag: Arc<Mutex<Option<HeaderValue>>> = Arc::default();
-        Self::new(move || Box::pin(fetch(http.clone(), uri.clone(), tag.clone())))
+        let etag: Arc<Mutex<Option<HeaderValue>>> = Arc::default();
+        Self::new(move || Box::pin(fetch(http.clone(), uri.clone(), etag.clone())))
     }
 
     /// Reads the list; `None` if it has not changed since the last call.
@@ -102,32 +102,33 @@
 async fn fetch(
     http: HttpClient,
     uri: Arc<str>,
-    tag: Arc<Mutex<Option<HeaderValue>>>,
+    etag: Arc<Mutex<Option<HeaderValue>>>,
 ) -> Result<Option<Vec<Host>>> {
     let mut headers = HeaderMap::new();
     headers.insert(ACCEPT_ENCODING, HeaderValue::from_static("gzip"));
-    if let Some(tag) = tag.lock().expect("no code panics while holding this lock").clone() {
-        headers.insert(IF_NONE_MATCH, tag);
+    if let Some(etag) = etag.lock().expect("no code panics while holding this lock").clone() {
+        headers.insert(IF_NONE_MATCH, etag);
     }
     let reply = http.call(Method::GET, &uri, headers, Bytes::new(), TIMEOUT).await?;
     if reply.status == StatusCode::NOT_MODIFIED {
         return Ok(None);
     }
     check_status(&uri, &reply)?;
-    let body = unpack(&reply)?;
+    let body = decompress(&reply)?;
     let hosts = serde_json::from_slice(&body)
         .map_err(|e| Error::Unreadable(format!("{uri}: {e}").into()))?;
-    *tag.lock().expect("no code panics while holding this lock") = reply.headers.get(ETAG).cloned();
+    *etag.lock().expect("no code panics while holding this lock") =
+        reply.headers.get(ETAG).cloned();
     Ok(Some(hosts))
 }
 
-fn unpack(reply: &HttpReply) -> Result<Vec<u8>> {
+fn decompress(reply: &HttpReply) -> Result<Vec<u8>> {
     if reply.headers.get(CONTENT_ENCODING).is_none_or(|coding| coding != "gzip") {
         return Ok(reply.body.to_vec());
     }
     let mut body = Vec::new();
     GzDecoder::new(&*reply.body)
-        .take(MAX_LIST)
+        .take(MAX_LIST_BYTES)
         .read_to_end(&mut body)
         .map_err(|e| Error::Unreadable(format!("gzip: {e}").into()))?;
     Ok(body)
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -32,4 +32,4 @@
 use std::{future::Future, pin::Pin};
 
 /// Future returned by a client's closure.
-pub type Reply<T> = Pin<Box<dyn Future<Output = Result<T>> + Send>>;
+pub type ReplyFuture<T> = Pin<Box<dyn Future<Output = Result<T>> + Send>>;
--- a/src/platform/objects.rs
+++ b/src/platform/objects.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{HeaderMap, Method, StatusCode};
 
-use crate::platform::{Error, HttpClient, Reply, Result, http_client::check_status};
+use crate::platform::{Error, HttpClient, ReplyFuture, Result, http_client::check_status};
 
 const TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -36,7 +36,7 @@
 /// Client of the object store.
 #[derive(Clone)]
 pub struct ObjectsClient {
-    send: Arc<dyn Fn(ObjectRequest) -> Reply<ObjectReply> + Send + Sync>,
+    send: Arc<dyn Fn(ObjectRequest) -> ReplyFuture<ObjectReply> + Send + Sync>,
 }
 
 impl fmt::Debug for ObjectsClient {
@@ -47,7 +47,9 @@
 
 impl ObjectsClient {
     /// Creates a client whose calls go through `send`; tests pass a fake.
-    pub fn new(send: impl Fn(ObjectRequest) -> Reply<ObjectReply> + Send + Sync + 'static) -> Self {
+    pub fn new(
+        send: impl Fn(ObjectRequest) -> ReplyFuture<ObjectReply> + Send + Sync + 'static,
+    ) -> Self {
         Self { send: Arc::new(send) }
     }
 
--- a/src/platform/ratings.rs
+++ b/src/platform/ratings.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     ids::VersionId,
-    platform::{HttpClient, Reply, Result},
+    platform::{HttpClient, ReplyFuture, Result},
 };
 
 const TIMEOUT: Duration = Duration::from_millis(500);
@@ -33,7 +33,7 @@
 /// Client of the rating service.
 #[derive(Clone)]
 pub struct RatingsClient {
-    send: Arc<dyn Fn(RatingRequest) -> Reply<f64> + Send + Sync>,
+    send: Arc<dyn Fn(RatingRequest) -> ReplyFuture<f64> + Send + Sync>,
 }
 
 impl fmt::Debug for RatingsClient {
@@ -44,7 +44,7 @@
 
 impl RatingsClient {
     /// Creates a client whose calls go through `send`; tests pass a fake.
-    pub fn new(send: impl Fn(RatingRequest) -> Reply<f64> + Send + Sync + 'static) -> Self {
+    pub fn new(send: impl Fn(RatingRequest) -> ReplyFuture<f64> + Send + Sync + 'static) -> Self {
         Self { send: Arc::new(send) }
     }
 
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -175,7 +175,7 @@
 }
 
 /// Response header that increases by one with each restore of the store; part of all responses.
-const ERA: &str = "store-era";
+const ERA_HEADER: &str = "store-era";
 
 /// Timeout of a read or write; the store takes 4 ms, and 60 times as long when it is slow.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -206,8 +206,8 @@
         loop {
             let path = format!("rows-get?table={}&part=&from={from}", table.name());
             let reply = self.get(&path, CALL_TIMEOUT).await?;
-            let doc = read_rows(&path, &reply)?;
-            let era = read_era(&reply);
+            let doc = parse_rows(&path, &reply)?;
+            let era = parse_era(&reply);
             if from.is_empty() {
                 // Later pages may be newer; the feed then repeats those changes.
                 all.version = StoreVersion { era, revision: doc.ver };
@@ -219,7 +219,7 @@
                 ));
             }
             let more = doc.truncated;
-            all.rows.extend(doc.rows.into_iter().map(|row| read_row(row, era)));
+            all.rows.extend(doc.rows.into_iter().map(|row| decode_row(row, era)));
             let Some(last) = all.rows.last().filter(|_| more) else {
                 return Ok(all);
             };
@@ -247,13 +247,13 @@
         if reply.status == StatusCode::GONE {
             return Ok(FeedReply::ResyncRequired);
         }
-        let doc = read_rows(&path, &reply)?;
-        if read_era(&reply) != era {
+        let doc = parse_rows(&path, &reply)?;
+        if parse_era(&reply) != era {
             // After the restore, other writers reused the revisions that are known here, so these changes
             // don't continue from them.
             return Ok(FeedReply::ResyncRequired);
         }
-        let rows = doc.rows.into_iter().map(|row| read_row(row, era)).collect();
+        let rows = doc.rows.into_iter().map(|row| decode_row(row, era)).collect();
         let version = StoreVersion { era, revision: doc.ver.max(after) };
         let now = Duration::from_secs_f64(doc.now_ms / 1e3);
         Ok(FeedReply::Changes(Rows { rows, version, now }))
@@ -293,8 +293,8 @@
         if reply.status == StatusCode::PRECONDITION_FAILED {
             return Ok(WriteOutcome::Conflict);
         }
-        let version = read_rows("rows-tx", &reply)?.ver;
-        Ok(if read_era(&reply) == era {
+        let version = parse_rows("rows-tx", &reply)?.ver;
+        Ok(if parse_era(&reply) == era {
             WriteOutcome::Written(version)
         } else {
             WriteOutcome::EraMismatch
@@ -307,25 +307,25 @@
     }
 }
 
-fn read_rows(path: &str, reply: &HttpReply) -> Result<RowsDoc> {
+fn parse_rows(path: &str, reply: &HttpReply) -> Result<RowsDoc> {
     super::http_client::check_status(path, reply)?;
-    parse(path, reply)
+    parse_body(path, reply)
 }
 
-fn parse(path: &str, reply: &HttpReply) -> Result<RowsDoc> {
+fn parse_body(path: &str, reply: &HttpReply) -> Result<RowsDoc> {
     serde_json::from_slice(&reply.body)
         .map_err(|e| Error::Unreadable(format!("{path}: {e}").into()))
 }
 
 /// Era reported by a response; 0 if it reports none.
-fn read_era(reply: &HttpReply) -> Era {
-    let reported = reply.headers.get(ERA).and_then(|value| value.to_str().ok());
+fn parse_era(reply: &HttpReply) -> Era {
+    let reported = reply.headers.get(ERA_HEADER).and_then(|value| value.to_str().ok());
     reported.and_then(|text| text.trim().parse().ok()).unwrap_or_default()
 }
 
 /// Converts a row. If its bytes can't be decoded, its document is empty: parsing that document then
 /// reports an error, and the other rows of the table stay usable.
-fn read_row(doc: RowDoc, era: Era) -> Row {
+fn decode_row(doc: RowDoc, era: Era) -> Row {
     let value = doc.value.as_str().and_then(|text| STANDARD.decode(text).ok()).unwrap_or_default();
     Row { table: doc.table, key: doc.key, value, version: doc.ver, era, is_removed: doc.removed }
 }
--- a/src/platform/table.rs
+++ b/src/platform/table.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use tokio::time::Instant;
 
-use crate::platform::{Error, HttpClient, Reply, Result};
+use crate::platform::{Error, HttpClient, ReplyFuture, Result};
 
 const TIMEOUT: Duration = Duration::from_secs(2);
 const MAX_READ_ATTEMPTS: usize = 4;
@@ -135,7 +135,7 @@
 /// Client of the table service.
 #[derive(Clone)]
 pub struct TableClient {
-    send: Arc<dyn Fn(TableRequest) -> Reply<TableReply> + Send + Sync>,
+    send: Arc<dyn Fn(TableRequest) -> ReplyFuture<TableReply> + Send + Sync>,
 }
 
 impl fmt::Debug for TableClient {
@@ -146,7 +146,9 @@
 
 impl TableClient {
     /// Creates a client whose calls go through `send`; tests pass a fake.
-    pub fn new(send: impl Fn(TableRequest) -> Reply<TableReply> + Send + Sync + 'static) -> Self {
+    pub fn new(
+        send: impl Fn(TableRequest) -> ReplyFuture<TableReply> + Send + Sync + 'static,
+    ) -> Self {
         Self { send: Arc::new(send) }
     }
 
@@ -177,10 +179,10 @@
 
     /// Sends a read and retries it when the reply is lost, which is safe since reads have no effect.
     async fn read(&self, req: TableRequest) -> Result<TableReply> {
-        let began = Instant::now();
+        let started = Instant::now();
         for _ in 1..MAX_READ_ATTEMPTS {
             match (self.send)(req.clone()).await {
-                Err(Error::Unknown(_)) if began.elapsed() < READ_RETRY_WINDOW => {}
+                Err(Error::Unknown(_)) if started.elapsed() < READ_RETRY_WINDOW => {}
                 res => return res,
             }
         }
