--- a/src/control/config.rs
+++ b/src/control/config.rs
@@ -16,7 +16,7 @@
 
 /// Key of the row that holds the newest revision.
 pub const HEAD_KEY: &str = "head/config";
-const PAGE: usize = 500;
+const PAGE_SIZE: usize = 500;
 
 /// Key of a change's row. The revision is zero-padded, so that keys sort by revision.
 pub fn change_key(revision: Revision) -> Box<str> {
@@ -146,15 +146,16 @@
     ) -> Result<()> {
         loop {
             let after = change_key(held);
-            let rows = health.track("config_changes", table.list("changes/", &after, PAGE)).await?;
+            let rows =
+                health.track("config_changes", table.list("changes/", &after, PAGE_SIZE)).await?;
             let changes = rows.iter().map(|row| row.parse()).collect::<Result<Vec<Change>>>()?;
             let Some(first) = changes.first() else {
                 return Ok(());
             };
             if first.revision != held + 1 {
-                return self.read_all(table, health).await;
+                return self.read_all_objects(table, health).await;
             }
-            let full_page = changes.len() == PAGE;
+            let full_page = changes.len() == PAGE_SIZE;
             self.apply(ConfigUpdate::Delta(changes));
             held = self.revision();
             if !full_page {
@@ -165,25 +166,25 @@
 
     /// Reads all objects and applies them if the newest revision did not change meanwhile, since otherwise
     /// they may be inconsistent.
-    async fn read_all(&self, table: &TableClient, health: &StoreHealth) -> Result<()> {
+    async fn read_all_objects(&self, table: &TableClient, health: &StoreHealth) -> Result<()> {
         let Some(before) = health.track("config_head", table.get(HEAD_KEY)).await? else {
             return Ok(());
         };
         let mut objects = Vec::new();
         let mut after: Box<str> = Box::default();
         loop {
-            let page = table.list("objects/", &after, PAGE);
+            let page = table.list("objects/", &after, PAGE_SIZE);
             let rows = health.track("config_objects", page).await?;
             for row in &rows {
                 objects.push(row.parse()?);
             }
             match rows.last() {
-                Some(row) if rows.len() == PAGE => after = row.key.clone(),
+                Some(row) if rows.len() == PAGE_SIZE => after = row.key.clone(),
                 _ => break,
             }
         }
-        let unmoved = health.track("config_head", table.get(HEAD_KEY)).await?;
-        if unmoved.is_some_and(|row| row.version == before.version) {
+        let current = health.track("config_head", table.get(HEAD_KEY)).await?;
+        if current.is_some_and(|row| row.version == before.version) {
             self.apply(ConfigUpdate::Full { revision: before.parse()?, objects });
         }
         Ok(())
--- a/src/control/lease.rs
+++ b/src/control/lease.rs
@@ -88,13 +88,13 @@
             return Ok(());
         };
         let held_before = self.permit().is_some();
-        let sent = self.now();
+        let sent_at = self.now();
         let tx = Transaction::default().check(self.key(), expected).put(self.key(), &row);
         match health.track("lease_write", table.transact(tx)).await {
             Ok(Ok(version)) => {
                 let fencing = row.fencing;
                 self.version = version;
-                self.view.committed(row, version, sent, self.terms);
+                self.view.committed(row, version, sent_at, self.terms);
                 if !held_before {
                     event::LEASE_TAKEN.log(format_args!("lease={} fencing={fencing}", self.name));
                 }
--- a/src/control/membership.rs
+++ b/src/control/membership.rs
@@ -31,9 +31,9 @@
     // Each round adds up to one link per pool, so that versions on few engines are not crowded out.
     for wanted in 1..=MIN_LINKS_PER_POOL {
         for (host, versions) in agents.iter().zip(&pools) {
-            let lacks = versions.iter().any(|v| links.get(v).copied().unwrap_or(0) < wanted);
+            let needs_link = versions.iter().any(|v| links.get(v).copied().unwrap_or(0) < wanted);
             let is_service = versions.is_empty();
-            if chosen.len() < max_links && (lacks || is_service) && chosen.insert(&host.name) {
+            if chosen.len() < max_links && (needs_link || is_service) && chosen.insert(&host.name) {
                 for version in versions {
                     *links.entry(version).or_default() += 1;
                 }
@@ -53,19 +53,19 @@
 /// live entries.
 ///
 /// An entry that is missing from the list can't coordinate with the others and performs the task itself.
-pub fn is_assigned(me: &Host, hosts: &[Host], duty: &str, sharers: usize, scope: Scope) -> bool {
-    let rank = |host: &Host| xxh3_64(format!("{duty}|{}", host.name).as_bytes());
-    let shares = |host: &&Host| {
+pub fn is_assigned(me: &Host, hosts: &[Host], task: &str, sharers: usize, scope: Scope) -> bool {
+    let rank = |host: &Host| xxh3_64(format!("{task}|{}", host.name).as_bytes());
+    let is_candidate = |host: &&Host| {
         host.role == Role::Entry
             && host.state == HostState::Live
             && (scope == Scope::Global || (host.region == me.region && host.zone == me.zone))
     };
-    let live: Vec<&Host> = hosts.iter().filter(shares).collect();
+    let live: Vec<&Host> = hosts.iter().filter(is_candidate).collect();
     if !live.iter().any(|host| host.name == me.name) {
         return true;
     }
-    let mine = rank(me);
-    live.iter().filter(|host| rank(host) > mine).count() < sharers
+    let my_rank = rank(me);
+    live.iter().filter(|host| rank(host) > my_rank).count() < sharers
 }
 
 /// Agent that writes rows on behalf of the entries in `me`'s region.
--- a/src/control/pull.rs
+++ b/src/control/pull.rs
@@ -6,27 +6,27 @@
 };
 
 /// Time after which an unanswered pull no longer blocks the next one.
-const PATIENCE: Duration = Duration::from_millis(500);
+const PULL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Slot for the outstanding pull of a process.
 #[derive(Debug, Default)]
 pub struct PullSlot {
-    asked: Mutex<Option<Instant>>,
+    asked_at: Mutex<Option<Instant>>,
 }
 
 impl PullSlot {
     /// Occupies the slot; returns false if a recent pull is still outstanding.
     pub fn try_acquire(&self) -> bool {
-        let mut asked = self.asked.lock().expect("no code panics while holding this lock");
-        if asked.is_some_and(|since| since.elapsed() < PATIENCE) {
+        let mut asked_at = self.asked_at.lock().expect("no code panics while holding this lock");
+        if asked_at.is_some_and(|since| since.elapsed() < PULL_TIMEOUT) {
             return false;
         }
-        *asked = Some(Instant::now());
+        *asked_at = Some(Instant::now());
         true
     }
 
     /// Frees the slot after a response has arrived.
     pub fn release(&self) {
-        *self.asked.lock().expect("no code panics while holding this lock") = None;
+        *self.asked_at.lock().expect("no code panics while holding this lock") = None;
     }
 }
--- a/src/control/store_health.rs
+++ b/src/control/store_health.rs
@@ -20,14 +20,14 @@
 /// Reachability of the store from one process; clones share their state.
 #[derive(Clone, Debug)]
 pub struct StoreHealth {
-    down_since: Arc<Mutex<Option<Instant>>>,
+    failing_since: Arc<Mutex<Option<Instant>>>,
     metrics: Metrics,
 }
 
 impl StoreHealth {
     /// Creates a tracker that considers the store reachable.
     pub fn new(metrics: Metrics) -> Self {
-        Self { down_since: Arc::default(), metrics }
+        Self { failing_since: Arc::default(), metrics }
     }
 
     /// Whether the most recent call failed.
@@ -41,7 +41,7 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Option<Instant>> {
-        self.down_since.lock().expect("no code panics while holding this lock")
+        self.failing_since.lock().expect("no code panics while holding this lock")
     }
 
     /// Awaits a call, counts it in the metrics and records whether it succeeded.
@@ -53,9 +53,9 @@
         let res = call.await;
         if let Err(e) = &res {
             self.metrics.count_store_error(cause);
-            let was_down = self.last_call_failed();
+            let was_failing = self.last_call_failed();
             self.lock().get_or_insert_with(Instant::now);
-            if !was_down {
+            if !was_failing {
                 event::STORE_UNREACHABLE.log(format_args!("cause={cause} problem={e}"));
             }
             return res;
--- a/src/routing/fingerprint.rs
+++ b/src/routing/fingerprint.rs
@@ -5,7 +5,7 @@
 use crate::routing::{Organisation, Request};
 
 /// Length of a fingerprint in bytes.
-const LENGTH: usize = 16;
+const LENGTH_BYTES: usize = 16;
 
 /// Hash of a request's method, host, path, query, Organisation and body; equal for all repetitions of the
 /// same work and for nothing else.
@@ -29,9 +29,9 @@
             hash.update(text);
         }
         hash.update(&req.body);
-        let mut cut = [0; LENGTH];
-        cut.copy_from_slice(&hash.finalize()[..LENGTH]);
-        Self(u128::from_be_bytes(cut))
+        let mut truncated = [0; LENGTH_BYTES];
+        truncated.copy_from_slice(&hash.finalize()[..LENGTH_BYTES]);
+        Self(u128::from_be_bytes(truncated))
     }
 }
 
--- a/src/routing/request.rs
+++ b/src/routing/request.rs
@@ -53,8 +53,8 @@
 
     /// Last part of the prompt's longest prefix that other requests may share.
     pub fn last_shared_part(&self) -> Option<&PromptPart> {
-        let shared = self.prompt_parts.len().checked_sub(2)?;
-        self.prompt_parts.get(shared)
+        let index = self.prompt_parts.len().checked_sub(2)?;
+        self.prompt_parts.get(index)
     }
 }
 
--- a/src/routing/table.rs
+++ b/src/routing/table.rs
@@ -70,11 +70,13 @@
 ) -> bool {
     let of_organisation =
         organisation.map_or(&[][..], |organisation| &organisation.permitted_regions);
-    let mut binding = [&route.permitted_regions[..], of_organisation]
+    let mut restrictions = [&route.permitted_regions[..], of_organisation]
         .into_iter()
-        .filter(|homes| !homes.is_empty());
-    let holds = |homes: &[Region]| region.is_some_and(|r| homes.iter().any(|home| **home == *r));
-    binding.all(holds)
+        .filter(|regions| !regions.is_empty());
+    let permits = |regions: &[Region]| {
+        region.is_some_and(|r| regions.iter().any(|permitted| **permitted == *r))
+    };
+    restrictions.all(permits)
 }
 
 impl Route {
