--- a/src/clock.rs
+++ b/src/clock.rs
@@ -20,8 +20,8 @@
 use rustix::time::{ClockId, clock_gettime};
 use tokio::{sync::watch, time::sleep};
 
-/// Difference between the two clocks above which the Host counts as suspended. They are read one after the
-/// other, and a process preempted in between sees a difference of some milliseconds.
+/// Least difference between boot time and monotonic time that counts as a suspension. The two clocks are
+/// read one after the other, and a process preempted in between sees a difference of some milliseconds.
 const MIN_SUSPENSION: Duration = Duration::from_millis(150);
 
 /// Time since the Host booted, including suspended time.
@@ -30,7 +30,7 @@
     Duration::new(now.tv_sec as u64, now.tv_nsec as u32)
 }
 
-/// Readings of both clocks at the last comparison.
+/// Readings of the monotonic and the boot-time clock, taken together.
 #[derive(Clone, Copy, Debug)]
 struct ClockReadings {
     monotonic: Instant,
--- a/src/control/config.rs
+++ b/src/control/config.rs
@@ -138,6 +138,8 @@
         Ok(())
     }
 
+    /// Applies the changes after revision `held`; reads all objects if some of these changes are no longer
+    /// stored.
     async fn catch_up(
         &self,
         table: &TableClient,
--- a/src/control/pull.rs
+++ b/src/control/pull.rs
@@ -8,7 +8,7 @@
 /// Time after which an unanswered pull no longer blocks the next one.
 const PULL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Slot for the outstanding pull of a process.
+/// Slot for the single outstanding pull of a process.
 #[derive(Debug, Default)]
 pub struct PullSlot {
     asked_at: Mutex<Option<Instant>>,
--- a/src/control/store_health.rs
+++ b/src/control/store_health.rs
@@ -1,4 +1,4 @@
-//! Tracks whether the platform's store is reachable from this process.
+//! Tracks whether the platform's table and object services answer this process.
 
 use std::{
     future::Future,
@@ -13,11 +13,11 @@
     telemetry::{Metrics, event},
 };
 
-/// Time without a successful call after which the store counts as unavailable; a shorter failure may just
-/// be a lost reply.
+/// Time since the first of a series of failed calls after which the services count as unavailable; shorter
+/// failures may just be lost replies.
 const OUTAGE_AFTER: Duration = Duration::from_secs(2);
 
-/// Reachability of the store from one process; clones share their state.
+/// Outcome of one process's recent calls to the table and object services; clones share their state.
 #[derive(Clone, Debug)]
 pub struct StoreHealth {
     failing_since: Arc<Mutex<Option<Instant>>>,
@@ -25,7 +25,7 @@
 }
 
 impl StoreHealth {
-    /// Creates a tracker that considers the store reachable.
+    /// Creates a tracker that assumes that the services are available.
     pub fn new(metrics: Metrics) -> Self {
         Self { failing_since: Arc::default(), metrics }
     }
@@ -35,7 +35,7 @@
         self.lock().is_some()
     }
 
-    /// Whether calls have been failing for at least two seconds.
+    /// Whether all calls have failed for at least two seconds.
     pub fn is_unavailable(&self) -> bool {
         self.lock().is_some_and(|since| since.elapsed() >= OUTAGE_AFTER)
     }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -2,6 +2,9 @@
 //!
 //! The clients of the table, object, rating and host services wrap a closure, so that tests can pass fakes
 //! and a site can plug in its own services. `docs/PLATFORM.md` specifies the interfaces.
+//!
+//! [`crate::entry`] and [`crate::agent`] use these four clients. [`crate::router`] uses the [`store`] with its
+//! [`documents`], the [`host_settings`] and the header modules instead.
 
 pub mod documents;
 mod engine;
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -18,7 +18,7 @@
     /// Written by the operator: configuration, roll-outs and evacuations.
     #[serde(rename = "op")]
     Orders,
-    /// BackendServers that are running.
+    /// Written by the BackendServers: one row for each that is running.
     #[serde(rename = "servers")]
     Servers,
     /// Written by this system: reports to the operator.
