--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -120,7 +120,7 @@
         version: "v1".into(),
         slots: 32,
         is_draining: false,
-        cold_for: Duration::ZERO,
+        remaining_cold_time: Duration::ZERO,
         sequence: 1,
         written_at: mintmoor::ids::StoreVersion::default(),
         models: vec!["small".into(), "large".into()],
--- a/src/bin/mintmoor/remote.rs
+++ b/src/bin/mintmoor/remote.rs
@@ -97,7 +97,7 @@
     for certificate in CertificateDer::pem_file_iter(&file)? {
         roots.add(certificate?)?;
     }
-    Ok(HttpClient::trusting(roots))
+    Ok(HttpClient::with_root_certificates(roots))
 }
 
 /// `get`
--- a/src/platform/documents.rs
+++ b/src/platform/documents.rs
@@ -269,7 +269,7 @@
         version: doc.version,
         slots: doc.slots.get(),
         is_draining: doc.state == StateDoc::Draining,
-        cold_for: milliseconds(doc.cold_remaining_ms.min(MAX_COLD_MS)),
+        remaining_cold_time: milliseconds(doc.cold_remaining_ms.min(MAX_COLD_MS)),
         sequence: doc.sequence,
         written_at: row.written_at(),
         models: doc.models.into_iter().map(|model| model.name).collect(),
--- a/src/platform/http_client.rs
+++ b/src/platform/http_client.rs
@@ -41,13 +41,13 @@
 
 impl Default for HttpClient {
     fn default() -> Self {
-        Self::trusting(RootCertStore::empty())
+        Self::with_root_certificates(RootCertStore::empty())
     }
 }
 
 impl HttpClient {
     /// Creates a client that trusts server certificates issued under `roots`.
-    pub fn trusting(roots: RootCertStore) -> Self {
+    pub fn with_root_certificates(roots: RootCertStore) -> Self {
         let provider = Arc::new(ring::default_provider());
         let config = ClientConfig::builder_with_provider(provider)
             .with_safe_default_protocol_versions()
--- a/src/router/member.rs
+++ b/src/router/member.rs
@@ -118,7 +118,7 @@
         let id_hash = hash_id(&server.id);
         // Nobody knows since when.
         let draining_since = server.is_draining.then_some(Duration::ZERO);
-        let cold_until = now + server.cold_for;
+        let cold_until = now + server.remaining_cold_time;
         Self { server, id_hash, waits_until, cold_until, draining_since, life: Arc::default() }
     }
 
@@ -131,7 +131,7 @@
         Self {
             id_hash: self.id_hash,
             waits_until: self.waits_until,
-            cold_until: now + server.cold_for,
+            cold_until: now + server.remaining_cold_time,
             draining_since: server.is_draining.then_some(since),
             life: self.life.clone(),
             server,
--- a/src/routing/backend_server.rs
+++ b/src/routing/backend_server.rs
@@ -30,7 +30,7 @@
     /// Whether its row marks it as draining.
     pub is_draining: bool,
     /// Remaining cold time when the row was written.
-    pub cold_for: Duration,
+    pub remaining_cold_time: Duration,
     /// Counter that the server increases with what it writes or accepts; orders the rows of one process.
     pub sequence: u64,
     /// Store version of its row, which distinguishes rows with equal content.
--- a/tests/platform/rows.rs
+++ b/tests/platform/rows.rs
@@ -179,6 +179,6 @@
 
         let server = read(&row).unwrap();
 
-        assert!(server.cold_for <= std::time::Duration::from_secs(3_600));
+        assert!(server.remaining_cold_time <= std::time::Duration::from_secs(3_600));
     }
 }
--- a/tests/platform/sessions.rs
+++ b/tests/platform/sessions.rs
@@ -96,7 +96,7 @@
         version: version.into(),
         slots: 8,
         is_draining: false,
-        cold_for: Duration::ZERO,
+        remaining_cold_time: Duration::ZERO,
         sequence: 1,
         written_at: mintmoor::ids::StoreVersion::default(),
         models: Vec::new(),
--- a/tests/tls.rs
+++ b/tests/tls.rs
@@ -26,7 +26,7 @@
 
 /// Whether a new connection is accepted under these roots.
 async fn answers(roots: &RootCertStore, url: &str) -> bool {
-    let client = HttpClient::trusting(roots.clone());
+    let client = HttpClient::with_root_certificates(roots.clone());
     let timeout = Duration::from_secs(5);
     let reply = client.call(Method::GET, url, HeaderMap::new(), bytes::Bytes::new(), timeout).await;
     reply.is_ok_and(|reply| reply.status.is_success())
