--- a/src/control/pull.rs
+++ b/src/control/pull.rs
@@ -1,32 +1,32 @@
-//! Whose turn it is to answer a pull: one peer is asked at a time.
+//! Limits a process to one outstanding pull, a request to a peer for missing configuration.
 
 use std::{
     sync::Mutex,
     time::{Duration, Instant},
 };
 
-/// One answer to a pull is waited for this long before another peer is asked.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// Time after which an unanswered pull no longer blocks the next one.
+const PULL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The pull under way in one process, if there is one.
+/// Slot for the single outstanding pull of a process.
 #[derive(Debug, Default)]
 pub struct PullSlot {
-    asked: Mutex<Option<Instant>>,
+    asked_at: Mutex<Option<Instant>>,
 }
 
 impl PullSlot {
-    /// Takes the turn to ask a peer; false while another peer's answer is waited for.
+    /// Occupies the slot; returns false if a recent pull is still outstanding.
     pub fn try_acquire(&self) -> bool {
-        let mut asked = self.asked.lock().expect("no panics under the lock");
-        if asked.is_some_and(|since| since.elapsed() < PATIENCE) {
+        let mut asked_at = self.asked_at.lock().expect("no code panics while holding this lock");
+        if asked_at.is_some_and(|since| since.elapsed() < PULL_TIMEOUT) {
             return false;
         }
-        *asked = Some(Instant::now());
+        *asked_at = Some(Instant::now());
         true
     }
 
-    /// Notes that an answer has come.
+    /// Frees the slot after a response has arrived.
     pub fn release(&self) {
-        *self.asked.lock().expect("no panics under the lock") = None;
+        *self.asked_at.lock().expect("no code panics while holding this lock") = None;
     }
 }
--- a/src/control/store_health.rs
+++ b/src/control/store_health.rs
@@ -1,4 +1,4 @@
-//! Whether the platform's store answers, as this process has last seen it.
+//! Tracks whether the platform's table and object services answer this process.
 
 use std::{
     future::Future,
@@ -13,48 +13,49 @@
     telemetry::{Metrics, event},
 };
 
-/// Time without any answer after which the store counts as out rather than as losing replies.
+/// Time since the first of a series of failed calls after which the services count as unavailable; shorter
+/// failures may just be lost replies.
 const OUTAGE_AFTER: Duration = Duration::from_secs(2);
 
-/// Store health of one process; clones share it.
+/// Outcome of one process's recent calls to the table and object services; clones share their state.
 #[derive(Clone, Debug)]
 pub struct StoreHealth {
-    down_since: Arc<Mutex<Option<Instant>>>,
+    failing_since: Arc<Mutex<Option<Instant>>>,
     metrics: Metrics,
 }
 
 impl StoreHealth {
-    /// Starts out as up.
+    /// Creates a tracker that assumes that the services are available.
     pub fn new(metrics: Metrics) -> Self {
-        Self { down_since: Arc::default(), metrics }
+        Self { failing_since: Arc::default(), metrics }
     }
 
-    /// Whether the last call failed.
+    /// Whether the most recent call failed.
     pub fn last_call_failed(&self) -> bool {
         self.lock().is_some()
     }
 
-    /// Whether no call has been answered for a while.
+    /// Whether all calls have failed for at least two seconds.
     pub fn is_unavailable(&self) -> bool {
         self.lock().is_some_and(|since| since.elapsed() >= OUTAGE_AFTER)
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Option<Instant>> {
-        self.down_since.lock().expect("no panics under the lock")
+        self.failing_since.lock().expect("no code panics while holding this lock")
     }
 
-    /// Carries a call out, counts it and notes whether it was answered.
+    /// Awaits a call, counts it in the metrics and records whether it succeeded.
     ///
     /// # Errors
-    /// The call's own.
+    /// Those of the call.
     pub async fn track<T>(&self, cause: &str, call: impl Future<Output = Result<T>>) -> Result<T> {
         self.metrics.count_store_call(cause);
         let res = call.await;
         if let Err(e) = &res {
             self.metrics.count_store_error(cause);
-            let was_down = self.last_call_failed();
+            let was_failing = self.last_call_failed();
             self.lock().get_or_insert_with(Instant::now);
-            if !was_down {
+            if !was_failing {
                 event::STORE_UNREACHABLE.log(format_args!("cause={cause} problem={e}"));
             }
             return res;
--- a/src/platform/response_headers.rs
+++ b/src/platform/response_headers.rs
@@ -1,34 +1,36 @@
-//! Heads of answers, each header decoded once into our types.
+//! Parses the heads of BackendServers' responses; each header is decoded once, here.
 
 use std::time::SystemTime;
 
 use http::{HeaderMap, HeaderName, StatusCode, header};
 
 use crate::{
-    platform::request_headers::{KEEP_ALIVE, REQUEST_ID, number, text, without_hop_by_hop},
+    platform::request_headers::{
+        KEEP_ALIVE, REQUEST_ID, header_number, header_text, without_hop_by_hop,
+    },
     policy::{load::ReportedLoad, rate_limit::AdvertisedLimit, retry_after::RetryAfter},
     routing::{ResponseHead, ResponseKind},
 };
 
-/// Signature of the server that answered.
+/// Signature of the server that sent the response.
 const SIGNATURE: &str = "x-instance-stamp";
 /// Present when the server did not run the request.
-const NOT_RUN: &str = "x-not-executed";
-/// `running,waiting,slots` of the server.
+const NOT_EXECUTED: &str = "x-not-executed";
+/// Load of the server: `running,waiting,slots`.
 const LOAD: &str = "x-instance-load";
-/// Requests a second, a decimal number; only in the answers of a rate-limited server.
+/// Requests per second, as a decimal number; sent only by a rate-limited server.
 const RATE_LIMIT: &str = "server-limit";
-/// Present and other than `0` while the server drains.
-const DRAINING: &str = "server-leaving";
+/// Present with a value other than `0` while the server drains.
+const LEAVING: &str = "server-leaving";
 const CONFIDENCE: &str = "x-confidence";
 
-/// Headers of answers that are read here.
-const READ: [&str; 11] = [
+/// Response headers that this adapter reads.
+const READ_HEADERS: [&str; 11] = [
     SIGNATURE,
-    NOT_RUN,
+    NOT_EXECUTED,
     LOAD,
     RATE_LIMIT,
-    DRAINING,
+    LEAVING,
     CONFIDENCE,
     REQUEST_ID,
     "retry-after",
@@ -36,8 +38,9 @@
     "content-encoding",
     "transfer-encoding",
 ];
-/// Headers of answers that are for the caller, or that nothing here needs (docs/incidents/0013).
-const PASSED_ON: [&str; 18] = [
+/// Known response headers that are only passed on: they are meant for the caller or not needed here
+/// (docs/incidents/0013).
+const PASSED_ON_HEADERS: [&str; 18] = [
     "allow",
     "cache-control",
     "content-language",
@@ -58,36 +61,36 @@
     "x-weight-versions",
 ];
 
-/// Reads the head of an answer to the request with this id.
+/// Parses the head of a response to the request with this id.
 pub fn parse_response_head(
     status: StatusCode,
     headers: &HeaderMap,
     request_id: &str,
 ) -> ResponseHead {
     let closes_connection =
-        text(headers, "connection").is_some_and(|v| v.eq_ignore_ascii_case("close"));
+        header_text(headers, "connection").is_some_and(|v| v.eq_ignore_ascii_case("close"));
     ResponseHead {
-        kind: kind_of_answer(status, headers, request_id),
+        kind: classify_response(status, headers, request_id),
         status,
         headers: without_hop_by_hop(headers),
-        confidence: number(headers, CONFIDENCE).and_then(|value| u8::try_from(value).ok()),
-        load: text(headers, LOAD).and_then(read_load),
-        rate_limit: read_rate_limit(headers),
-        is_draining: headers.get_all(DRAINING).iter().any(|value| value != "0"),
-        retry_after: read_retry_after(headers),
-        unknown_headers: unread(headers),
+        confidence: header_number(headers, CONFIDENCE).and_then(|value| u8::try_from(value).ok()),
+        load: header_text(headers, LOAD).and_then(parse_load),
+        rate_limit: parse_rate_limit(headers),
+        is_draining: headers.get_all(LEAVING).iter().any(|value| value != "0"),
+        retry_after: parse_retry_after(headers),
+        unknown_headers: collect_unknown_headers(headers),
         closes_connection,
     }
 }
 
-fn kind_of_answer(status: StatusCode, headers: &HeaderMap, request_id: &str) -> ResponseKind {
-    if text(headers, REQUEST_ID).is_some_and(|id| id != request_id) {
+fn classify_response(status: StatusCode, headers: &HeaderMap, request_id: &str) -> ResponseKind {
+    if header_text(headers, REQUEST_ID).is_some_and(|id| id != request_id) {
         return ResponseKind::WrongRequest;
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
         return ResponseKind::WrongServer;
     }
-    if headers.contains_key(NOT_RUN) {
+    if headers.contains_key(NOT_EXECUTED) {
         return ResponseKind::NotRun;
     }
     if !headers.contains_key(SIGNATURE) || headers.contains_key(header::CONTENT_ENCODING) {
@@ -96,14 +99,15 @@
     if status.is_success() { ResponseKind::Success } else { ResponseKind::Failure }
 }
 
-/// The limit that an answer names. Where it names several, the smallest is what the server surely takes.
-fn read_rate_limit(headers: &HeaderMap) -> AdvertisedLimit {
+/// Rate limit advertised by a response; the smallest if there are several, since the server accepts at
+/// least that.
+fn parse_rate_limit(headers: &HeaderMap) -> AdvertisedLimit {
     let lines = headers.get_all(RATE_LIMIT).iter().map(|value| value.to_str().unwrap_or_default());
-    let said = lines.flat_map(|line| line.split(',')).map(AdvertisedLimit::parse);
-    said.reduce(AdvertisedLimit::smaller).unwrap_or(AdvertisedLimit::Nothing)
+    let limits = lines.flat_map(|line| line.split(',')).map(AdvertisedLimit::parse);
+    limits.reduce(AdvertisedLimit::smaller).unwrap_or(AdvertisedLimit::Nothing)
 }
 
-fn read_load(value: &str) -> Option<ReportedLoad> {
+fn parse_load(value: &str) -> Option<ReportedLoad> {
     let mut numbers = value.split(',').map(|n| n.trim().parse().ok());
     let running = numbers.next()??;
     let waiting = numbers.next()??;
@@ -111,20 +115,20 @@
     Some(ReportedLoad { running, waiting, slots })
 }
 
-/// The pause that an answer asks for; the longest where it names several.
-fn read_retry_after(headers: &HeaderMap) -> RetryAfter {
+/// Pause requested by a response; the longest if there are several.
+fn parse_retry_after(headers: &HeaderMap) -> RetryAfter {
     let lines = headers.get_all(header::RETRY_AFTER).iter();
     let lines = lines.map(|value| value.to_str().unwrap_or_default());
     let pauses = lines.map(|line| RetryAfter::parse(line, SystemTime::now()));
     pauses.reduce(RetryAfter::longer).unwrap_or_default()
 }
 
-/// Headers that nothing reads and that are not known to concern the caller alone.
-fn unread(headers: &HeaderMap) -> Vec<HeaderName> {
+/// Headers that this adapter neither reads nor lists as passed on.
+fn collect_unknown_headers(headers: &HeaderMap) -> Vec<HeaderName> {
     headers.keys().filter(|name| !is_known_header(name.as_str())).cloned().collect()
 }
 
-/// Whether the adapter knows a header of answers.
+/// Whether a response header is read here or known to be passed on only.
 pub fn is_known_header(name: &str) -> bool {
-    READ.contains(&name) || PASSED_ON.contains(&name)
+    READ_HEADERS.contains(&name) || PASSED_ON_HEADERS.contains(&name)
 }
