--- a/src/router/advertised_limits.rs
+++ b/src/router/advertised_limits.rs
@@ -23,14 +23,14 @@
 
 impl Router {
     /// Notes what a server's answer says of its limit, to a request that was sent at `sent_at`.
-    pub(crate) fn note_advertised_limit(
+    pub(crate) fn record_advertised_limit(
         &self,
         member: &Member,
         head: &AnswerHead,
         sent_at: Duration,
     ) {
         let now = self.now();
-        if head.rate_limit == AdvertisedLimit::Unreadable && member.note_unreadable_limit(now) {
+        if head.rate_limit == AdvertisedLimit::Unreadable && member.record_unreadable_limit(now) {
             event::RATE_LIMIT_UNREADABLE.log(format_args!("server={}", member.server.id));
         }
         // A refusal that advertises no limit says that the server is full, not that its limit is over.
--- a/src/router/announcements.rs
+++ b/src/router/announcements.rs
@@ -14,21 +14,26 @@
 
 impl Router {
     /// Records what the head of a server's own answer announces.
-    pub(crate) fn note_announced(&self, member: &Member, head: &AnswerHead, request_id: &str) {
+    pub(crate) fn record_announcements(
+        &self,
+        member: &Member,
+        head: &AnswerHead,
+        request_id: &str,
+    ) {
         let (now, id) = (self.now(), &member.server.id);
-        if head.is_draining && member.note_draining(now) {
+        if head.is_draining && member.record_draining(now) {
             event::SERVER_DRAINING.log(format_args!("server={id} request={request_id}"));
         }
         if !head.is_rejection() {
             return;
         }
-        if head.retry_after == RetryAfter::Unreadable && member.note_unreadable_retry_after(now) {
+        if head.retry_after == RetryAfter::Unreadable && member.record_unreadable_retry_after(now) {
             event::RETRY_AFTER_UNREADABLE.log(format_args!("server={id} request={request_id}"));
         }
         let Some(pause) = head.retry_after.pause() else {
             return;
         };
-        if member.note_pause(pause, now) {
+        if member.record_pause(pause, now) {
             event::PAUSE_REQUESTED.log(format_args!(
                 "server={id} request={request_id} status={} pause_ms={}",
                 head.status.as_u16(),
@@ -38,14 +43,14 @@
     }
 
     /// Records an answer that shows a server as healthy.
-    pub(crate) fn note_answer(&self, member: &Member) {
-        if member.note_answer(self.now()) {
+    pub(crate) fn record_answer(&self, member: &Member) {
+        if member.record_answer(self.now()) {
             event::PAUSE_ENDED.log(format_args!("server={}", member.server.id));
         }
     }
 
     /// Counts headers of an answer that nothing reads, and logs each name once.
-    pub(crate) fn note_unread_headers(&self, member: &Member, head: &AnswerHead) {
+    pub(crate) fn record_unread_headers(&self, member: &Member, head: &AnswerHead) {
         for name in &head.unread {
             if self.metrics.count_unread_header(name.as_str()) {
                 event::HEADER_UNREAD.log(format_args!("header={name} server={}", member.server.id));
--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -45,7 +45,7 @@
     }
 
     /// Notes that an answer has begun, or that none is waited for any more.
-    fn note_begun(&mut self) {
+    fn mark_begun(&mut self) {
         if std::mem::replace(&mut self.has_begun, true) {
             return;
         }
@@ -57,7 +57,7 @@
 
 impl Drop for OutstandingGuard {
     fn drop(&mut self) {
-        self.note_begun();
+        self.mark_begun();
         self.member.state().load.own -= 1;
     }
 }
@@ -162,21 +162,21 @@
     let ahead = plan.member.backlog(router.now());
     let mut outstanding = OutstandingGuard::new(plan.member, prefill_time);
     let sent_at = router.now();
-    note_prompt_sent(router, plan);
+    record_prompt_sent(router, plan);
     router.count_unavailable_send(plan.member, ctx.send_kind());
     // By the runtime's clock: a suspension says nothing about the server's pace.
     let began = Instant::now();
     let outcome = send_request(router, ctx, plan, can_fail_over).await;
     if let Err(e) = &outcome {
-        note_error(router, plan.member, e);
+        record_error(router, plan.member, e);
         plan.member.state().kept.forget(plan.new_marks());
     }
     let (connection, res) = outcome?;
-    outstanding.note_begun();
-    plan.member.note_received(router.now());
+    outstanding.mark_begun();
+    plan.member.record_received(router.now());
     let (parts, body) = res.into_parts();
     let head = read_answer(parts.status, &parts.headers, &ctx.req.head.id);
-    note_response_head(router, plan.member, &head, &ctx.req.head.id, sent_at);
+    record_response_head(router, plan.member, &head, &ctx.req.head.id, sent_at);
     let (tokens, took) = (plan.uncached_tokens, began.elapsed());
     let is_slow = router.readings.get(plan.latency_key).is_slow(tokens, took);
     if head.kind == AnswerKind::Success {
@@ -195,7 +195,7 @@
 }
 
 /// Notes which parts of the prompt the server will keep, and lets the other entries know.
-fn note_prompt_sent(router: &Router, plan: &AttemptPlan<'_>) {
+fn record_prompt_sent(router: &Router, plan: &AttemptPlan<'_>) {
     let now = router.now();
     let mut state = plan.member.state();
     state.kept.note_sent(plan.marks, plan.uncached_tokens);
@@ -223,7 +223,7 @@
     }
 }
 
-fn note_response_head(
+fn record_response_head(
     router: &Router,
     member: &Member,
     head: &AnswerHead,
@@ -232,18 +232,18 @@
 ) {
     let is_foreign = matches!(head.kind, AnswerKind::Misplaced | AnswerKind::Unsigned);
     if is_foreign || (head.status.is_server_error() && !head.announces_rejection()) {
-        member.note_failure(router.now());
+        member.record_failure(router.now());
     } else if !head.announces_rejection() {
-        router.note_answer(member);
+        router.record_answer(member);
     }
     if head.kind.is_authentic() {
-        router.note_advertised_limit(member, head, sent_at);
-        router.note_announced(member, head, request_id);
-        router.note_unread_headers(member, head);
+        router.record_advertised_limit(member, head, sent_at);
+        router.record_announcements(member, head, request_id);
+        router.record_unread_headers(member, head);
     }
 }
 
-fn note_error(router: &Router, member: &Member, e: &AttemptError) {
+fn record_error(router: &Router, member: &Member, e: &AttemptError) {
     match e {
         AttemptError::Unavailable(_)
         | AttemptError::Refused(_)
@@ -251,8 +251,8 @@
         | AttemptError::Quarantined => {}
         // Judged once it is known whether the server ended.
         AttemptError::Lost(_) => {}
-        AttemptError::NotSent(ConnectError::Refused(_)) => member.note_unreachable(router.now()),
-        _ => member.note_failure(router.now()),
+        AttemptError::NotSent(ConnectError::Refused(_)) => member.record_unreachable(router.now()),
+        _ => member.record_failure(router.now()),
     }
 }
 
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -17,7 +17,7 @@
         request_context::{AttemptParams, RequestContext},
         roll_out::RunOutcome,
         selection::{latency_key, marks, select_server, unavailability},
-        server_ends::{LossCause, note_broken_connection, note_lost},
+        server_ends::{LossCause, record_broken_connection, record_lost},
     },
     routing::{AnswerKind, RouteKind},
     telemetry::event,
@@ -81,7 +81,7 @@
             Refusal::Quarantined { retry_after: router.refused_for(ctx) }
         }
         Verdict::NotRun => {
-            let retry_after = router.note_overload(&ctx.service, &ctx.req.head.id);
+            let retry_after = router.record_overload(&ctx.service, &ctx.req.head.id);
             let Some((cause, wait)) = unavailability(router, ctx, params) else {
                 return Refusal::NotRun { retry_after };
             };
@@ -189,7 +189,7 @@
     }
     if !matches!(&result, Err(e) if e.proves_not_run()) {
         ctx.runs += 1;
-        note_run_outcome(router, ctx, member, &result).await;
+        record_run_outcome(router, ctx, member, &result).await;
     }
     result
 }
@@ -208,7 +208,7 @@
 }
 
 /// Counts an attempt that may have run for or against its server, its version and the request itself.
-async fn note_run_outcome(
+async fn record_run_outcome(
     router: &Router,
     ctx: &RequestContext,
     member: &Arc<Member>,
@@ -217,11 +217,11 @@
     let outcome = match result {
         // It may have begun to run, and end the server all the same.
         Err(AttemptError::Quarantined) => {
-            return note_lost(router, ctx, member, LossCause::Disconnected);
+            return record_lost(router, ctx, member, LossCause::Disconnected);
         }
-        Err(AttemptError::Lost(_)) => return note_broken_connection(router, ctx, member).await,
+        Err(AttemptError::Lost(_)) => return record_broken_connection(router, ctx, member).await,
         Err(AttemptError::Timeout) => {
-            note_lost(router, ctx, member, LossCause::Abandoned);
+            record_lost(router, ctx, member, LossCause::Abandoned);
             return router.roll_outs.note_silence(&member.server, router.now());
         }
         Ok(response) if response.head.kind == AnswerKind::Success => {
--- a/src/router/fleet.rs
+++ b/src/router/fleet.rs
@@ -62,12 +62,12 @@
             next.by_service.entry(service).or_default().push(member.clone());
             next.members.insert(member.server.id.clone(), member);
         }
-        next.note_departed(self, now);
+        next.remember_departed(self, now);
         next
     }
 
     /// Remembers the lives of a fleet `before` this one that are out of view.
-    fn note_departed(&mut self, before: &Self, now: Duration) {
+    fn remember_departed(&mut self, before: &Self, now: Duration) {
         self.departed.take_over(&before.departed, |id| self.members.contains_key(id), now);
         for (id, member) in &before.members {
             if !self.members.contains_key(id) {
--- a/src/router/follow.rs
+++ b/src/router/follow.rs
@@ -175,7 +175,7 @@
     }
     router.views.note_received(router.now());
     if entries > 0 {
-        router.note_entries(entries);
+        router.record_entries(entries);
     }
     if let Some(place) = place.filter(|place| place.rank < place.entries) {
         router.own_place.note(place, router.now());
--- a/src/router/member.rs
+++ b/src/router/member.rs
@@ -171,12 +171,12 @@
     }
 
     /// Notes that it advertised a limit that can't be read; whether that is to be logged.
-    pub(crate) fn note_unreadable_limit(&self, now: Duration) -> bool {
+    pub(crate) fn record_unreadable_limit(&self, now: Duration) -> bool {
         should_log(&mut self.state().limit_unreadable_at, now)
     }
 
     /// Notes that it asked for a pause that can't be read; whether that is to be logged.
-    pub(crate) fn note_unreadable_retry_after(&self, now: Duration) -> bool {
+    pub(crate) fn record_unreadable_retry_after(&self, now: Duration) -> bool {
         should_log(&mut self.state().retry_after_unreadable_at, now)
     }
 
@@ -219,7 +219,7 @@
     }
 
     /// Notes an answer that shows the server as healthy; whether it is the first one after a pause.
-    pub(crate) fn note_answer(&self, now: Duration) -> bool {
+    pub(crate) fn record_answer(&self, now: Duration) -> bool {
         let mut state = self.state();
         state.outlier.note_answer(&OUTLIER_RULES);
         state.send_window.note_answer();
@@ -228,14 +228,14 @@
     }
 
     /// Notes a failure of the server.
-    pub(crate) fn note_failure(&self, now: Duration) {
+    pub(crate) fn record_failure(&self, now: Duration) {
         let mut state = self.state();
         state.outlier.note_failure(&OUTLIER_RULES, now);
         state.failure_rate.note(true, now);
     }
 
     /// Notes that nobody listens at the server's address, which one refusal shows.
-    pub(crate) fn note_unreachable(&self, now: Duration) {
+    pub(crate) fn record_unreachable(&self, now: Duration) {
         let mut state = self.state();
         state.unreachable_at = Some(now);
         state.outlier.note_unreachable(&OUTLIER_RULES, now);
@@ -243,7 +243,7 @@
     }
 
     /// Notes that something came from the server.
-    pub(crate) fn note_received(&self, now: Duration) {
+    pub(crate) fn record_received(&self, now: Duration) {
         self.state().received_at = now;
     }
 
@@ -295,7 +295,7 @@
     }
 
     /// Notes a pause that it asked for as it rejected a request; whether none was under way.
-    pub(super) fn note_pause(&self, pause: Duration, now: Duration) -> bool {
+    pub(super) fn record_pause(&self, pause: Duration, now: Duration) -> bool {
         let mut state = self.state();
         let others = state.load.own.saturating_sub(1);
         state.send_window.note_rejection(others, now);
@@ -303,7 +303,7 @@
     }
 
     /// Notes a drain notice in an answer; whether it is the first one. Idle connections to it are closed.
-    pub(super) fn note_draining(&self, now: Duration) -> bool {
+    pub(super) fn record_draining(&self, now: Duration) -> bool {
         let mut state = self.state();
         state.idle_connections.clear();
         state.announced.note_draining(now)
--- a/src/router/observability.rs
+++ b/src/router/observability.rs
@@ -24,7 +24,7 @@
         self.metrics.quarantine_notes_lost.set(lost);
         let quarantined = self.quarantine.cases(true, now).len();
         self.metrics.quarantined.set(i64::try_from(quarantined).unwrap_or(i64::MAX));
-        let terms = self.send_terms();
+        let terms = self.retry_limits();
         let mut retry_budgets = self.retry_budgets.lock().expect("no panics under the lock");
         for (service, budget) in retry_budgets.iter_mut() {
             let labels = ServiceLabels { service: service.to_string() };
--- a/src/router/orders.rs
+++ b/src/router/orders.rs
@@ -8,7 +8,7 @@
         store::{Rows, StoreClient, Table},
     },
     policy::lifecycle::LifecycleEvent,
-    router::{Router, feed::follow, restore::Extent, servers::note_versions},
+    router::{Router, feed::follow, restore::Extent, servers::record_versions},
     routing::RoutingTable,
     telemetry::event,
 };
@@ -85,7 +85,7 @@
                 format!("service={} to={} within={:?}", order.service, order.to, order.within);
             if router.roll_outs.order(order, router.now(), is_start) {
                 event::ROLL_OUT_ORDERED.log(format_args!("{reported}"));
-                note_versions(router);
+                record_versions(router);
             }
         }
         OperatorChange::RollOutWithdrawn(service) => router.roll_outs.withdraw(&service),
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -21,7 +21,7 @@
         response_wait::{ResponseWait, wait_for_response},
         roll_out::RunOutcome,
         selection::latency_key,
-        server_ends::{LossCause, note_broken_connection, note_lost},
+        server_ends::{LossCause, record_broken_connection, record_lost},
         stages::{self, StageResponse},
     },
     routing::{AnswerHead, AnswerKind, RouteKind},
@@ -69,11 +69,11 @@
             Some(Err(())) => {}
             // At the deadline, or when the server has started again: then it may be tried elsewhere.
             None => {
-                note_lost(router, ctx, &server, LossCause::Abandoned);
+                record_lost(router, ctx, &server, LossCause::Abandoned);
                 router.roll_outs.note_silence(&server.server, router.now());
             }
         }
-        ctx.note_last_attempt_lost();
+        ctx.mark_last_attempt_lost();
     }
 }
 
@@ -111,7 +111,7 @@
     let mut res = response_with_head(&response.head);
     let body = Limited::new(&mut response.body, MAX_WHOLE_BODY).collect().await;
     let Ok(body) = body else {
-        note_broken_connection(router, ctx, &response.member).await;
+        record_broken_connection(router, ctx, &response.member).await;
         return Err(());
     };
     if response.head.kind == AnswerKind::Success {
@@ -158,7 +158,7 @@
         Self { arrived_at, last: None, time_to_first, longest_gap }
     }
 
-    fn note_event(&mut self, now: Duration) {
+    fn record_event(&mut self, now: Duration) {
         match self.last.replace(now) {
             None => self.time_to_first = now - self.arrived_at,
             Some(last) => self.longest_gap = self.longest_gap.max(now - last),
@@ -177,7 +177,7 @@
 }
 
 impl RunTiming {
-    fn note_event(&mut self, now: Instant) {
+    fn record_event(&mut self, now: Instant) {
         self.first.get_or_insert(now);
         if self.last.replace(now).is_some() {
             self.gaps += 1;
@@ -219,14 +219,14 @@
             if matches!(e, StreamError::CallerGone) {
                 return;
             }
-            self.note_stream_error(&server, &e).await;
+            self.record_stream_error(&server, &e).await;
             let (id, events) = (&self.ctx.req.head.id, self.last_event);
             event::STREAM_BROKEN.log(format_args!(
                 "request={id} fingerprint={} server={} last_event={events:?} cause=\"{e}\"",
                 self.ctx.fingerprint(),
                 server.server.id
             ));
-            self.ctx.note_last_attempt_lost();
+            self.ctx.mark_last_attempt_lost();
             let Some(next) = self.resume().await else {
                 return;
             };
@@ -235,17 +235,17 @@
     }
 
     /// Counts a stream that broke off against its server, its version and the request itself.
-    async fn note_stream_error(&self, server: &Arc<Member>, e: &StreamError) {
+    async fn record_stream_error(&self, server: &Arc<Member>, e: &StreamError) {
         let (router, ctx) = (&self.router, &self.ctx);
         match e {
             // It may have begun to run, and end the server all the same.
-            StreamError::Quarantined => note_lost(router, ctx, server, LossCause::Disconnected),
+            StreamError::Quarantined => record_lost(router, ctx, server, LossCause::Disconnected),
             StreamError::Silent => {
-                server.note_failure(router.now());
-                note_lost(router, ctx, server, LossCause::Abandoned);
+                server.record_failure(router.now());
+                record_lost(router, ctx, server, LossCause::Abandoned);
                 router.roll_outs.note_silence(&server.server, router.now());
             }
-            _ => note_broken_connection(router, ctx, server).await,
+            _ => record_broken_connection(router, ctx, server).await,
         }
     }
 
@@ -285,7 +285,7 @@
             let wait = ResponseWait { ctx, member: server, patience, deadline, has_begun };
             let frame = wait_for_response(router, &wait, next, can_fail_over).await;
             if has_retry {
-                self.ctx.note_retry_taken();
+                self.ctx.mark_retry_taken();
             }
             let is_withdrawn = || !has_begun && self.router.is_refused(&self.ctx);
             let given_up =
@@ -294,21 +294,21 @@
                 if splitter.is_inside_event() {
                     return Err(StreamError::TruncatedEvent);
                 }
-                self.note_whole_run(&response, &run);
+                self.record_complete_run(&response, &run);
                 response.finish(self.router.now());
                 return Ok(());
             };
             let Ok(data) = frame?.into_data() else {
                 continue;
             };
-            response.member.note_received(self.router.now());
+            response.member.record_received(self.router.now());
             splitter.push(&data);
             while let Some(event) = splitter.next_event() {
                 self.check_order(event.id)?;
                 let sent = self.tx.send(StreamPart::Events(event.bytes)).await;
                 sent.map_err(|_| StreamError::CallerGone)?;
                 self.last_event = event.id.or(self.last_event);
-                self.timing.note_event(self.router.now());
+                self.timing.record_event(self.router.now());
                 self.check_pace(&response, &mut run);
             }
             if splitter.pending() > MAX_EVENT {
@@ -319,7 +319,7 @@
 
     /// Counts a run against its version as soon as its events come far too slowly.
     fn check_pace(&self, response: &OpenResponse, run: &mut RunTiming) {
-        run.note_event(Instant::now());
+        run.record_event(Instant::now());
         if run.is_counted || !self.reading().is_trickle(run.gaps, run.took()) {
             return;
         }
@@ -328,7 +328,7 @@
     }
 
     /// Counts a run that ended whole for its version, and learns its pace.
-    fn note_whole_run(&self, response: &OpenResponse, run: &RunTiming) {
+    fn record_complete_run(&self, response: &OpenResponse, run: &RunTiming) {
         let (server, roll_outs) = (&response.member.server, &self.router.roll_outs);
         // Slow runs count in the mean, too: without them it falls, and more runs are called slow. A
         // version on trial does not set the pace that it is measured by.
--- a/src/router/reports.rs
+++ b/src/router/reports.rs
@@ -55,7 +55,7 @@
         reports.send_replace(Report { loads, evidence, is_new, ..Report::default() });
         if router.is_seed() {
             let now = router.now();
-            router.note_entries(router.loads.entries(now));
+            router.record_entries(router.loads.entries(now));
             if let Some(place) = router.place_of(&settings.host) {
                 router.own_place.note(place, now);
             }
--- a/src/router/request_context.rs
+++ b/src/router/request_context.rs
@@ -114,12 +114,12 @@
     }
 
     /// Notes that a repeated send was taken from the budget for what comes next.
-    pub(crate) fn note_retry_taken(&mut self) {
+    pub(crate) fn mark_retry_taken(&mut self) {
         self.has_retry = true;
     }
 
     /// Notes that an attempt which had been sent came to nothing.
-    pub(crate) fn note_last_attempt_lost(&mut self) {
+    pub(crate) fn mark_last_attempt_lost(&mut self) {
         if let Some(last) = self.attempts.last_mut() {
             *last = attempt::advance(*last, AttemptEvent::LinkLost);
         }
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -36,14 +36,14 @@
 
 impl InFlightGuard {
     fn enter(router: &Arc<Router>) -> Self {
-        router.note_request_started();
+        router.record_request_started();
         Self { router: router.clone(), arrived_at: router.now() }
     }
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.router.note_request_finished();
+        self.router.record_request_finished();
     }
 }
 
@@ -94,7 +94,7 @@
     let body = read_body(body, &table.limits.unwrap_or(DEFAULT_LIMITS)).await?;
     let wait = head.patience.unwrap_or(route.timeout).min(route.timeout);
     let service = choose_service(&route, &head);
-    router.note_request(&service);
+    router.record_request(&service);
     let req = Request { head, body };
     let ctx = RequestContext::new(req, route, service, organisation, wait, in_flight);
     relay::respond(router, ctx).await
--- a/src/router/server_ends.rs
+++ b/src/router/server_ends.rs
@@ -43,13 +43,13 @@
 
 /// Notes that a request's connection to a server broke before its answer was whole, looks whether the server
 /// ended, and judges its version by it.
-pub(super) async fn note_broken_connection(
+pub(super) async fn record_broken_connection(
     router: &Router,
     ctx: &RequestContext,
     member: &Arc<Member>,
 ) {
     let now = router.now();
-    member.note_failure(now);
+    member.record_failure(now);
     if member.is_draining() {
         // An announced exit is neither a crash nor a failure of the version.
         return;
@@ -58,7 +58,7 @@
         router.roll_outs.note_outcome(&member.server, RunOutcome::Failed);
         return;
     }
-    note_lost(router, ctx, member, LossCause::Disconnected);
+    record_lost(router, ctx, member, LossCause::Disconnected);
     if has_ended(router, member).await {
         // All that ran there broke off, which says one thing about the version and not thirty.
         router.roll_outs.note_silence(&member.server, router.now());
@@ -68,7 +68,7 @@
 }
 
 /// Notes that a request got no answer from a server, which may end or have ended.
-pub(super) fn note_lost(
+pub(super) fn record_lost(
     router: &Router,
     ctx: &RequestContext,
     member: &Member,
@@ -100,7 +100,7 @@
     }
     let is_connection_refused = is_connection_refused(member.server.address).await;
     if is_connection_refused {
-        note_server_end(router, member, Proof::Refused);
+        record_server_end(router, member, Proof::Refused);
     }
     is_connection_refused
 }
@@ -158,7 +158,7 @@
 }
 
 /// Notes that a server's life ended: all that was at work there is suspected.
-pub(super) fn note_server_end(router: &Router, member: &Member, proof: Proof) {
+pub(super) fn record_server_end(router: &Router, member: &Member, proof: Proof) {
     let now = router.now();
     let (lost, ended_at) = {
         let received_at = member.received_at();
@@ -183,7 +183,7 @@
         (lost, ended_at)
     };
     if proof != Proof::Dropped {
-        member.note_unreachable(now);
+        member.record_unreachable(now);
     }
     if lost.is_empty() {
         return;
--- a/src/router/servers.rs
+++ b/src/router/servers.rs
@@ -45,25 +45,25 @@
     event::SERVERS_CHANGED
         .log(format_args!("servers={} cold={cold} unreadable={unreadable}", next.len()));
     router.metrics.rows_unreadable.set(i64::try_from(unreadable).unwrap_or(i64::MAX));
-    note_ended_servers(router, listing, &before, &next);
+    record_ended_servers(router, listing, &before, &next);
     router.set_fleet(next);
-    note_versions(router);
+    record_versions(router);
 }
 
 /// Takes servers that have started again, or are gone without having said so, as ended.
-fn note_ended_servers(router: &Router, listing: &Listing, before: &Fleet, next: &Fleet) {
+fn record_ended_servers(router: &Router, listing: &Listing, before: &Fleet, next: &Fleet) {
     for member in before.missing_from(next).filter(|member| !member.is_draining()) {
         let id = &member.server.id;
         if next.has_id(id) {
-            server_ends::note_server_end(router, member, Proof::StartedAgain);
+            server_ends::record_server_end(router, member, Proof::StartedAgain);
         } else if !listing.is_unreadable(id) {
-            server_ends::note_server_end(router, member, Proof::Dropped);
+            server_ends::record_server_end(router, member, Proof::Dropped);
         }
     }
 }
 
 /// Notes for the roll-outs under way which versions have servers.
-pub(super) fn note_versions(router: &Router) {
+pub(super) fn record_versions(router: &Router) {
     let fleet = router.fleet.load();
     for order in router.roll_outs.running() {
         for member in fleet.of_service(&order.service) {
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -299,27 +299,27 @@
     }
 
     /// Counts a request as in flight until the guard is dropped.
-    pub(crate) fn note_request_started(&self) {
+    pub(crate) fn record_request_started(&self) {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         self.metrics.in_flight.inc();
     }
 
     /// Counts a request as no longer in flight.
-    pub(crate) fn note_request_finished(&self) {
+    pub(crate) fn record_request_finished(&self) {
         self.in_flight.fetch_sub(1, Ordering::Relaxed);
         self.metrics.in_flight.dec();
     }
 
     /// Notes a caller's request for a service.
-    pub(crate) fn note_request(&self, service: &str) {
-        let terms = self.send_terms();
+    pub(crate) fn record_request(&self, service: &str) {
+        let terms = self.retry_limits();
         let mut retry_budgets = self.retry_budgets.lock().expect("no panics under the lock");
         retry_budgets.entry(service.into()).or_default().note_request(&terms, self.now());
     }
 
     /// Takes one repeated send to a service from the budget.
     pub(crate) fn take_retry(&self, service: &str) -> bool {
-        let terms = self.send_terms();
+        let terms = self.retry_limits();
         let mut retry_budgets = self.retry_budgets.lock().expect("no panics under the lock");
         let is_taken =
             retry_budgets.entry(service.into()).or_default().try_repeat(&terms, self.now());
@@ -328,7 +328,7 @@
     }
 
     /// Notes that no server of a service could take a request; when its caller should come back.
-    pub(crate) fn note_overload(&self, service: &str, request_id: &str) -> Duration {
+    pub(crate) fn record_overload(&self, service: &str, request_id: &str) -> Duration {
         let mut overloads = self.overloads.lock().expect("no panics under the lock");
         let lasted = overloads.entry(service.into()).or_default().note_refusal(self.now());
         retry_after(lasted, draw(request_id, service))
@@ -336,14 +336,14 @@
 
     /// Whether the budget still holds a repeated send to a service.
     pub(crate) fn has_retry_left(&self, service: &str) -> bool {
-        let terms = self.send_terms();
+        let terms = self.retry_limits();
         let mut retry_budgets = self.retry_budgets.lock().expect("no panics under the lock");
         retry_budgets.entry(service.into()).or_default().left(&terms, self.now()) >= 1.0
     }
 
     /// Takes in how many entries there are, as far as one knows that all report to. There are as many
     /// as the settings name at least, also where a seed is cut off from the others.
-    pub(crate) fn note_entries(&self, entries: usize) {
+    pub(crate) fn record_entries(&self, entries: usize) {
         let named = self.settings.load().seeds.len();
         let entries = u32::try_from(entries.max(named)).unwrap_or(u32::MAX);
         let mut share = self.extra_share.lock().expect("no panics under the lock");
@@ -355,7 +355,7 @@
         self.extra_share.lock().expect("no panics under the lock").entries()
     }
 
-    pub(super) fn send_terms(&self) -> SendTerms {
+    pub(super) fn retry_limits(&self) -> SendTerms {
         let settings = self.settings.load();
         let window = settings.retry_window;
         let share = self.extra_share.lock().expect("no panics under the lock");
