--- a/src/router/body.rs
+++ b/src/router/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of the answers that callers get.
+//! Bodies of responses to callers.
 
 use std::{
     convert::Infallible,
@@ -11,26 +11,27 @@
 use http_body_util::Full;
 use tokio::{sync::mpsc, task::JoinHandle};
 
-/// Part of a streamed answer.
+/// Part of a streamed response.
 #[derive(Debug)]
 pub(crate) enum StreamPart {
-    /// Whole events.
+    /// One or more complete server-sent events.
     Events(Bytes),
-    /// The stream ended whole.
+    /// The stream is complete.
     End,
 }
 
-/// The stream can't be finished; the caller's connection must not end as if it were whole.
+/// The stream can't be completed, so the caller's connection must be closed without the terminating chunk.
 #[derive(Debug, thiserror::Error)]
-#[error("the stream broke off")]
+#[error("the response stream was interrupted")]
 pub(crate) struct StreamInterrupted;
 
-/// A stream that a task of its own fills; dropping it ends the task and with it the server's work.
+/// A streamed body that is filled by a separate relay task. Dropping it aborts the task, which closes the
+/// connection to the server and so cancels the server's work.
 #[derive(Debug)]
 pub(crate) struct StreamBody {
     parts: mpsc::Receiver<StreamPart>,
     relay_task: JoinHandle<()>,
-    /// Whether the connection had a turn to write what came before the break.
+    /// Whether the connection has been given one poll to write the events before an interruption.
     has_yielded: bool,
 }
 
@@ -39,8 +40,8 @@
         Self { parts, relay_task, has_yielded: false }
     }
 
-    /// The next part; a break is reported one turn late, since the connection drops what it has not
-    /// written when it learns of one, and events that are ready are the caller's.
+    /// Polls for the next part. An interruption is reported one poll late: hyper discards unwritten data when the
+    /// body fails, and events that have already arrived must still reach the caller.
     fn poll_part(
         &mut self,
         cx: &mut Context<'_>,
@@ -64,12 +65,12 @@
     }
 }
 
-/// An answer's body.
+/// The body of a response to a caller.
 #[derive(Debug)]
 pub(crate) enum ResponseBody {
-    /// All of it is here.
+    /// Fully buffered.
     Whole(Full<Bytes>),
-    /// It comes event by event.
+    /// Streamed event by event.
     Stream(StreamBody),
 }
 
--- a/src/router/connection.rs
+++ b/src/router/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to BackendServers.
+//! HTTP/1.1 connections to BackendServers and the pool of idle ones.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,49 +11,49 @@
 
 use crate::router::Member;
 
-/// Time a connection may take; zones are a millisecond apart, and a lost packet costs more than
-/// trying the next server.
+/// Timeout for opening a TCP connection. The round trip between zones takes about a millisecond, so after a lost
+/// packet it is faster to try the next server than to wait for the retransmission.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time after which bytes that nobody acknowledges end a connection.
+/// Time after which unacknowledged data closes the connection (`TCP_USER_TIMEOUT`).
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time between probes of a connection on which nothing is said.
+/// Time between TCP keepalive probes on a quiet connection.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Time a connection may have been idle and still carry a request that can be repeated.
+/// Longest idle time after which a connection is reused for an idempotent request.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(2);
-/// The same for a request that may run only once: a server that closes an idle connection just
-/// as the request leaves would make it unknown whether it ran.
+/// The same for a request that must not run twice. It is shorter because a server that closes an idle connection
+/// just as the request is sent would leave it unknown whether the request ran.
 const MAX_IDLE_TIME_ONCE_ONLY: Duration = Duration::from_millis(800);
-/// Idle connections kept to one server.
+/// Maximum number of idle connections to one server.
 const MAX_IDLE: usize = 16;
 
-/// A connection ready for a request.
+/// The sending half of an open connection.
 pub(crate) type Connection = SendRequest<Full<Bytes>>;
 
-/// A connection that waits for use.
+/// A pooled connection and when it became idle.
 #[derive(Debug)]
 pub(crate) struct IdleConnection {
     connection: Connection,
     since: Duration,
 }
 
-/// Why no connection could be had.
+/// Why no connection could be opened.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ConnectError {
-    #[error("no connection within {CONNECT_TIMEOUT:?}")]
+    #[error("connect timed out after {CONNECT_TIMEOUT:?}")]
     Timeout,
     #[error("can't connect: {0}")]
     Refused(#[from] std::io::Error),
-    #[error("can't begin HTTP: {0}")]
+    #[error("HTTP handshake failed: {0}")]
     Http(#[from] hyper::Error),
 }
 
-/// A connection and whether it has been used before.
+/// A connection to send one request on, and whether it was reused from the pool.
 pub(crate) struct Checkout {
     pub(crate) connection: Connection,
     pub(crate) is_reused: bool,
 }
 
-/// Takes an idle connection to a server, or makes one.
+/// Returns an idle connection to a server, or opens a new one.
 pub(crate) async fn check_out(
     member: &Member,
     now: Duration,
@@ -71,12 +71,13 @@
     state
         .idle_connections
         .retain(|idle| now < idle.since + MAX_IDLE_TIME && idle.connection.is_ready());
-    // The longest idle first: a second answer to its last request has had time to show.
+    // Prefer the connection that has been idle longest: if its server wrongly sent a second response to the last
+    // request, that response has arrived by now and `is_ready` has excluded the connection.
     let i = state.idle_connections.iter().position(|idle| now < idle.since + max_idle_time)?;
     Some(state.idle_connections.remove(i).connection)
 }
 
-/// Makes a new connection.
+/// Opens a new connection.
 pub(crate) async fn connect(member: &Member) -> Result<Connection, ConnectError> {
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(member.server.address))
         .await
@@ -90,12 +91,12 @@
         .with_retries(1);
     socket.set_tcp_keepalive(&probes)?;
     let (connection, work) = http1::handshake(TokioIo::new(stream)).await?;
-    // What ends a connection shows in the answer that was waited for on it.
+    // Errors of the connection task can be ignored: the request that is waiting on the connection fails as well.
     tokio::spawn(async move { drop(work.await) });
     Ok(connection)
 }
 
-/// Keeps a connection whose answer was read to its end.
+/// Returns a connection to the pool after its response was read to the end.
 pub(crate) fn check_in(member: &Arc<Member>, connection: Connection, now: Duration) {
     let mut state = member.state();
     let is_draining = state.announced.draining_since().is_some();
--- a/src/router/event_stream.rs
+++ b/src/router/event_stream.rs
@@ -1,30 +1,31 @@
-//! Splits a stream of server-sent events, so that only whole events are passed on.
+//! Splits a byte stream into server-sent events, so that only complete events are forwarded.
 
 use bytes::{Bytes, BytesMut};
 
-/// A whole event as it came.
+/// A complete event, unmodified.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its id, if it has one.
+    /// Numeric value of the `id` field, if there is one.
     pub id: Option<u64>,
-    /// All its bytes, with the empty line that ends it.
+    /// All bytes of the event, including the terminating empty line.
     pub bytes: Bytes,
 }
 
-/// Bytes of an event that has not ended yet.
+/// Buffers received bytes and yields complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buf: BytesMut,
+    /// Bytes of `buf` that are known to contain no event terminator.
     scanned: usize,
 }
 
 impl EventSplitter {
-    /// Takes in what the server sent.
+    /// Appends bytes received from the server.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
 
-    /// The next whole event, if it is here.
+    /// Removes and returns the next complete event, if one has been received.
     pub fn next_event(&mut self) -> Option<Event> {
         let start = self.scanned.saturating_sub(3);
         let Some(end) = find_end(&self.buf[start..]).map(|end| start + end) else {
@@ -36,18 +37,18 @@
         Some(Event { id: read_id(&bytes), bytes })
     }
 
-    /// Whether the last event has not ended.
+    /// Whether the buffer holds an incomplete event.
     pub fn is_inside_event(&self) -> bool {
         !self.buf.is_empty()
     }
 
-    /// Bytes of the event that has not ended.
+    /// Number of bytes received of the incomplete event.
     pub fn pending(&self) -> usize {
         self.buf.len()
     }
 }
 
-/// End of the first empty line, whichever line ends are used.
+/// End of the first empty line; lines may end in LF or CRLF.
 fn find_end(buf: &[u8]) -> Option<usize> {
     for i in 0..buf.len() {
         if buf[i..].starts_with(b"\n\n") {
--- a/src/router/refusal.rs
+++ b/src/router/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of this system itself, where there is none of a server to pass on.
+//! Responses that the entry generates itself when there is no server response to forward.
 
 use std::time::Duration;
 
@@ -6,7 +6,9 @@
 
 use crate::{policy::availability::Cause, router::body::ResponseBody};
 
-/// Why a request gets no server's answer.
+/// Why a request gets a response from the entry instead of from a server.
+///
+/// The error text is the body of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub(crate) enum Refusal {
     #[error("the request can't be distinguished from others")]
@@ -19,54 +21,54 @@
     BodyTooLarge,
     #[error("the body did not arrive in time")]
     BodyTimeout,
-    /// Did not run and never will.
+    /// No server ran the request or will run it.
     #[error("no configuration yet")]
     NoConfiguration,
-    /// Did not run and never will.
+    /// No server ran the request or will run it.
     #[error("the process is about to end")]
     Leaving {
-        /// When an entry can be expected to take it.
+        /// Time until an entry is expected to accept the request.
         retry_after: Duration,
     },
-    /// Did not run and never will.
+    /// No server ran the request or will run it.
     #[error("no server can take it, back in {retry_after:?}")]
     NotRun {
-        /// When a server can be expected to take it.
+        /// Time until a server is expected to accept the request.
         retry_after: Duration,
     },
-    /// Did not run and never will.
+    /// All servers are at their rate limit; none ran the request or will run it.
     #[error("its servers take no more requests now, back in {retry_after:?}")]
     RateLimited {
-        /// When one of them can be expected to take it.
+        /// Time until one of them is expected to accept the request.
         retry_after: Duration,
     },
-    /// Did not run and never will.
+    /// No server ran the request or will run it.
     #[error("all its servers are {cause}, back in {retry_after:?}")]
     Unavailable {
-        /// Why the first of them that is back is away.
+        /// Why the server that becomes available first is unavailable now.
         cause: Cause,
-        /// When it can be expected to take it.
+        /// Time until that server is expected to accept the request.
         retry_after: Duration,
     },
-    /// Did not run in this try.
+    /// Servers crashed while running the request before; it was not run this time.
     #[error("servers ended under this request, which is refused for {retry_after:?}")]
     Quarantined {
-        /// When it may be tried again.
+        /// Time until the request may be sent again.
         retry_after: Duration,
     },
-    /// May have run.
+    /// A server may have run the request.
     #[error("it was sent and its answer is lost")]
     Lost,
-    /// May have run.
+    /// A server may have run the request.
     #[error("it was sent and no answer came in time")]
     TimedOut,
 }
 
-/// Time after which a caller may try again that came before the configuration.
+/// `Retry-After` of refusals that do not carry their own, such as [`Refusal::NoConfiguration`].
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 impl Refusal {
-    /// Status of the answer.
+    /// HTTP status of the response.
     pub(crate) fn status(self) -> StatusCode {
         match self {
             Self::Malformed => StatusCode::BAD_REQUEST,
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Code for logs and metrics.
+    /// Value of the `code` label in metrics.
     pub(crate) fn code(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
@@ -115,7 +117,7 @@
         }
     }
 
-    /// The whole answer.
+    /// The complete response: status, body, and `Retry-After` for a 503.
     pub(crate) fn response(self) -> Response<ResponseBody> {
         let mut res = Response::new(ResponseBody::whole(format!("{self}\n")));
         *res.status_mut() = self.status();
