--- a/src/router/listing.rs
+++ b/src/router/listing.rs
@@ -1,4 +1,8 @@
-//! The servers the store lists, and those that may have lapsed while it was away.
+//! The list of servers built from the store's rows.
+//!
+//! It bridges two faults of the store. After an outage, rows may have expired although their servers run; such
+//! servers are kept until they can have written their rows again. A store restored from an older copy may show
+//! rows of servers that have left; such rows are not used until the store would have dropped them.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -16,28 +20,30 @@
     telemetry::event,
 };
 
-/// Time for which it is remembered that a server left: a store comes back from a copy some seconds old.
+/// Time for which it is remembered that a server left. A store is restored from a copy that is some seconds old.
 const DEPARTED_RETENTION: Duration = Duration::from_secs(60);
-/// Time after which the store has dropped the row of a server that is gone: three heartbeats of 1.2 s, and the
-/// 0.8 s by which the list is read late.
+/// Time after which the store has dropped the row of a server that is gone: three heartbeats of 1.2 s, plus the
+/// 0.8 s by which the list may be read late.
 const RESTORED_ROW_HOLD: Duration = Duration::from_millis(4_400);
 
-/// The servers listed, and those missing since the store came back.
+/// The listed servers, and what is needed to judge rows that are missing or reappear.
 #[derive(Debug, Default)]
 pub(crate) struct Listing {
     servers: HashMap<Box<str>, BackendServer>,
-    /// Servers that may come back until this time.
+    /// Servers whose rows are missing, and until when the rows may reappear; the servers are used until then.
     missing: HashMap<Box<str>, Duration>,
-    /// Servers that left, and when: a store that comes back from an older copy may still have them.
+    /// Servers that left, and when; a store restored from an older copy may still list them.
     departed: HashMap<Box<str>, Duration>,
-    /// Such servers, until when the store would have dropped them if they are gone.
+    /// Departed servers that a restored store lists, and the time by which it would have dropped them if they are
+    /// gone.
     unconfirmed: HashMap<Box<str>, (BackendServer, Duration)>,
-    /// Rows that could not be read, by key, at this revision: each is logged once.
+    /// Rows that can't be parsed, by key, with their revision, so that each revision is logged once.
     unreadable: HashMap<Box<str>, Revision>,
 }
 
 impl Listing {
-    /// Takes in all rows or those that changed; what is removed may come back until then.
+    /// Applies rows read from the store. Servers whose rows are removed are kept until `doubtful_until`, if that
+    /// is set: the rows may have expired only because the store was unreachable.
     pub(crate) fn apply(
         &mut self,
         rows: &Rows,
@@ -64,7 +70,8 @@
         }
     }
 
-    /// Whether a row that the store came back with shows less than is known: the server wrote on since, or left.
+    /// Whether a row of a restored store is older than what is known: the server has written since, or has left.
+    /// A row of a server that left is held back for [`RESTORED_ROW_HOLD`].
     fn is_outdated(&mut self, server: &BackendServer, now: Duration) -> bool {
         if let Some(known) = self.servers.get(&server.id) {
             return known.born == server.born && server.sequence < known.sequence;
@@ -77,13 +84,15 @@
         has_left
     }
 
+    /// Applies one row that was not removed.
     fn put(&mut self, row: &Row, extent: Extent, now: Duration) {
         let known = self.servers.get(&row.key).and_then(|server| server.born);
         match read_server(row) {
             Ok(server) if known.is_some() && server.born.is_none() => {
-                self.reject_row(row, "it does not have its start, as it did before");
+                self.reject_row(row, "the row has no start time, unlike the server's earlier rows");
             }
-            // What a former life said, and what reached the store after the present one's first report.
+            // A write of an earlier incarnation that reached the store after the first one of the current
+            // incarnation.
             Ok(server) if server.born < known => {
                 event::FORMER_LIFE_SHOWN.log(format_args!(
                     "server={} shown={:?} known={known:?}",
@@ -102,7 +111,8 @@
         }
     }
 
-    /// Takes a row as one of another writer: its server is not used until it can be read again.
+    /// Treats a row as written by something other than its server. The server is not used until its row can be read
+    /// again.
     fn reject_row(&mut self, row: &Row, cause: &str) {
         self.missing.remove(&row.key);
         self.servers.remove(&row.key);
@@ -111,23 +121,26 @@
         }
     }
 
-    /// Servers that may be used. Where most report their start, all do: a row without it has another writer.
+    /// Servers that may be used. If most rows have a start time, all servers of the site report it, and a row without
+    /// one was written by something other than its server.
     pub(crate) fn usable(&self) -> impl Iterator<Item = &BackendServer> {
         let reporting = self.servers.values().filter(|server| server.born.is_some()).count();
         let is_reported = reporting * 2 > self.servers.len();
         self.servers.values().filter(move |server| !is_reported || server.born.is_some())
     }
 
-    /// Rows that can't be read.
+    /// Number of rows that can't be parsed.
     pub(crate) fn unreadable(&self) -> usize {
         self.unreadable.len()
     }
 
-    /// Whether a server's row is one that can't be read.
+    /// Whether a server's row can't be parsed.
     pub(crate) fn is_unreadable(&self, id: &str) -> bool {
         self.unreadable.contains_key(id)
     }
 
+    /// Removes a server whose row is gone, or marks it as missing if the row may reappear. A draining server is
+    /// always removed, since it announced that it would leave.
     fn remove(&mut self, id: &str, doubtful_until: Option<Duration>, now: Duration) {
         self.unreadable.remove(id);
         self.unconfirmed.remove(id);
@@ -145,8 +158,8 @@
         }
     }
 
-    /// Drops servers that did not come back in time, and takes in those that the store still lists though they
-    /// were seen to leave before it came back from a copy; whether there were any.
+    /// Drops missing servers whose rows did not reappear in time, and adds departed servers that a restored store
+    /// still lists after the hold time. Returns whether anything changed.
     pub(crate) fn expire(&mut self, now: Duration) -> bool {
         let before = self.servers.len();
         self.servers.retain(|id, _| self.missing.get(id).is_none_or(|until| now < *until));
--- a/src/router/quarantine_release.rs
+++ b/src/router/quarantine_release.rs
@@ -1,4 +1,4 @@
-//! Letting a refused request go, for operators on the admin address.
+//! Admin endpoint with which an operator releases a request from quarantine.
 
 use std::sync::Arc;
 
@@ -6,18 +6,18 @@
 
 use crate::router::Router;
 
-/// What became of an operator's wish.
+/// Outcome of an operator's command to release a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Released {
-    /// The request may be sent again, from all entries.
+    /// The request may be sent again by all entries.
     Done,
-    /// Nothing is held against it.
+    /// The request is not in quarantine.
     Unknown,
-    /// The text names no request.
+    /// The text is not a fingerprint.
     Unreadable,
 }
 
-/// `POST /quarantine/release/{fingerprint}` of the admin address.
+/// Serves `POST /quarantine/release/{fingerprint}` on the admin address.
 pub(crate) fn routes(router: Arc<Router>) -> HttpRouter {
     let release = move |Path(text): Path<String>| async move {
         match router.release(&text) {
--- a/src/router/servers.rs
+++ b/src/router/servers.rs
@@ -1,4 +1,4 @@
-//! The BackendServers as the store lists them.
+//! Keeps the fleet up to date with the store's table of BackendServers.
 
 use tokio::time::sleep;
 
@@ -14,7 +14,7 @@
     telemetry::event,
 };
 
-/// Follows the list of servers.
+/// Follows the store's table of servers and publishes a new fleet whenever it changes.
 pub(crate) async fn follow_servers(router: &Router, store: &StoreClient) {
     let listing = std::sync::Mutex::new(Listing::default());
     let apply = |rows: Rows, extent: Extent, contact: &Contact| {
@@ -37,6 +37,7 @@
     tokio::join!(follow(router, store, Table::Servers, apply), expire);
 }
 
+/// Replaces the router's fleet by the usable servers of the listing.
 fn publish_fleet(router: &Router, listing: &Listing) {
     let before = router.fleet.load_full();
     let next = before.with_servers(listing.usable().cloned(), router.now());
@@ -50,7 +51,8 @@
     record_versions(router);
 }
 
-/// Takes servers that have started again, or are gone without having said so, as ended.
+/// Records the end of servers that have restarted, or whose rows are gone though they had not announced that they
+/// are draining. A row that can't be read says nothing about its server.
 fn record_ended_servers(router: &Router, listing: &Listing, before: &Fleet, next: &Fleet) {
     for member in before.missing_from(next).filter(|member| !member.is_draining()) {
         let id = &member.server.id;
@@ -62,7 +64,7 @@
     }
 }
 
-/// Notes for the roll-outs under way which versions have servers.
+/// Records, for each roll-out in progress, which versions have servers.
 pub(super) fn record_versions(router: &Router) {
     let fleet = router.fleet.load();
     for order in router.roll_outs.running() {
--- a/src/router/version_rule.rs
+++ b/src/router/version_rule.rs
@@ -1,20 +1,21 @@
-//! Which versions of a service may run a request.
+//! Restriction of a request to certain versions of its service, as roll-outs require.
 
 use crate::routing::ServerVersion;
 
 /// Which versions may run a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) enum VersionRule {
-    /// All.
+    /// All versions.
     #[default]
     Any,
-    /// Only this one.
+    /// Only this version.
     Only(ServerVersion),
-    /// All but this one.
+    /// All versions but this one.
     Except(ServerVersion),
 }
 
 impl VersionRule {
+    /// Whether a server of this version may run the request.
     pub(crate) fn allows(&self, version: &str) -> bool {
         match self {
             Self::Any => true,
@@ -23,8 +24,8 @@
         }
     }
 
-    /// The rule, or none where it asks for a version that no server in view runs: the servers of
-    /// a version may be taken away before the news of why is here.
+    /// The rule, or [`Any`](Self::Any) if it requires a version that none of the known servers runs. The servers of a
+    /// version may be removed before this entry learns that its roll-out has ended.
     pub(crate) fn or_any_if_missing<'a>(self, mut versions: impl Iterator<Item = &'a str>) -> Self {
         match &self {
             Self::Only(only) if !versions.any(|version| *version == **only) => Self::Any,
