--- a/src/router/listen.rs
+++ b/src/router/listen.rs
@@ -1,4 +1,4 @@
-//! The addresses an entry listens on: callers, and the balancer's question whether it is ready.
+//! Listeners of an entry: one for callers and one for the load balancer's readiness check.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,15 +21,15 @@
     telemetry::{admin, event},
 };
 
-/// Least buffer hyper takes for a request's head, bytes.
+/// Smallest read buffer that hyper accepts, in bytes.
 const MIN_READ_BUFFER: usize = 8 << 10;
-/// Time an accept that failed is left alone, for want of descriptors.
+/// Pause after a failed accept: when file descriptors have run out, an immediate retry fails again.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Time that callers may use a connection beyond the limit that they were given.
+/// Time for which a connection stays usable beyond the idle timeout that callers are told.
 const IDLE_SLACK: Duration = Duration::from_secs(2);
 
-/// Takes callers' connections until `closing` says so, then closes those that are idle and waits
-/// for the others.
+/// Accepts connections from callers until `closing` turns true, then closes idle connections and waits for the
+/// others to finish.
 pub(crate) async fn serve_callers(
     router: Arc<Router>,
     listener: TcpListener,
@@ -53,8 +53,9 @@
     open.shutdown().await;
 }
 
+/// Serves the requests of one connection in a task of its own.
 fn serve_connection(router: &Arc<Router>, stream: TcpStream, open: &GracefulShutdown) {
-    // Without it a small event would wait for the caller's acknowledgement of the one before.
+    // Nagle's algorithm would hold back a small event until the caller has acknowledged the previous one.
     if let Err(e) = stream.set_nodelay(true) {
         event::ACCEPT_FAILED.log(format_args!("cause=\"{e}\""));
         return;
@@ -64,7 +65,7 @@
     let (router, connected_at) = (router.clone(), router.now());
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        // Covers the time between requests too, so it is the longer of the two limits.
+        // hyper also applies this timeout to the time between requests, so it has to be the longer of the two.
         .header_read_timeout(limits.idle_timeout.max(limits.header_timeout) + IDLE_SLACK)
         .max_buf_size(limits.header_bytes.max(MIN_READ_BUFFER))
         .serve_connection(
@@ -72,11 +73,11 @@
             service_fn(move |req| serve(router.clone(), req, connected_at)),
         );
     let connection = open.watch(connection);
-    // A caller that breaks off shows in its request, if one was under way.
+    // Connection errors can be ignored: if a request was in flight, its handling fails as well.
     tokio::spawn(async move { drop(connection.await) });
 }
 
-/// Answers the balancer, and serves metrics and the state dump beside it.
+/// Serves the load balancer's readiness check, and metrics and the state dump on the same address.
 pub(crate) async fn serve_readiness(
     router: Arc<Router>,
     listener: TcpListener,
--- a/src/router/observability.rs
+++ b/src/router/observability.rs
@@ -1,4 +1,4 @@
-//! What an entry shows of its state: metrics that are read on demand, and the dump.
+//! Metrics that are computed on demand, and the state dump of an entry.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 };
 
 impl Router {
-    /// Brings the gauges up to date that nothing else keeps so.
+    /// Updates the gauges that are not maintained as events occur.
     fn refresh_gauges(&self) {
         let now = self.now();
         let age = now.saturating_sub(self.views.answered_at()).as_millis();
@@ -43,7 +43,7 @@
         self.roll_outs.report(&self.metrics);
     }
 
-    /// What the admin address serves.
+    /// Handlers for the admin address.
     pub(crate) fn admin(self: &Arc<Self>) -> Admin {
         let (ready, dumped, shown) = (self.clone(), self.clone(), self.clone());
         Admin {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The state dump; it holds no keys.
+    /// The state dump. It contains no keys of Organisations.
     pub fn dump(&self) -> Value {
         let table = self.table.load();
         json!({
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -20,40 +20,40 @@
     telemetry::{admin, event},
 };
 
-/// Time before the end of the grace at which idle connections are closed.
+/// Time before the end of the grace period at which idle connections are closed.
 const IDLE_CLOSE_MARGIN: Duration = Duration::from_millis(700);
-/// Time between looks at whether requests are still in flight.
+/// Interval at which a stopping entry checks whether requests are still in flight.
 const IN_FLIGHT_POLL: Duration = Duration::from_millis(50);
 
-/// What an entry on the platform is started with.
+/// Settings of an entry on the platform.
 #[derive(Clone, Debug)]
 pub struct RouterSettings {
-    /// What the platform says about the Host.
+    /// The Host's settings, as provided by the platform.
     pub host: HostSettings,
-    /// What the operator settled about decisions.
+    /// The operator's policy settings.
     pub policy: RouteSettings,
 }
 
-/// Where an entry on the platform listens.
+/// Addresses on which an entry on the platform listens.
 #[derive(Clone, Copy, Debug)]
 pub struct RouterAddresses {
     /// For callers.
     pub caller: SocketAddr,
-    /// For the balancer.
+    /// For the load balancer's readiness check.
     pub readiness: SocketAddr,
-    /// For the other entries, if the role has such an address.
+    /// For other entries, if the settings name such an address.
     pub peer: Option<SocketAddr>,
 }
 
-/// An entry that runs.
+/// A running entry.
 #[derive(Debug)]
 pub struct RunningRouter {
-    /// Its state.
+    /// State of the entry.
     pub router: Arc<Router>,
-    /// Where it listens.
+    /// Addresses that were bound.
     pub addresses: RouterAddresses,
     closing: watch::Sender<bool>,
-    /// Ends the control thread when dropped.
+    /// Stops the control thread when dropped.
     _ending: watch::Sender<bool>,
     callers: JoinHandle<()>,
 }
@@ -61,7 +61,7 @@
 /// Starts an entry on the current runtime, with a control thread of its own.
 ///
 /// # Errors
-/// When an address can't be bound or the thread can't be made.
+/// If an address can't be bound or the control thread can't be spawned.
 pub async fn start(settings: RouterSettings) -> std::io::Result<RunningRouter> {
     let RouterSettings { host, policy } = settings;
     let callers = TcpListener::bind(host.caller).await?;
@@ -100,7 +100,7 @@
     Ok(RunningRouter { router, addresses, closing, _ending: ending, callers })
 }
 
-/// Serves metrics and the state dump on an address of their own.
+/// Serves metrics, the state dump and the release of quarantined requests on the admin address.
 fn serve_admin(router: &Arc<Router>, listener: TcpListener) {
     let app = admin::router(router.admin()).merge(quarantine_release::routes(router.clone()));
     tokio::spawn(async move {
@@ -110,7 +110,7 @@
     });
 }
 
-/// Runs control work until the entry ends.
+/// Runs the control tasks until the entry stops.
 async fn run_control(
     router: Arc<Router>,
     store: StoreClient,
@@ -130,7 +130,7 @@
     };
     tokio::select! {
         _ = work => {}
-        // An entry that was dropped without being stopped has ended, too.
+        // An error means that the sender was dropped without `stop`, which ends the entry as well.
         _ = has_ended.wait_for(|ended| *ended) => {}
     }
 }
@@ -153,7 +153,7 @@
 }
 
 impl RunningRouter {
-    /// Takes over the text of the platform's file; one that can't be read changes nothing.
+    /// Applies new text of the platform's settings file. Text that can't be parsed is logged and ignored.
     pub fn reload(&self, text: &str) {
         match host_settings::read(text) {
             Ok(settings) => {
@@ -164,8 +164,9 @@
         }
     }
 
-    /// Stops as planned: unready at once, callers served until the balancer has seen it, requests
-    /// in flight finished within the grace. Gives the number of requests cut off.
+    /// Performs a planned stop: reports unready at once, keeps accepting requests until the load balancer has
+    /// noticed, and lets requests in flight finish within the grace period. Returns the number of requests that
+    /// were cut off.
     pub async fn stop(self) -> usize {
         let router = &self.router;
         let began = router.now();
@@ -174,7 +175,7 @@
         event::PROCESS_LEAVING.log(format_args!("in_flight={}", router.in_flight()));
         sleep(READINESS_LAG).await;
         let grace = router.settings.load().grace;
-        // The balancer may still send callers here when it has nowhere else to send them.
+        // The load balancer still sends callers here if no other entry is ready.
         while router.in_flight() > 0 && elapsed() < grace.saturating_sub(IDLE_CLOSE_MARGIN) {
             sleep(IN_FLIGHT_POLL).await;
         }
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -1,4 +1,4 @@
-//! One caller's request, from its head to its answer.
+//! Handles one HTTP request of a caller: validates it, reads its body, and hands it to the relay.
 
 use std::{convert::Infallible, sync::Arc, time::Duration};
 
@@ -18,7 +18,7 @@
     telemetry::event,
 };
 
-/// Limits in force until a configuration sets some; those of both first deployments.
+/// Limits that apply until a configuration sets them; both first deployments use these values.
 pub(crate) const DEFAULT_LIMITS: CallerLimits = CallerLimits {
     header_bytes: 16 << 10,
     body_bytes: 4 << 20,
@@ -26,11 +26,11 @@
     idle_timeout: Duration::from_secs(15),
 };
 
-/// A request that has arrived; leaves the count of requests in flight when dropped.
+/// Counts a request as in flight until it is dropped.
 #[derive(Debug)]
 pub(crate) struct InFlightGuard {
     router: Arc<Router>,
-    /// When it arrived, on the entry's clock.
+    /// When the request arrived, on the entry's clock.
     pub(crate) arrived_at: Duration,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// Serves one request.
+/// Serves one request. Errors become responses, so this never fails.
 pub(crate) async fn serve(
     router: Arc<Router>,
     req: HttpRequest<Incoming>,
@@ -100,7 +100,7 @@
     relay::respond(router, ctx).await
 }
 
-/// The request's route and Organisation, if the configuration allows it.
+/// Finds the request's route and authenticates its Organisation.
 fn admit(
     table: &RoutingTable,
     head: &RequestHead,
@@ -116,6 +116,7 @@
     Ok((route.clone(), organisation))
 }
 
+/// Reads the request's body within the size and time limits.
 async fn read_body(body: Incoming, limits: &CallerLimits) -> Result<Bytes, Refusal> {
     let read = Limited::new(body, limits.body_bytes).collect();
     match timeout(limits.idle_timeout, read).await {
@@ -126,7 +127,7 @@
     }
 }
 
-/// The service that runs a request: by weight, the same one for a whole session.
+/// Chooses the route's target service by weight. All requests of a session get the same service.
 fn choose_service(route: &Route, head: &RequestHead) -> Box<str> {
     let all: f64 = route.targets.iter().map(|target| target.weight).sum();
     let mut left = draw(head.session_key(), &route.name) * all;
