--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -1,4 +1,4 @@
-//! What an entry on the platform holds.
+//! Shared state of an entry on the platform.
 
 use std::{
     collections::HashMap,
@@ -36,74 +36,76 @@
     telemetry::{Metrics, event},
 };
 
-/// Time the balancer needs to see that this entry is no longer ready: two questions, a second
-/// apart, and a little more.
+/// Time until the load balancer has noticed that this entry is no longer ready: two checks one second apart, plus a
+/// margin.
 pub(crate) const READINESS_LAG: Duration = Duration::from_millis(2_500);
-/// Time after which a caller may try another entry.
+/// `Retry-After` while the load balancer sends new connections to other entries.
 const RETRY_OTHER_ENTRY: Duration = Duration::from_millis(50);
-/// Time from the end of a process until the next one on its Host takes requests; 0.5 to 0.6 s in
-/// the logs of the first sites.
+/// Time from the exit of a process until its successor on the same Host accepts requests; 0.5 to 0.6 s in the logs
+/// of the first sites.
 const RESTART_TIME: Duration = Duration::from_millis(700);
-/// Time before the end of the grace at which what is left is cut.
+/// Time before the end of the grace period at which the remaining requests are cut off.
 pub(crate) const KILL_MARGIN: Duration = Duration::from_millis(300);
 
-/// Reading of the entry's clock when the process starts. It leaves room for times before the start,
-/// such as the begin of a roll-out that is under way; none of interest lies a day back.
+/// Reading of the entry's clock when the process starts. It is not zero, so that earlier times such as the start of
+/// a roll-out in progress can be represented; no time of interest lies more than a day back.
 const CLOCK_ORIGIN: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// Longest wait for the first configuration; 0.4 s on the slowest links of the grown sites after
-/// all hosts lost power, and half a second leaves most of a stream's time to its first event.
+/// Longest time a request waits for the first configuration and servers. They took 0.4 s to arrive on the slowest
+/// links of the larger sites after all hosts had lost power. Half a second leaves most of the time that a stream has
+/// until its first event.
 const MAX_VIEW_WAIT: Duration = Duration::from_millis(500);
 
-/// Time in which a process that starts or resumes learns what holds now: a read of the store takes 10 ms and
-/// a link 0.3 s. Later, requests are no longer held for it.
+/// Time after a start or resume for which requests wait for current data. A read of the store takes 10 ms, a link to
+/// another entry 0.3 s. After this time requests are served with the data at hand.
 const MAX_REFRESH_WAIT: Duration = Duration::from_secs(2);
-/// Trials that may be asked for at once; a caller beyond them is refused, and the next one asks.
+/// Capacity of the queue of quarantine trials. When it is full, the request is refused, and a later attempt asks for
+/// its trial again.
 const TRIAL_QUEUE: usize = 16;
 
-/// State of one entry, shared by its control and its traffic thread.
+/// State of one entry, shared by its control thread and its request-serving thread.
 pub struct Router {
-    /// What the platform says about this Host; replaced at a reload.
+    /// The Host's settings, as provided by the platform; replaced on reload.
     pub settings: ArcSwap<HostSettings>,
-    /// Configuration in force; none until one was read.
+    /// Configuration in force; `None` until the first one has been read.
     pub table: ArcSwap<Option<RoutingTable>>,
-    /// BackendServers in view.
+    /// Known BackendServers.
     pub fleet: ArcSwap<Fleet>,
-    /// AvailabilityZones that the operator wants nothing sent to.
+    /// AvailabilityZones that the operator has evacuated, so that nothing is sent there.
     pub(crate) evacuations: Evacuations,
-    /// This entry's place among all.
+    /// This entry's rank among all entries, by which limited sends are shared.
     pub(crate) own_place: OwnPlace,
-    /// Servers that advertise a limit in their answers.
+    /// Rate limits that servers advertise in their responses.
     pub(crate) limits: LimitBoard,
-    /// Roll-outs and the evidence on their versions.
+    /// Roll-outs and the evidence about their versions.
     pub roll_outs: RollOuts,
-    /// What the operator settled about decisions.
+    /// The operator's policy settings.
     pub policy: RouteSettings,
-    /// The store's rows as last seen.
+    /// Last known contents of the store's tables.
     pub(crate) views: Views,
-    /// What entries report to each other about the servers' load.
+    /// Load of the servers, as entries report it to each other.
     pub(crate) loads: LoadBoard,
-    /// What entries report to each other about prompt parts that servers keep.
+    /// Prompt prefixes in the servers' caches, as entries report them to each other.
     pub(crate) kept: KeptBoard,
-    /// What entries report to each other about requests under which servers ended.
+    /// Requests during which servers crashed, as entries report them to each other.
     pub(crate) quarantine: QuarantineBoard,
-    /// What was learned of the models' pace.
+    /// Measured speed of the models.
     pub(crate) readings: Readings,
-    /// What comes from another entry that is followed.
+    /// The link to another entry that this one follows instead of the store.
     pub(crate) link: Link,
-    /// Metrics.
+    /// Prometheus metrics.
     pub metrics: Metrics,
     pub(super) retry_budgets: Mutex<HashMap<Box<str>, SendBudget>>,
     extra_share: Mutex<ExtraShare>,
     overloads: Mutex<HashMap<Box<str>, Overload>>,
     lifecycle: Mutex<Lifecycle>,
     in_flight: AtomicUsize,
-    /// Wakes waiting requests when a configuration or servers come into view.
+    /// Wakes waiting requests when the configuration, the servers or other awaited data change.
     view_changed: Notify,
     stop_began: OnceLock<Duration>,
-    /// The entry's clock.
+    /// The entry's clock. All times of the request path are readings of it.
     pub clock: Clock,
-    /// Where trials of refused requests are asked for, and the end for the control thread to take.
+    /// Queue of requests for quarantine trials; the control thread takes the receiver.
     pub(crate) trials: (mpsc::Sender<TrialRequest>, Mutex<Option<mpsc::Receiver<TrialRequest>>>),
 }
 
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Time on the entry's clock.
+    /// Current time on the entry's clock.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
@@ -149,32 +151,32 @@
         CLOCK_ORIGIN
     }
 
-    /// Looks whether the Host was suspended; then what was received before is taken as old, and whoever waits
-    /// looks again.
+    /// Checks whether the Host has been suspended since the last check. If so, data received before the suspension is
+    /// treated as outdated and waiting requests check their condition again.
     pub(crate) fn notice_suspension(&self) -> bool {
         let Some(suspended) = self.clock.notice_suspension() else {
             return false;
         };
         event::HOST_RESUMED.log(format_args!("suspended_ms={}", suspended.as_millis()));
-        // Followed entries have given this one up meanwhile, and the store's calls are long over.
+        // By now the followed entry has dropped its link to this one, and calls to the store have timed out.
         self.link.set_current(false);
         self.view_changed.notify_waiters();
         true
     }
 
-    /// Whether configuration and servers were received since the Host last resumed. Where nobody reports them
-    /// in time, what was known before has to do, as where the store is away.
+    /// Whether configuration and servers have been received since the Host last resumed. If they don't arrive in
+    /// time, the earlier data counts as fresh, as it does while the store is unreachable.
     pub(crate) fn is_view_fresh(&self) -> bool {
         let woke_at = self.clock.woke_at();
         self.views.applied_at() >= woke_at || self.now() >= woke_at + MAX_REFRESH_WAIT
     }
 
-    /// Whether this entry knows what is refused, or nobody reported it in time.
+    /// Whether this entry has received the list of quarantined requests, or the time to wait for it is over.
     fn is_informed(&self) -> bool {
         self.quarantine.is_informed() || self.now() >= CLOCK_ORIGIN + MAX_REFRESH_WAIT
     }
 
-    /// Moves the process on.
+    /// Advances the state machine of the process's lifecycle.
     pub fn advance(&self, event: LifecycleEvent) {
         self.lifecycle.lock().expect("no panics under the lock").handle(&event);
     }
@@ -186,7 +188,7 @@
         self.view_changed.notify_waiters();
     }
 
-    /// Takes over the servers in view.
+    /// Replaces the known servers.
     pub(crate) fn set_fleet(&self, fleet: Fleet) {
         if let Some(table) = self.table.load().as_ref() {
             fleet.set_cache_capacities(&table.memories);
@@ -197,48 +199,48 @@
         self.view_changed.notify_waiters();
     }
 
-    /// Whether the settings name this entry as one that others may follow.
+    /// Whether the settings name this entry as a seed, which others may follow.
     pub(crate) fn is_seed(&self) -> bool {
         let settings = self.settings.load();
         settings.peer.is_some_and(|peer| settings.seeds.contains(&peer))
     }
 
-    /// Whether the settings name another entry that this one may follow instead of the store.
+    /// Whether the settings name a seed that this entry may follow instead of the store.
     pub(crate) fn may_follow(&self) -> bool {
         !self.is_seed() && !self.settings.load().seeds.is_empty()
     }
 
-    /// Whether this entry should follow another one: always, unless it is a seed that the store
-    /// answers.
+    /// Whether this entry should follow another one: always, unless it is a seed that reaches the store.
     pub(crate) fn needs_link(&self) -> bool {
         !self.is_seed() || self.views.is_cut_off() || self.table.load().is_none()
     }
 
-    /// Whether the link to another entry stands in for the store.
+    /// Whether this entry gets its data over the link to another entry instead of from the store.
     pub(crate) fn follows_link(&self) -> bool {
         !self.is_seed() && self.link.is_current()
     }
 
-    /// Whether those that follow this entry receive what the store says.
+    /// Whether this entry's data is current, so that others may follow it.
     pub(crate) fn is_current(&self) -> bool {
         self.table.load().is_some() && !self.views.is_cut_off()
     }
 
-    /// Wakes those who wait, since something they may wait for is known.
+    /// Wakes waiting requests, so that they check their condition again.
     pub(crate) fn wake_waiters(&self) {
         self.view_changed.notify_waiters();
     }
 
-    /// Waits for the first configuration, the first servers and the state of the roll-outs that were
-    /// ordered before; a process that has just started has them in a moment, and a caller who is refused
-    /// meanwhile may have no further try. An entry that took a completed roll-out as just begun sent
+    /// Waits for the first configuration, the first servers and the state of roll-outs that were ordered earlier. A
+    /// process that has just started receives them within moments, and a caller refused in the meantime may not get
+    /// another attempt. Without the state of roll-outs, an entry treated a completed roll-out as just begun and sent
     /// sessions back to the old version for two seconds, though its servers may be gone.
     pub(crate) async fn wait_for_view(&self) {
         let work = async {
             loop {
                 let view_changed = self.view_changed.notified();
                 let has_view = self.table.load().is_some() && !self.fleet.load().is_empty();
-                // Where the store is away this can't be known, and requests are not held for it.
+                // While the store is unreachable the state can't be learned, so requests wait only for a limited
+                // time.
                 let lately = self.now().saturating_sub(MAX_VIEW_WAIT);
                 let is_known = !self.roll_outs.is_any_unknown(lately);
                 let is_received = self.is_view_fresh() && self.is_informed();
@@ -248,23 +250,23 @@
                 view_changed.await;
             }
         };
-        // Without a view the request is refused by the checks that follow. A view from before a suspension is
-        // used where nobody reports a newer one in time.
+        // After a timeout, a request without configuration or servers is refused by later checks. Data from before a
+        // suspension is used if nothing newer arrives in time.
         let _ = timeout(MAX_VIEW_WAIT, work).await;
     }
 
-    /// Whether the balancer should send callers here.
+    /// Whether the load balancer should send callers here.
     pub fn is_ready(&self) -> bool {
         self.is_in(LifecycleState::Serving {})
     }
 
-    /// Notes that a planned stop began.
+    /// Records the start of a planned stop.
     pub(crate) fn begin_stop(&self) {
         self.stop_began.get_or_init(|| self.now());
         self.advance(LifecycleEvent::Leave);
     }
 
-    /// Whether a request on this route can still be finished once a planned stop began.
+    /// Whether a request on this route is still accepted: during a planned stop, only if it can finish in time.
     pub(crate) fn accepts(&self, route: &Route) -> bool {
         let Some(began) = self.stop_began.get() else {
             return true;
@@ -273,9 +275,9 @@
         still_fits(route, end.saturating_sub(self.now()))
     }
 
-    /// When a caller that is rejected by a leaving entry should come back. The balancer sends
-    /// new connections here only as long as it does not know, or when no other entry takes any:
-    /// then there is nothing before the next process on this Host.
+    /// `Retry-After` for a caller that a stopping entry rejects. The load balancer sends new connections here
+    /// only until it notices the stop, or if no other entry is ready; in the latter case the caller has to wait
+    /// for the next process on this Host.
     pub(crate) fn leaving_retry_after(&self, connected_at: Duration) -> Duration {
         let began = self.stop_began.get().copied().unwrap_or_default();
         if connected_at < began + READINESS_LAG {
@@ -284,7 +286,7 @@
         (began + self.settings.load().grace + RESTART_TIME).saturating_sub(self.now())
     }
 
-    /// Whether a planned stop began.
+    /// Whether the process is stopping or has stopped.
     pub fn is_leaving(&self) -> bool {
         !self.is_ready() && !self.is_in(LifecycleState::Starting {})
     }
@@ -293,31 +295,31 @@
         *self.lifecycle.lock().expect("no panics under the lock").state() == state
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Counts a request as in flight until the guard is dropped.
+    /// Counts a request as in flight, until [`record_request_finished`](Self::record_request_finished).
     pub(crate) fn record_request_started(&self) {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         self.metrics.in_flight.inc();
     }
 
-    /// Counts a request as no longer in flight.
+    /// Ends the counting of a request as in flight.
     pub(crate) fn record_request_finished(&self) {
         self.in_flight.fetch_sub(1, Ordering::Relaxed);
         self.metrics.in_flight.dec();
     }
 
-    /// Notes a caller's request for a service.
+    /// Counts a caller's request towards the retry budget of its service.
     pub(crate) fn record_request(&self, service: &str) {
         let terms = self.retry_limits();
         let mut retry_budgets = self.retry_budgets.lock().expect("no panics under the lock");
         retry_budgets.entry(service.into()).or_default().note_request(&terms, self.now());
     }
 
-    /// Takes one repeated send to a service from the budget.
+    /// Takes one retry from the service's budget; false if the budget is exhausted.
     pub(crate) fn take_retry(&self, service: &str) -> bool {
         let terms = self.retry_limits();
         let mut retry_budgets = self.retry_budgets.lock().expect("no panics under the lock");
@@ -327,22 +329,22 @@
         is_taken
     }
 
-    /// Notes that no server of a service could take a request; when its caller should come back.
+    /// Records that no server of a service could accept a request; returns the `Retry-After` for its caller.
     pub(crate) fn record_overload(&self, service: &str, request_id: &str) -> Duration {
         let mut overloads = self.overloads.lock().expect("no panics under the lock");
         let lasted = overloads.entry(service.into()).or_default().note_refusal(self.now());
         retry_after(lasted, draw(request_id, service))
     }
 
-    /// Whether the budget still holds a repeated send to a service.
+    /// Whether the service's budget still allows a retry.
     pub(crate) fn has_retry_left(&self, service: &str) -> bool {
         let terms = self.retry_limits();
         let mut retry_budgets = self.retry_budgets.lock().expect("no panics under the lock");
         retry_budgets.entry(service.into()).or_default().left(&terms, self.now()) >= 1.0
     }
 
-    /// Takes in how many entries there are, as far as one knows that all report to. There are as many
-    /// as the settings name at least, also where a seed is cut off from the others.
+    /// Records the number of entries, as counted by a seed that all of them report to. The settings give a lower
+    /// bound, since a seed that is cut off from the others counts too few.
     pub(crate) fn record_entries(&self, entries: usize) {
         let named = self.settings.load().seeds.len();
         let entries = u32::try_from(entries.max(named)).unwrap_or(u32::MAX);
@@ -350,11 +352,12 @@
         share.note(entries, self.now());
     }
 
-    /// Entries that this one knows of.
+    /// Number of entries that this one knows of.
     pub(super) fn entries(&self) -> u32 {
         self.extra_share.lock().expect("no panics under the lock").entries()
     }
 
+    /// Limits of the retry budgets; the extra retries are shared among all entries.
     pub(super) fn retry_limits(&self) -> SendTerms {
         let settings = self.settings.load();
         let window = settings.retry_window;
