--- a/src/router/fleet.rs
+++ b/src/router/fleet.rs
@@ -1,4 +1,4 @@
-//! The BackendServers in view.
+//! The set of known BackendServers.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -11,25 +11,25 @@
     telemetry::event,
 };
 
-/// Time for which the servers of a version that is new to its service get nothing while others can
-/// serve: the order of its roll-out is read up to 250 ms later than the list of servers. Without it two
-/// sessions ran on a new version within 30 ms (32 entries, a configuration changed 5 ms before the
-/// order).
+/// Time for which servers of a version that is new to its service are not used while others can serve. The order of
+/// the version's roll-out is read up to 250 ms after the list of servers. Without the delay, two sessions ran on a
+/// new version within 30 ms (32 entries, a configuration changed 5 ms before the order).
 const ROLL_OUT_ORDER_LAG: Duration = Duration::from_millis(500);
 
-/// All servers in view; replaced as a whole when the list changes.
+/// All known servers. A fleet is immutable and is replaced as a whole when the list changes.
 #[derive(Debug, Default)]
 pub struct Fleet {
     members: HashMap<Box<str>, Arc<Member>>,
     by_service: HashMap<Box<str>, Vec<Arc<Member>>>,
     by_short_hash: HashMap<u32, Arc<Member>>,
     departed: Departed,
-    /// Until when versions wait that came into view beside others, by service and version.
+    /// Versions that appeared next to others of their service, by service and version, and until when their
+    /// servers are held back.
     held_versions: HashMap<(Box<str>, ServerVersion), Duration>,
 }
 
 impl Fleet {
-    /// The fleet of these servers, which keeps what is known about those already in view.
+    /// A fleet of these servers that keeps the state of those already known.
     #[must_use]
     pub fn with_servers(
         &self,
@@ -66,7 +66,7 @@
         next
     }
 
-    /// Remembers the lives of a fleet `before` this one that are out of view.
+    /// Remembers the servers of the previous fleet that are no longer listed, in case their rows reappear.
     fn remember_departed(&mut self, before: &Self, now: Duration) {
         self.departed.take_over(&before.departed, |id| self.members.contains_key(id), now);
         for (id, member) in &before.members {
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Until when a server waits that has come into view after this fleet's `before`.
+    /// The time until which a new server is held back, given the fleet `before` this one. Zero unless its version
+    /// is new to a service that has other servers.
     fn hold_new_version(
         &mut self,
         before: &Self,
@@ -95,23 +96,23 @@
         now + ROLL_OUT_ORDER_LAG
     }
 
-    /// Whether a server's life is in view.
+    /// Whether this incarnation of a server is listed.
     pub(crate) fn has_incarnation(&self, member: &Member) -> bool {
         let listed = self.members.get(&member.server.id);
         listed.is_some_and(|listed| listed.is_same_incarnation(member))
     }
 
-    /// The server whose life has this hash.
+    /// The server whose incarnation has this hash.
     pub(crate) fn by_incarnation(&self, life: LifeHash) -> Option<&Arc<Member>> {
         self.by_short_hash(life as u32).filter(|member| member.incarnation_hash() == life)
     }
 
-    /// Whether a server of this id is in view.
+    /// Whether a server with this id is listed.
     pub(crate) fn has_id(&self, id: &str) -> bool {
         self.members.contains_key(id)
     }
 
-    /// Servers whose life is not in view in a later fleet.
+    /// Servers whose incarnation is not listed in a later fleet.
     pub(crate) fn missing_from<'a>(
         &'a self,
         later: &'a Self,
@@ -119,12 +120,12 @@
         self.members.values().filter(|member| !later.has_incarnation(member))
     }
 
-    /// Servers of a service.
+    /// The servers of a service.
     pub fn of_service(&self, service: &str) -> &[Arc<Member>] {
         self.by_service.get(service).map(Vec::as_slice).unwrap_or_default()
     }
 
-    /// Takes in how many tokens the servers of each service have memory for.
+    /// Sets the size of the servers' prompt caches, in tokens by service.
     pub(crate) fn set_cache_capacities(&self, memories: &HashMap<Box<str>, u64>) {
         for member in self.members.values() {
             if let Some(tokens) = memories.get(&member.server.service) {
@@ -133,22 +134,22 @@
         }
     }
 
-    /// The server whose id has this short hash.
+    /// The server with this [`Member::short_hash`].
     pub(crate) fn by_short_hash(&self, hash: u32) -> Option<&Arc<Member>> {
         self.by_short_hash.get(&hash)
     }
 
-    /// All servers in view.
+    /// All servers.
     pub(crate) fn members(&self) -> impl Iterator<Item = &Arc<Member>> {
         self.members.values()
     }
 
-    /// Servers in view.
+    /// Number of servers.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no servers.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
--- a/src/router/member.rs
+++ b/src/router/member.rs
@@ -1,4 +1,4 @@
-//! One BackendServer in view, and what this entry has learned about it.
+//! One BackendServer of the fleet, and what this entry has learned about it.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard},
@@ -26,8 +26,8 @@
     routing::BackendServer,
 };
 
-/// Rules by which a server is passed over. Out after two failures in a row: one lost answer is
-/// common here, and a third of a second request's time is too much to wait for a third.
+/// Outlier ejection of servers. A server is ejected after two consecutive failures: a single lost response is common
+/// here, and waiting for a third failure would cost a third of another request's time.
 const OUTLIER_RULES: OutlierRules = OutlierRules {
     out_after: 2,
     first_out: Duration::from_millis(500),
@@ -36,10 +36,10 @@
     most_out: 0.7,
 };
 
-/// Least time between log lines on a header of one server that can't be read: each answer may have it.
+/// Minimum time between log lines about an unreadable header of one server, since every response may have it.
 const LOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Whether something is to be logged again; then it is noted as logged.
+/// Whether an event is due to be logged again; if so, records it as logged now.
 fn should_log(logged_at: &mut Option<Duration>, now: Duration) -> bool {
     let should_log = logged_at.is_none_or(|at| now >= at + LOG_INTERVAL);
     if should_log {
@@ -52,71 +52,71 @@
     now.saturating_sub(since).as_millis() as u64
 }
 
-/// What this entry has learned about one life of a server.
+/// What this entry has learned about one incarnation of a server.
 #[derive(Debug, Default)]
 pub(crate) struct ServerState {
-    /// Belief about its load.
+    /// Estimated load.
     pub(crate) load: LoadBelief,
-    /// Its failures in a row.
+    /// Consecutive failures, for outlier ejection.
     pub(crate) outlier: Outlier,
-    /// Its failures of late.
+    /// Recent rate of failures.
     pub(crate) failure_rate: FailureRate,
-    /// Connections that wait for use, the longest idle first.
+    /// Idle connections, the one idle longest first.
     pub(crate) idle_connections: Vec<IdleConnection>,
-    /// Requests of this entry that it has not begun to answer.
+    /// Requests of this entry to which it has not begun to respond.
     pub(crate) unanswered: u32,
-    /// Time for the prompts it was sent and has not answered yet.
+    /// Prefill time of the prompts of those requests.
     pub(crate) backlog: Duration,
-    /// Prompt parts it is believed to keep.
+    /// Prompt prefixes that are presumably in its cache.
     pub(crate) kept: KeptParts,
-    /// When anything last came from it, on the entry's clock.
+    /// When data was last received from it, on the entry's clock.
     pub(crate) received_at: Duration,
-    /// Whether another server answered at its address.
+    /// Whether another server responded at its address.
     pub(crate) is_replaced: bool,
-    /// Sends of this entry while it took few.
+    /// Recent sends of this entry while the server was rate-limited.
     limited_sends: LimitedSends,
-    /// When it last advertised a limit that could not be read.
+    /// When an unreadable rate limit of it was last logged.
     limit_unreadable_at: Option<Duration>,
-    /// When it last asked for a pause that could not be read.
+    /// When an unreadable `Retry-After` of it was last logged.
     retry_after_unreadable_at: Option<Duration>,
-    /// What it has announced in its answers.
+    /// Drain notice and pause that it announced in its responses.
     pub(crate) announced: Announced,
-    /// How many requests of this entry it may have at once.
+    /// How many requests of this entry it may have in flight.
     send_window: SendWindow,
-    /// When nobody last listened at its address.
+    /// When a connection to its address was last refused.
     unreachable_at: Option<Duration>,
 }
 
-/// A server in view.
+/// A known server: its listing and its state, which is shared between successive listings.
 #[derive(Debug)]
 pub struct Member {
-    /// As the platform lists it.
+    /// The server as the platform lists it.
     pub server: BackendServer,
     id_hash: u64,
     held_until: Duration,
-    /// Until when its row says that it is cold; later than it is by the row's age.
+    /// Until when it is cold according to its row. This is too late by the age that the row had when it was read.
     cold_until: Duration,
-    /// Since when its row says that it is draining.
+    /// Since when its row has said that it is draining.
     draining_since: Option<Duration>,
     incarnation: Arc<Incarnation>,
 }
 
-/// One life of a server, whatever is listed of it meanwhile.
+/// State of one incarnation of a server, that is, one run of its process. It outlives changes of the listing.
 #[derive(Debug, Default)]
 struct Incarnation {
     state: Mutex<ServerState>,
     lost_requests: Mutex<LostRequests>,
-    /// Held by whoever looks whether the server listens.
+    /// Held while a task checks whether the server still listens.
     probe_lock: tokio::sync::Mutex<()>,
-    /// Turns true when the server has started again.
+    /// Turns true when the server has restarted.
     has_ended: watch::Sender<bool>,
 }
 
 impl Member {
-    /// A server seen for the first time, which gets nothing until then if others can serve.
+    /// A server seen for the first time. Until `held_until`, it is used only if no other server can serve.
     pub fn new(server: BackendServer, held_until: Duration, now: Duration) -> Self {
         let id_hash = hash_id(&server.id);
-        // Nobody knows since when.
+        // It is unknown since when, so assume the longest time.
         let draining_since = server.is_draining.then_some(Duration::ZERO);
         let cold_until = now + server.cold_for;
         Self {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The same life of the server with a newer listing.
+    /// The same incarnation with a newer listing.
     pub(super) fn with_listing(&self, server: BackendServer, now: Duration) -> Self {
         if server.address != self.server.address {
             self.state().is_replaced = false;
@@ -145,22 +145,22 @@
         }
     }
 
-    /// Until when its row says that it is cold.
+    /// Until when it is cold according to its row.
     pub(crate) fn cold_until(&self) -> Duration {
         self.cold_until
     }
 
-    /// When nobody last listened at its address; none where somebody always did.
+    /// When a connection to its address was last refused, if ever.
     pub(crate) fn unreachable_at(&self) -> Option<Duration> {
         self.state().unreachable_at
     }
 
-    /// When this entry may send to it next while it takes few.
+    /// When this entry may next send to it within its share of the rate limit.
     pub(crate) fn next_limited_at(&self, allowance: &Allowance, now: Duration) -> Duration {
         self.state().limited_sends.next_at(allowance, now)
     }
 
-    /// Takes a send to it from what this entry may send while it takes few; whether there was one.
+    /// Takes one send from this entry's share of the rate limit; false if the share is used up.
     pub(crate) fn take_limited_send(&self, allowance: &Allowance, now: Duration) -> bool {
         let mut state = self.state();
         let may = state.limited_sends.may_send(allowance, now);
@@ -170,55 +170,56 @@
         may
     }
 
-    /// Notes that it advertised a limit that can't be read; whether that is to be logged.
+    /// Records that it advertised an unreadable limit; returns whether to log that.
     pub(crate) fn record_unreadable_limit(&self, now: Duration) -> bool {
         should_log(&mut self.state().limit_unreadable_at, now)
     }
 
-    /// Notes that it asked for a pause that can't be read; whether that is to be logged.
+    /// Records that it sent an unreadable `Retry-After`; returns whether to log that.
     pub(crate) fn record_unreadable_retry_after(&self, now: Duration) -> bool {
         should_log(&mut self.state().retry_after_unreadable_at, now)
     }
 
+    /// Locks the state of this incarnation.
     pub(crate) fn state(&self) -> MutexGuard<'_, ServerState> {
         self.incarnation.state.lock().expect("no panics under the lock")
     }
 
-    /// Requests whose connection to it broke.
+    /// Locks the list of requests that got no response from it.
     pub(super) fn lost_requests(&self) -> MutexGuard<'_, LostRequests> {
         self.incarnation.lost_requests.lock().expect("no panics under the lock")
     }
 
-    /// Waits for the turn to look whether the server listens.
+    /// Acquires the right to check whether the server listens, so that one task checks at a time.
     pub(super) async fn lock_probe(&self) -> tokio::sync::MutexGuard<'_, ()> {
         self.incarnation.probe_lock.lock().await
     }
 
-    /// Waits until the list shows that the server has started again: what it ran is lost, though its
-    /// connections may never say so, and a caller would wait for that until its deadline. For a server that
-    /// was taken off the list in between, probes of its connections have to find out.
+    /// Waits until the list shows that the server has restarted. The requests it ran are lost then, but its
+    /// connections may never report an error, and callers would wait until their deadlines. If the server was
+    /// removed from the list in between, this never completes, and TCP keepalive has to detect the loss.
     pub(crate) async fn wait_until_ended(&self) {
         let mut has_ended = self.incarnation.has_ended.subscribe();
         if has_ended.wait_for(|ended| *ended).await.is_err() {
-            // Without a sender nobody can report it any more.
+            // The sender is gone, so the end can no longer be reported.
             std::future::pending::<()>().await;
         }
     }
 
-    /// Notes that this life has ended.
+    /// Records that this incarnation has ended.
     pub(super) fn mark_ended(&self) {
         self.incarnation.has_ended.send_replace(true);
     }
 
-    /// Drops what takes much memory and does not outlast a server that is out of view: its connections and what it
-    /// is believed to keep.
+    /// Drops the idle connections and the record of cached prompts, which take much memory and are of no use for
+    /// a server that is no longer listed.
     pub(super) fn release_memory(&self) {
         let mut state = self.state();
         state.idle_connections = Vec::new();
         state.kept = KeptParts::default();
     }
 
-    /// Notes an answer that shows the server as healthy; whether it is the first one after a pause.
+    /// Records a response that shows the server as healthy; returns whether it is the first one after a pause.
     pub(crate) fn record_answer(&self, now: Duration) -> bool {
         let mut state = self.state();
         state.outlier.note_answer(&OUTLIER_RULES);
@@ -227,14 +228,14 @@
         state.announced.note_answer(now)
     }
 
-    /// Notes a failure of the server.
+    /// Records a failure of the server.
     pub(crate) fn record_failure(&self, now: Duration) {
         let mut state = self.state();
         state.outlier.note_failure(&OUTLIER_RULES, now);
         state.failure_rate.note(true, now);
     }
 
-    /// Notes that nobody listens at the server's address, which one refusal shows.
+    /// Records that the server's address refused a connection. One refusal proves that nothing listens there.
     pub(crate) fn record_unreachable(&self, now: Duration) {
         let mut state = self.state();
         state.unreachable_at = Some(now);
@@ -242,31 +243,30 @@
         state.failure_rate.note(true, now);
     }
 
-    /// Notes that something came from the server.
+    /// Records that data was received from the server.
     pub(crate) fn record_received(&self, now: Duration) {
         self.state().received_at = now;
     }
 
-    /// Time for prompts sent to it that are not read yet, of all entries.
+    /// Prefill time of the prompts that all entries have sent to it and that it has not processed.
     pub(crate) fn backlog(&self, now: Duration) -> Duration {
         let state = self.state();
         state.backlog + state.load.others_backlog(now)
     }
 
-    /// The same as far as it counts in the choice of a server.
+    /// The same for server selection, where the prompts of other entries count only up to a bound.
     pub(crate) fn backlog_for_choice(&self, now: Duration) -> Duration {
         let state = self.state();
         state.backlog + state.load.others_backlog_for_choice(now)
     }
 
-    /// Hash of the server's life, cut to four bytes for the messages between entries: rarely two
-    /// servers share it, and then both are believed to have what either has. What entries report of a
-    /// former life finds no server.
+    /// Hash of the incarnation, cut to four bytes for the messages between entries. In the rare case that two servers
+    /// share it, what is reported of one counts for both. Reports about an earlier incarnation match no server.
     pub(crate) fn short_hash(&self) -> u32 {
         self.incarnation_hash() as u32
     }
 
-    /// Hash of the server's life.
+    /// Hash of the server's id and start time.
     pub(crate) fn incarnation_hash(&self) -> LifeHash {
         match self.server.born {
             Some(born) => xxh3_64_with_seed(&born.to_le_bytes(), self.id_hash),
@@ -274,27 +274,27 @@
         }
     }
 
-    /// Hash of its id.
+    /// Hash of the server's id.
     pub(crate) fn id_hash(&self) -> u64 {
         self.id_hash
     }
 
-    /// Answers of this entry that are awaited there.
+    /// Number of this entry's requests in flight at the server.
     pub(crate) fn outstanding(&self) -> u32 {
         self.state().load.own
     }
 
-    /// When anything last came from it.
+    /// When data was last received from it.
     pub(crate) fn received_at(&self) -> Duration {
         self.state().received_at
     }
 
-    /// Whether it has announced that it is draining, in its row or in an answer.
+    /// Whether it has announced that it is draining, in its row or in a response.
     pub fn is_draining(&self) -> bool {
         self.draining_since.is_some() || self.state().announced.draining_since().is_some()
     }
 
-    /// Notes a pause that it asked for as it rejected a request; whether none was under way.
+    /// Records a pause that it requested when it rejected a request; returns whether no pause was in effect.
     pub(super) fn record_pause(&self, pause: Duration, now: Duration) -> bool {
         let mut state = self.state();
         let others = state.load.own.saturating_sub(1);
@@ -302,14 +302,14 @@
         state.announced.note_pause(pause, now)
     }
 
-    /// Notes a drain notice in an answer; whether it is the first one. Idle connections to it are closed.
+    /// Records a drain notice in a response and closes the idle connections; returns whether it is the first notice.
     pub(super) fn record_draining(&self, now: Duration) -> bool {
         let mut state = self.state();
         state.idle_connections.clear();
         state.announced.note_draining(now)
     }
 
-    /// What this entry knows of it that speaks for or against a send.
+    /// What this entry knows about it that decides its availability.
     pub fn signals(&self, now: Duration) -> Signals {
         let state = self.state();
         Signals {
@@ -324,12 +324,12 @@
         }
     }
 
-    /// Whether the order of a roll-out to its version may not have been read yet.
+    /// Whether its version is new and the order of the version's roll-out may not have been read yet.
     pub fn awaits_roll_out_order(&self, now: Duration) -> bool {
         now < self.held_until
     }
 
-    /// The server as the choice sees it for a prompt with these shared parts.
+    /// Its properties for server selection, for a prompt with these shared parts.
     pub fn candidate(&self, zone: &str, marks: &[PromptMark], now: Duration) -> Candidate {
         let state = self.state();
         Candidate {
@@ -343,7 +343,7 @@
         }
     }
 
-    /// Whether two listings are of the same life of a server.
+    /// Whether two listings belong to the same incarnation of a server.
     pub(super) fn is_same_incarnation(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.incarnation, &other.incarnation)
     }
