--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request sent to one BackendServer, up to the head of its answer.
+//! One attempt: sends a request to one BackendServer and waits for the head of the response.
 
 use std::{pin::pin, sync::Arc, time::Duration};
 
@@ -24,13 +24,13 @@
     routing::{AnswerHead, AnswerKind, Request},
 };
 
-/// Counts a request as being at a server until it is dropped.
+/// Counts a request in the load of its server until it is dropped.
 #[derive(Debug)]
 pub(crate) struct OutstandingGuard {
     member: Arc<Member>,
-    /// Time for its prompt.
+    /// Prefill time of its prompt.
     prefill_time: Duration,
-    /// Whether its answer has begun.
+    /// Whether its response has begun.
     has_begun: bool,
 }
 
@@ -44,7 +44,7 @@
         Self { member: member.clone(), prefill_time, has_begun: false }
     }
 
-    /// Notes that an answer has begun, or that none is waited for any more.
+    /// Records that the response has begun or is no longer awaited.
     fn mark_begun(&mut self) {
         if std::mem::replace(&mut self.has_begun, true) {
             return;
@@ -62,22 +62,22 @@
     }
 }
 
-/// An answer whose head is here and whose body is still coming.
+/// A response whose head has arrived and whose body is still being received.
 ///
-/// Dropping it closes the connection, which stops the server's work.
+/// Dropping it closes the connection, which makes the server stop its work.
 #[derive(Debug)]
 pub(crate) struct OpenResponse {
     pub(crate) head: AnswerHead,
     pub(crate) body: Incoming,
     pub(crate) member: Arc<Member>,
-    /// Whether its head took several times longer than such heads do.
+    /// Whether its head took several times longer than usual.
     pub(crate) is_slow: bool,
     connection: Connection,
     _outstanding: OutstandingGuard,
 }
 
 impl OpenResponse {
-    /// Gives the connection back once the body was read to its end.
+    /// Returns the connection to the pool after the body was read to the end.
     pub(crate) fn finish(self, now: Duration) {
         if !self.head.closes {
             connection::check_in(&self.member, self.connection, now);
@@ -85,37 +85,37 @@
     }
 }
 
-/// Why an attempt brought no answer of the server.
+/// Why an attempt produced no response of the server.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AttemptError {
-    /// Nothing was sent.
+    /// No connection could be opened, so nothing was sent.
     #[error("not sent: {0}")]
     NotSent(#[from] ConnectError),
-    /// Nothing was sent: the server became unavailable while it was connected to.
+    /// The server became unavailable while the connection was opened, so nothing was sent.
     #[error("not sent: the server is {0}")]
     Unavailable(Cause),
-    /// The server says that it did not run it.
+    /// The server declared that it did not run the request.
     #[error("the server refused it with status {0}")]
     Refused(http::StatusCode),
-    /// Another server has the address.
+    /// Another server listens at the address.
     #[error("another server has the address")]
     OtherServer,
-    /// It was sent and may have run.
+    /// The connection failed after the request was sent; it may have run.
     #[error("the connection ended: {0}")]
     Lost(#[from] hyper::Error),
-    /// No head of an answer in time; it may have run.
-    #[error("no answer in time")]
+    /// No response head arrived in time; the request may have run.
+    #[error("no response in time")]
     Timeout,
-    /// Servers ended under it, at which it was at work as well; it may have run.
-    #[error("it is found to end servers")]
+    /// Servers crashed while running it, and it was quarantined while this attempt waited; it may have run.
+    #[error("the request was quarantined because servers crashed while running it")]
     Quarantined,
-    /// What came is not the server's answer to this request; it may have run.
-    #[error("the answer is not its server's or belongs to another request")]
+    /// The response is not the server's response to this request; the request may have run.
+    #[error("the response comes from another server or belongs to another request")]
     WrongResponse,
 }
 
 impl AttemptError {
-    /// Whether this proves that the request did not run and never will.
+    /// Whether the error proves that the request did not run and will not run.
     pub(crate) fn proves_not_run(&self) -> bool {
         matches!(
             self,
@@ -124,34 +124,35 @@
     }
 }
 
-/// How an attempt is to be made.
+/// Server, headers, timeouts and cached prompt parts of an attempt.
 #[derive(Debug)]
 pub(crate) struct AttemptPlan<'a> {
     pub(crate) member: &'a Arc<Member>,
     pub(crate) headers: AttemptHeaders<'a>,
     pub(crate) is_once_only: bool,
-    /// What head times are learned by: the model, or the service where there is none.
+    /// Key under which response times are learned: the model, or the service if there is none.
     pub(crate) latency_key: &'a str,
-    /// Parts of the prompt that other requests may share.
+    /// Prefixes of the prompt that other requests may share.
     pub(crate) marks: &'a [PromptMark],
-    /// How many of these the server kept before.
+    /// How many of these the server presumably had cached before the attempt.
     pub(crate) kept_marks: usize,
-    /// Tokens of the prompt that the server has to read.
+    /// Tokens of the prompt that the server has to process.
     pub(crate) uncached_tokens: u64,
-    /// How long its silence is tolerated; none where no other server may be tried after.
+    /// How long the server may be silent; `None` if no other server may be tried.
     pub(crate) patience: Option<Patience>,
-    /// When the request is given up in any case.
+    /// When the attempt is abandoned in any case.
     pub(crate) deadline: Duration,
 }
 
 impl AttemptPlan<'_> {
-    /// Parts that the server did not keep before this attempt.
+    /// Prefixes that the server presumably did not have cached before the attempt.
     fn new_marks(&self) -> &[PromptMark] {
         &self.marks[self.kept_marks..]
     }
 }
 
-/// Makes the attempt.
+/// Sends the request and waits for the head of the response. `can_fail_over` is asked whether a slow server may be
+/// abandoned for another one.
 pub(crate) async fn send(
     router: &Router,
     ctx: &RequestContext,
@@ -164,7 +165,7 @@
     let sent_at = router.now();
     record_prompt_sent(router, plan);
     router.count_unavailable_send(plan.member, ctx.send_kind());
-    // By the runtime's clock: a suspension says nothing about the server's pace.
+    // The runtime's clock stops during a suspension of the Host, which says nothing about the server's speed.
     let began = Instant::now();
     let outcome = send_request(router, ctx, plan, can_fail_over).await;
     if let Err(e) = &outcome {
@@ -194,7 +195,7 @@
     check_response(response)
 }
 
-/// Notes which parts of the prompt the server will keep, and lets the other entries know.
+/// Records which prefixes of the prompt the server will have cached, and reports them to the other entries.
 fn record_prompt_sent(router: &Router, plan: &AttemptPlan<'_>) {
     let now = router.now();
     let mut state = plan.member.state();
@@ -207,7 +208,7 @@
     }
 }
 
-/// Turns answers that are no answer to this request into errors.
+/// Turns responses that are not the server's result for this request into errors.
 fn check_response(response: OpenResponse) -> Result<OpenResponse, AttemptError> {
     match response.head.kind {
         AnswerKind::Success | AnswerKind::Failure => Ok(response),
@@ -223,6 +224,7 @@
     }
 }
 
+/// Updates what is known about the server from the head of its response.
 fn record_response_head(
     router: &Router,
     member: &Member,
@@ -243,21 +245,24 @@
     }
 }
 
+/// Counts an error against the server, if it is the server's fault.
 fn record_error(router: &Router, member: &Member, e: &AttemptError) {
     match e {
         AttemptError::Unavailable(_)
         | AttemptError::Refused(_)
         | AttemptError::OtherServer
         | AttemptError::Quarantined => {}
-        // Judged once it is known whether the server ended.
+        // Recorded by `server_ends`, once it is known whether the server crashed.
         AttemptError::Lost(_) => {}
         AttemptError::NotSent(ConnectError::Refused(_)) => member.record_unreachable(router.now()),
         _ => member.record_failure(router.now()),
     }
 }
 
+/// A response and the connection on which its body arrives.
 type ConnectionAndHead = (Connection, http::Response<Incoming>);
 
+/// Sends the request on a pooled connection, and on a new one if the server had closed the pooled one.
 async fn send_request(
     router: &Router,
     ctx: &RequestContext,
@@ -275,7 +280,7 @@
     let mut checkout = connection::check_out(plan.member, router.now(), plan.is_once_only).await?;
     loop {
         let Checkout { mut connection, is_reused } = checkout;
-        // Connecting takes time.
+        // The server may have become unavailable while the connection was opened.
         if let Some(cause) = router.stops_send(plan.member) {
             return Err(AttemptError::Unavailable(cause));
         }
@@ -289,7 +294,7 @@
             Ok(res) => return Ok((connection, res)),
             Err(e) => e,
         };
-        // A kept connection that the server had closed gives the request back unsent.
+        // If the server had closed the pooled connection, hyper returns the unsent request.
         let Some(unsent) = e.take_message().filter(|_| is_reused) else {
             return Err(AttemptError::Lost(e.into_error()));
         };
@@ -299,6 +304,7 @@
     }
 }
 
+/// Builds the HTTP request with the headers for the server.
 fn build_request(req: &Request, plan: &AttemptPlan<'_>) -> HttpRequest<Full<Bytes>> {
     let mut message = HttpRequest::new(Full::new(req.body.clone()));
     *message.method_mut() = req.head.method.clone();
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which server a request is tried at next, until one answers or nothing more may be tried.
+//! Sends a request to one server after another, until one responds or no further attempt is allowed.
 
 use std::{sync::Arc, time::Duration};
 
@@ -23,16 +23,17 @@
     telemetry::event,
 };
 
-/// Sends of one request that reach a server at most, refused ones included: with more, a full
-/// pool would be asked over and over.
+/// Maximum number of attempts of one request that reach a server, including those that the server refuses. With more,
+/// requests would keep asking a pool that is full.
 const MAX_DELIVERIES: u32 = 5;
-/// Servers that one request is tried at, those included that can't be reached: these cost a round
-/// trip each, and half of a pool may be gone before the list says so.
+/// Maximum number of attempts of one request, including those at unreachable servers. An unreachable server costs one
+/// round trip, and half of a pool may be gone before the list shows it.
 const MAX_ATTEMPTS: usize = 12;
-/// Least time left with which a server is still asked.
+/// Minimum time before the deadline with which another attempt is made.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
 
-/// Tries servers until one answers; the answer may be the server's own failure.
+/// Sends a request to servers until one succeeds. If none does, returns the last failure response of a server, or
+/// else a refusal.
 pub(crate) async fn send_until_answered(
     router: &Router,
     ctx: &mut RequestContext,
@@ -52,7 +53,7 @@
         match router.acquire_send(&member) {
             SendPermit::Unlimited => {}
             SendPermit::Limited => router.metrics.count_limited(ctx.send_kind()),
-            // The choice is made anew.
+            // The server became unavailable since it was selected; select again.
             SendPermit::Denied => continue,
         }
         match attempt_at(router, ctx, &member, params).await {
@@ -70,7 +71,7 @@
     }
 }
 
-/// What the caller gets when nothing more is tried.
+/// The refusal for the caller when no further attempt is made.
 fn refusal_after_attempts(
     router: &Router,
     ctx: &RequestContext,
@@ -89,7 +90,8 @@
                 router.metrics.count_limited("refused");
                 return Refusal::RateLimited { retry_after: retry_after.max(wait) };
             }
-            // Spread, so that callers don't come back together when the first pause ends.
+            // The spread in `retry_after` keeps callers from returning all at once when the first server is
+            // available.
             Refusal::Unavailable { cause, retry_after: wait + retry_after }
         }
         _ if ctx.time_left(router) < MIN_TIME_LEFT => Refusal::TimedOut,
@@ -97,7 +99,7 @@
     }
 }
 
-/// The next server, if another attempt may be made.
+/// The server for the next attempt, if one is allowed. Servers that were not tried yet are preferred.
 fn next_server(
     router: &Router,
     ctx: &RequestContext,
@@ -117,8 +119,8 @@
     untried.or_else(|| select_server(router, ctx, params, |server| !ctx.is_unreachable(server)))
 }
 
-/// Whether the request could go on at another server than this one; takes the repeated send that
-/// it needs from the budget.
+/// Whether the request can be moved from its current server to an untried one; if so, takes the retry that this needs
+/// from the budget.
 pub(crate) fn reserve_failover(
     router: &Router,
     ctx: &RequestContext,
@@ -130,6 +132,7 @@
         && router.take_retry(&ctx.service)
 }
 
+/// Makes one attempt at a server and records its outcome.
 async fn attempt_at(
     router: &Router,
     ctx: &mut RequestContext,
@@ -144,10 +147,10 @@
     let kept_marks = member.state().kept.kept_marks(&marks);
     let kept_tokens: u64 = marks[..kept_marks].iter().map(|mark| mark.tokens).sum();
     let uncached_tokens = prompt_tokens.saturating_sub(kept_tokens);
-    // What is believed to be kept may be gone: the time for the whole prompt is allowed.
+    // Cached prefixes may have been evicted, so the timeout allows for processing the whole prompt.
     let prefill_time = belief.reading_time(prompt_tokens);
     let (kind, objective) = (ctx.route.kind, ctx.route.objective);
-    // This one is awaited there, too.
+    // Includes this request.
     let outstanding = member.outstanding() + 1;
     let patience = head_patience(kind, objective, belief.head_time(), prefill_time, outstanding);
     let plan = AttemptPlan {
@@ -194,7 +197,7 @@
     result
 }
 
-/// State of an attempt after its result, and the word for it in metrics.
+/// The state of an attempt after its result, and the value of the `outcome` label in metrics.
 fn classify_result(result: &Result<OpenResponse, AttemptError>) -> (AttemptState, &'static str) {
     let sent = attempt::advance(attempt::fresh(), AttemptEvent::Sent);
     match result {
@@ -207,7 +210,8 @@
     }
 }
 
-/// Counts an attempt that may have run for or against its server, its version and the request itself.
+/// Records the outcome of an attempt that may have run, as evidence about its server, its version and the request
+/// itself.
 async fn record_run_outcome(
     router: &Router,
     ctx: &RequestContext,
@@ -215,7 +219,7 @@
     result: &Result<OpenResponse, AttemptError>,
 ) {
     let outcome = match result {
-        // It may have begun to run, and end the server all the same.
+        // The server may have begun to run the request and may still crash.
         Err(AttemptError::Quarantined) => {
             return record_lost(router, ctx, member, LossCause::Disconnected);
         }
@@ -225,7 +229,7 @@
             return router.roll_outs.note_silence(&member.server, router.now());
         }
         Ok(response) if response.head.kind == AnswerKind::Success => {
-            // Judged when its body has ended, but for a stream that is late already.
+            // Recorded at the end of the body, except for a stream whose head was already slow.
             if !response.is_slow || ctx.route.kind != RouteKind::Stream {
                 return;
             }
--- a/src/router/request_context.rs
+++ b/src/router/request_context.rs
@@ -1,4 +1,4 @@
-//! A request on its way through this entry, and what its attempts ask for.
+//! The state of one request while this entry handles it, and the parameters of its attempts.
 
 use std::{
     sync::{Arc, OnceLock},
@@ -11,35 +11,36 @@
     routing::{Fingerprint, Organisation, Request, Route},
 };
 
-/// A request on its way through this entry.
+/// A request that is being handled, with the record of its attempts.
 #[derive(Debug)]
 pub(crate) struct RequestContext {
     pub(crate) req: Request,
     pub(crate) route: Arc<Route>,
-    /// Service that runs it.
+    /// Service that runs the request.
     pub(crate) service: Box<str>,
     pub(crate) organisation: Option<Arc<Organisation>>,
-    /// When the caller or the route gives up, on the entry's clock as all times here.
+    /// When the timeout of the caller or the route ends. This and the other times are on the entry's clock.
     pub(crate) deadline: Duration,
-    /// When the next answer has to begin, while an earlier stage's answer is in hand.
+    /// When the response of a larger model has to begin, while that of an earlier cascade stage is held as a
+    /// fallback.
     pub(crate) head_deadline: Option<Duration>,
-    /// When it arrived.
+    /// When the request arrived.
     pub(crate) arrived_at: Duration,
-    /// Counts it as in flight, also while its stream is passed on.
+    /// Counts the request as in flight until its response has been relayed.
     _in_flight: InFlightGuard,
     pub(crate) attempts: Vec<AttemptState>,
-    /// Attempts that may have run.
+    /// Attempts that may have run on a server.
     pub(crate) runs: u32,
     /// Attempts that reached a server.
     pub(super) deliveries: u32,
-    /// Whether a repeated send was taken from the budget and not used yet.
+    /// Whether a retry was taken from the budget and not used yet.
     pub(super) has_retry: bool,
     pub(super) tried_servers: Vec<Box<str>>,
     /// Servers that could not be reached.
     pub(super) unreachable_servers: Vec<Box<str>>,
-    /// Whether it is sent once to see whether it still ends servers.
+    /// Whether this is a trial of a quarantined request: it is run once to see whether it still crashes servers.
     pub(crate) is_quarantine_trial: bool,
-    /// Computed when it is first asked for: most requests never need it.
+    /// Computed on first use, since most requests never need it.
     fingerprint: OnceLock<Fingerprint>,
 }
 
@@ -73,69 +74,73 @@
         }
     }
 
-    /// What it is known by when it comes again.
+    /// Identifies the request when it is sent again under another id.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| Fingerprint::of(&self.req, self.organisation.as_deref()))
     }
 
-    /// Runs that it may still cause.
+    /// Number of further runs that the route allows.
     pub(crate) fn runs_left(&self) -> u32 {
         self.route.max_attempts.saturating_sub(self.runs)
     }
 
+    /// Time until the deadline.
     pub(crate) fn time_left(&self, router: &Router) -> Duration {
         self.deadline.saturating_sub(router.now())
     }
 
-    /// When servers are waited for no longer.
+    /// When the next attempt has to have begun to respond.
     pub(super) fn attempt_deadline(&self) -> Duration {
         self.head_deadline.unwrap_or(self.deadline)
     }
 
-    /// Takes a repeated send from the budget, unless one is in hand; false when there is none.
+    /// Takes a retry from the budget unless an unused one is held; false if the budget is exhausted.
     pub(super) fn take_retry(&mut self, router: &Router) -> bool {
         self.has_retry = self.has_retry || router.take_retry(&self.service);
         self.has_retry
     }
 
-    /// Whether a server could not be reached for this request. With the last one of a service gone, each request
-    /// asked it 10 to 12 times within 40 ms, and logged each time, before it was refused.
+    /// Whether a server could not be reached for this request. Without this check, when the last server of a
+    /// service was gone, each request tried it 10 to 12 times within 40 ms, with a log line each, before the
+    /// request was refused.
     pub(super) fn is_unreachable(&self, server: &str) -> bool {
         self.unreachable_servers.iter().any(|unreachable_servers| **unreachable_servers == *server)
     }
 
-    /// The next send in metrics.
+    /// Value of the `send` label in metrics for the next attempt.
     pub(crate) fn send_kind(&self) -> &'static str {
         if self.attempts.is_empty() { "first" } else { "further" }
     }
 
+    /// Whether an attempt was made at this server.
     pub(super) fn has_tried(&self, server: &str) -> bool {
         self.tried_servers.iter().any(|tried_servers| **tried_servers == *server)
     }
 
-    /// Notes that a repeated send was taken from the budget for what comes next.
+    /// Records that a retry was taken from the budget for the next attempt.
     pub(crate) fn mark_retry_taken(&mut self) {
         self.has_retry = true;
     }
 
-    /// Notes that an attempt which had been sent came to nothing.
+    /// Records that the response to the last attempt was lost.
     pub(crate) fn mark_last_attempt_lost(&mut self) {
         if let Some(last) = self.attempts.last_mut() {
             *last = attempt::advance(*last, AttemptEvent::LinkLost);
         }
     }
 
+    /// Priority of the Organisation, or else of the route.
     pub(crate) fn priority(&self) -> u8 {
         let of_organisation = self.organisation.as_ref().and_then(|o| o.priority);
         of_organisation.unwrap_or(self.route.priority)
     }
 }
 
-/// What an attempt is to ask for.
+/// What an attempt requests beyond the caller's own request.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct AttemptParams<'a> {
-    /// Model that we chose.
+    /// Model chosen by the cascade.
     pub(crate) model: Option<&'a str>,
-    /// Last event the caller has.
+    /// Last event that the caller has received, after which a resumed stream continues.
     pub(crate) last_event: Option<u64>,
 }
--- a/src/router/stages.rs
+++ b/src/router/stages.rs
@@ -1,4 +1,4 @@
-//! The stages of a cascade: whose answer is passed on.
+//! Runs a cascade of models and decides which stage's response goes to the caller.
 
 use std::sync::Arc;
 
@@ -16,15 +16,16 @@
     telemetry::event,
 };
 
-/// An answer, and the model of the cascade that gave it.
+/// A response and the model of the cascade that produced it.
 #[derive(Debug)]
 pub(crate) struct StageResponse {
     pub(crate) response: OpenResponse,
-    /// None where the caller named the model, or there is none.
+    /// `None` if the caller named the model or the route has no cascade.
     pub(crate) model: Option<Box<str>>,
 }
 
-/// The first answer of a cascade that is good enough. An earlier stage's answer is kept until the larger model has begun, and passed on where that does not come in time.
+/// Runs models of the cascade until a response is good enough. The response of an earlier stage is held as a fallback
+/// until the larger model has begun to respond, and is used if that does not happen in time.
 pub(crate) async fn run_cascade(
     router: &Arc<Router>,
     ctx: &mut RequestContext,
@@ -56,7 +57,7 @@
     }
 }
 
-/// What decides whether the answer of a stage is passed on.
+/// The input for the decision whether to escalate to a larger model.
 fn escalation_input(
     router: &Router,
     ctx: &RequestContext,
@@ -81,7 +82,7 @@
     }
 }
 
-/// Logs an answer that is passed on because the larger model gave none in time.
+/// Logs that an earlier stage's response is used because the larger model did not respond in time.
 fn log_fallback(router: &Router, ctx: &RequestContext, earlier: &StageResponse) {
     let StageResponse { response, model } = earlier;
     let model = model.as_deref().unwrap_or("-");
