--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -1,4 +1,5 @@
-//! Passing an answer on: in one piece, or event by event with a resume where a server breaks off.
+//! Forwards responses to callers: buffered, or event by event. A stream that breaks off is resumed at another
+//! server if its route allows that.
 
 use std::{pin::pin, sync::Arc, time::Duration};
 
@@ -28,14 +29,14 @@
     telemetry::event,
 };
 
-/// Largest answer in one piece, bytes; it is held until it is whole.
+/// Maximum size of a buffered response, in bytes.
 const MAX_WHOLE_BODY: usize = 4 << 20;
-/// Largest event of a stream, bytes.
+/// Maximum size of one event of a stream, in bytes.
 const MAX_EVENT: usize = 1 << 20;
-/// Parts that may wait for a slow caller before the server is no longer read.
+/// Number of stream parts buffered for a slow caller before reading from the server pauses.
 const RELAY_QUEUE: usize = 8;
 
-/// Runs a job and gives the answer for its caller.
+/// Runs a request and returns the response for its caller.
 pub(crate) async fn respond(
     router: &Arc<Router>,
     mut ctx: RequestContext,
@@ -57,6 +58,7 @@
     Ok(res)
 }
 
+/// Runs a request whose response is buffered. A response that is lost before it is complete is requested again.
 async fn respond_whole(
     router: &Arc<Router>,
     ctx: &mut RequestContext,
@@ -67,7 +69,7 @@
         match read_until_deadline(router, ctx, response).await {
             Some(Ok(res)) => return Ok(res),
             Some(Err(())) => {}
-            // At the deadline, or when the server has started again: then it may be tried elsewhere.
+            // The deadline has passed, or the server has restarted. In the latter case another server may be tried.
             None => {
                 record_lost(router, ctx, &server, LossCause::Abandoned);
                 router.roll_outs.note_silence(&server.server, router.now());
@@ -77,7 +79,7 @@
     }
 }
 
-/// Reads an answer in one piece; none at the deadline, or when its server has started again.
+/// Reads a response to its end; `None` if the deadline passes or the server restarts.
 async fn read_until_deadline(
     router: &Router,
     ctx: &RequestContext,
@@ -95,6 +97,7 @@
     wait_for_response(router, &wait, read, || false).await
 }
 
+/// A response with the status and headers of a server's response and an empty body.
 fn response_with_head(head: &AnswerHead) -> Response<ResponseBody> {
     let mut res = Response::new(ResponseBody::whole(""));
     *res.status_mut() = head.status;
@@ -102,7 +105,7 @@
     res
 }
 
-/// Reads an answer to its end, so that nothing of it is passed on unless all of it is here.
+/// Reads a response to its end, so that the caller gets all of it or nothing.
 async fn read_to_end(
     router: &Router,
     ctx: &RequestContext,
@@ -124,12 +127,12 @@
     Ok(res)
 }
 
-/// Why a server's stream was not read on.
+/// Why a server's stream was not read to its end.
 #[derive(Debug, thiserror::Error)]
 enum StreamError {
     #[error("the connection ended: {0}")]
     Lost(#[from] hyper::Error),
-    #[error("it ended within an event")]
+    #[error("the stream ended within an event")]
     TruncatedEvent,
     #[error("no event in time")]
     Silent,
@@ -139,11 +142,11 @@
     TooLarge,
     #[error("the caller is gone")]
     CallerGone,
-    #[error("it is found to end servers")]
+    #[error("the request was quarantined because servers crashed while running it")]
     Quarantined,
 }
 
-/// When a stream's events came, on the entry's clock.
+/// When the events of a stream were relayed to the caller, over all servers, on the entry's clock.
 #[derive(Clone, Copy, Debug)]
 struct StreamTiming {
     arrived_at: Duration,
@@ -158,6 +161,7 @@
         Self { arrived_at, last: None, time_to_first, longest_gap }
     }
 
+    /// Records an event that was passed to the caller's connection.
     fn record_event(&mut self, now: Duration) {
         match self.last.replace(now) {
             None => self.time_to_first = now - self.arrived_at,
@@ -166,13 +170,14 @@
     }
 }
 
-/// When the events of one run came, by the runtime's clock: a suspension says nothing about the server's pace.
+/// When the events of one server's run arrived. Uses the runtime's clock, which stops during a suspension of the
+/// Host, since a suspension says nothing about the server's speed.
 #[derive(Clone, Copy, Debug, Default)]
 struct RunTiming {
     first: Option<Instant>,
     last: Option<Instant>,
     gaps: u32,
-    /// Whether it was counted against its version already.
+    /// Whether the run was already counted as slow against its version.
     is_counted: bool,
 }
 
@@ -184,7 +189,7 @@
         }
     }
 
-    /// Time from the first event to the last.
+    /// Time from the first event to the last one.
     fn took(&self) -> Duration {
         let Some((first, last)) = self.first.zip(self.last) else {
             return Duration::ZERO;
@@ -193,24 +198,26 @@
     }
 }
 
-/// Passes a stream on.
+/// Task that relays a stream to its caller.
 struct Relay {
     router: Arc<Router>,
     ctx: RequestContext,
     model: Option<Box<str>>,
     tx: mpsc::Sender<StreamPart>,
-    /// Last event passed on.
+    /// Id of the last event that was relayed.
     last_event: Option<u64>,
     timing: StreamTiming,
 }
 
 impl Relay {
+    /// Relays the stream until it is complete, can't be resumed, or the caller is gone. A stream that ends without
+    /// [`StreamPart::End`] is interrupted for the caller.
     async fn run(mut self, first: OpenResponse) {
         let mut response = first;
         loop {
             let server = response.member.clone();
             let Err(e) = self.relay_events(response).await else {
-                // A caller that has left no longer minds whether the end arrives.
+                // A failed send means that the caller is gone, which no longer matters.
                 let _ = self.tx.send(StreamPart::End).await;
                 self.router.note_answered_whole(&self.ctx);
                 self.log_if_late(&server);
@@ -234,11 +241,11 @@
         }
     }
 
-    /// Counts a stream that broke off against its server, its version and the request itself.
+    /// Records a stream that broke off, as evidence about its server, its version and the request itself.
     async fn record_stream_error(&self, server: &Arc<Member>, e: &StreamError) {
         let (router, ctx) = (&self.router, &self.ctx);
         match e {
-            // It may have begun to run, and end the server all the same.
+            // The server may have begun to run the request and may still crash.
             StreamError::Quarantined => record_lost(router, ctx, server, LossCause::Disconnected),
             StreamError::Silent => {
                 server.record_failure(router.now());
@@ -249,7 +256,7 @@
         }
     }
 
-    /// Asks another server for the rest.
+    /// Requests the rest of the stream from another server.
     async fn resume(&mut self) -> Option<OpenResponse> {
         if !self.ctx.route.is_resumable {
             return None;
@@ -260,13 +267,13 @@
         (response.head.kind == AnswerKind::Success).then_some(response)
     }
 
-    /// What another server is asked for.
+    /// Parameters for resuming the stream at another server.
     fn params(&self) -> AttemptParams<'_> {
         let last_event = self.last_event.or(self.ctx.req.head.last_event);
         AttemptParams { model: self.model.as_deref(), last_event }
     }
 
-    /// Passes one server's events on until its stream ends whole.
+    /// Relays the events of one server until its stream is complete.
     async fn relay_events(&mut self, mut response: OpenResponse) -> Result<(), StreamError> {
         let mut splitter = EventSplitter::default();
         let mut run = RunTiming::default();
@@ -317,7 +324,7 @@
         }
     }
 
-    /// Counts a run against its version as soon as its events come far too slowly.
+    /// Counts a run as slow against its version as soon as its events arrive far too slowly.
     fn check_pace(&self, response: &OpenResponse, run: &mut RunTiming) {
         run.record_event(Instant::now());
         if run.is_counted || !self.reading().is_trickle(run.gaps, run.took()) {
@@ -327,11 +334,11 @@
         self.router.roll_outs.note_outcome(&response.member.server, RunOutcome::Slow);
     }
 
-    /// Counts a run that ended whole for its version, and learns its pace.
+    /// Records a complete run as evidence for its version, and learns the time between its events.
     fn record_complete_run(&self, response: &OpenResponse, run: &RunTiming) {
         let (server, roll_outs) = (&response.member.server, &self.router.roll_outs);
-        // Slow runs count in the mean, too: without them it falls, and more runs are called slow. A
-        // version on trial does not set the pace that it is measured by.
+        // Slow runs are included in the mean: without them it would fall, and more runs would count as slow. A
+        // version that is being rolled out must not influence the mean that it is measured by.
         if run.gaps > 0 && !roll_outs.is_on_trial(server) {
             self.router.readings.note_pace(self.latency_key(), run.took() / run.gaps);
         }
@@ -348,7 +355,7 @@
         latency_key(&self.ctx, AttemptParams { model: self.model.as_deref(), last_event: None })
     }
 
-    /// Logs a stream that ended whole but came later than its route aims at.
+    /// Records the latency of a complete stream in metrics, and logs it if it missed its route's objectives.
     fn log_if_late(&self, server: &Member) {
         let (first, pause) = (self.timing.time_to_first, self.timing.longest_gap);
         self.router.metrics.first_token.observe(first.as_secs_f64());
@@ -372,6 +379,7 @@
         ));
     }
 
+    /// Checks that no event is missing between the last one and the one with this id.
     fn check_order(&self, id: Option<u64>) -> Result<(), StreamError> {
         match (id, self.last_event) {
             (Some(id), Some(last)) if id != last + 1 => Err(StreamError::MissingEvent),
@@ -379,7 +387,7 @@
         }
     }
 
-    /// How long the server's silence is tolerated; without end where nothing else could be done.
+    /// How long the server may be silent; `None` if the stream can't be resumed at another server.
     fn patience(&self, server: &Member) -> Option<Patience> {
         let may_resume = self.ctx.route.is_resumable && self.ctx.runs_left() > 0;
         may_resume.then(|| event_patience(self.ctx.route.event_gap, server.outstanding()))
--- a/src/router/response_wait.rs
+++ b/src/router/response_wait.rs
@@ -1,4 +1,4 @@
-//! Waiting for a server without waiting for one that is gone.
+//! Waits for a server's response, but not for a server that is gone or too slow.
 
 use std::{future::Future, pin::Pin, time::Duration};
 
@@ -7,26 +7,28 @@
     router::{Member, Router, request_context::RequestContext},
 };
 
-/// Time between looks at whether a slow server still answers others.
+/// Interval at which a silent server is checked again.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What is waited for at a server, and how long.
+/// Which response is awaited from which server, and for how long.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ResponseWait<'a> {
+    /// The request.
     pub(crate) ctx: &'a RequestContext,
+    /// The server that runs it.
     pub(crate) member: &'a Member,
-    /// How long silence is tolerated; none where nothing else could be done.
+    /// How long the server may be silent; `None` if no other server may be tried.
     pub(crate) patience: Option<Patience>,
-    /// On the entry's clock.
+    /// When to give up in any case, on the entry's clock.
     pub(crate) deadline: Duration,
-    /// Whether something of the answer is here: the server runs the request and lives.
+    /// Whether part of the response has arrived, which shows that the server runs the request.
     pub(crate) has_begun: bool,
 }
 
-/// Waits for `work`; gives up at the deadline, when the server's life has ended, when the request is found to
-/// end servers, when the patience with a slow server is over, or when the server has been silent on all its
-/// connections for longer than a healthy one is. A server that lives is left only if `can_fail_over` says that the
-/// request can go on elsewhere: a slow answer is better than none.
+/// Waits for `work`. Returns `None` at the deadline, when the server has restarted, when the request is
+/// quarantined before the response has begun, when the server has been too slow, or when it has been silent on
+/// all its connections for longer than a healthy server is. A slow or silent server is abandoned only if
+/// `can_fail_over` returns true: a slow response is better than none.
 pub(crate) async fn wait_for_response<F: Future>(
     router: &Router,
     wait: &ResponseWait<'_>,
@@ -40,15 +42,16 @@
         router.until_refused(wait.ctx).await;
     };
     tokio::select! {
-        // What has come is taken, also from a life that has ended since.
+        // `work` is polled first: data that has arrived is used even if the server has restarted since.
         biased;
         output = wait_while_alive(router, wait, work, can_fail_over) => output,
         () = wait.member.wait_until_ended() => None,
-        // What waits at a server that has not begun to run it is taken back, and the server lives on.
+        // Cancelling a quarantined request that the server has not begun to run spares the server.
         () = withdrawn => None,
     }
 }
 
+/// Waits for `work` until the deadline, or until the server has been slow or silent for too long.
 async fn wait_while_alive<F: Future>(
     router: &Router,
     wait: &ResponseWait<'_>,
@@ -71,7 +74,7 @@
             return None;
         }
         let silent_since = member.received_at().max(began);
-        // A server that reads a long prompt says nothing meanwhile.
+        // A server sends nothing while it processes a long prompt, so the prompts in its queue are allowed for.
         let silent_too_long_at = silent_since + patience.dark + member.backlog_for_choice(now);
         if (now >= slow_at || now >= silent_too_long_at) && can_fail_over() {
             return None;
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -1,4 +1,4 @@
-//! Which server an attempt is sent to, and what is expected of it there.
+//! Selects the server for an attempt, and estimates the response time there.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,7 +18,7 @@
     routing::is_home,
 };
 
-/// The server that an attempt would be sent to now, among those that may be asked.
+/// Selects the server for an attempt among those that `may_be` allows, by id.
 pub(crate) fn select_server(
     router: &Router,
     ctx: &RequestContext,
@@ -42,7 +42,7 @@
     Some(members[chosen].clone())
 }
 
-/// The servers that may run a request, whether they are available or not.
+/// The servers that may run a request by version, model and region, whether they are available or not.
 fn eligible_servers<'a>(
     router: &Router,
     ctx: &RequestContext,
@@ -50,7 +50,7 @@
     fleet: &'a Fleet,
 ) -> Vec<&'a Arc<Member>> {
     let settings = router.settings.load();
-    // Asked anew for each attempt: a roll-out may have begun since the last one.
+    // Evaluated for each attempt, since a roll-out may have begun since the last one.
     let versions = router.roll_outs.rule(&ctx.service, &ctx.req.head, router.now());
     let members = fleet.of_service(&ctx.service);
     let versions = versions.or_any_if_missing(members.iter().map(|m| &*m.server.version));
@@ -70,8 +70,8 @@
     members.iter().filter(is_eligible).collect()
 }
 
-/// Why none of the servers that may run a request is available, and the time until one is; none where one is, or
-/// where nobody knows when.
+/// Why none of the eligible servers is available, and the time until the first one is. `None` if a server is
+/// available or if it is unknown when one will be.
 pub(crate) fn unavailability(
     router: &Router,
     ctx: &RequestContext,
@@ -90,7 +90,8 @@
     }
 }
 
-/// Those of the servers that are sent requests now.
+/// The servers that may be sent requests now, reduced to the best tier of availability. Servers whose roll-out order
+/// may not have been read yet are used only if there are no others.
 fn available_servers<'a>(
     router: &Router,
     service: &str,
@@ -108,9 +109,9 @@
     usable.into_iter().map(|(member, _)| member).collect()
 }
 
-/// The server for a request under which servers crashed, by rendezvous hashing: all entries send it to the same
-/// one, so that it crashes one server at a time, and send what else was there to others, so that the next crash
-/// distinguishes them.
+/// Selects the server for a request that was running when servers crashed, by rendezvous hashing on its
+/// fingerprint. All entries send the request to the same server, so that it crashes one server at a time. Other
+/// suspects of the same crash go to other servers, so that the next crash tells them apart.
 fn select_for_suspect<'a>(
     ctx: &RequestContext,
     members: &[&'a Arc<Member>],
@@ -120,16 +121,17 @@
     members.iter().max_by_key(hash).copied()
 }
 
-/// What is expected of a request at the server that would be chosen for it.
+/// Expected response time of a request at the server that would be selected for it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ExpectedLatency {
-    /// Time to its answer's head.
+    /// Time until the head of the response.
     pub(crate) time_to_head: Duration,
-    /// The same if nothing else were to be read there before.
+    /// The same if the server had no other prompts to process first.
     pub(crate) unloaded_time_to_head: Duration,
 }
 
-/// Estimates a request that would be sent now; a whole prompt with nothing before it where there is no server.
+/// Estimates the response time of a request that is sent now. If no server can be selected, assumes an idle one
+/// without any of the prompt in its cache.
 pub(crate) fn estimate_latency(
     router: &Router,
     ctx: &RequestContext,
@@ -151,7 +153,7 @@
     }
 }
 
-/// The parts of the prompt that other requests may share.
+/// The prefixes of the prompt that other requests may share; empty if the route does not use prompt caches.
 pub(crate) fn marks(ctx: &RequestContext, params: AttemptParams<'_>) -> Vec<PromptMark> {
     if !ctx.route.is_sticky {
         return Vec::new();
@@ -159,7 +161,7 @@
     shared_marks(latency_key(ctx, params), &ctx.req.head.parts)
 }
 
-/// What is to be placed. Requests for one model that share their prompt's parts belong together.
+/// Properties of a request for placement. Requests for one model that share prompt prefixes get the same affinity.
 fn placement_input(router: &Router, ctx: &RequestContext, params: AttemptParams<'_>) -> Work {
     let key = latency_key(ctx, params);
     let token_time = router.readings.get(key).token_time();
@@ -178,7 +180,7 @@
     }
 }
 
-/// What head times are learned by: the model, or the service where there is none.
+/// Key under which response times are learned: the model, or the service if there is none.
 pub(crate) fn latency_key<'a>(ctx: &'a RequestContext, params: AttemptParams<'a>) -> &'a str {
     params.model.or(ctx.req.head.model.as_deref()).unwrap_or(&ctx.service)
 }
--- a/src/router/server_ends.rs
+++ b/src/router/server_ends.rs
@@ -1,8 +1,9 @@
-//! What a broken connection means: a fault of the way, or the end of the server.
+//! Detects that a server process has ended, and which requests it was running then.
 //!
-//! A request that was at work on a server whose life ended may be what ended it. A broken answer, a reset
-//! or silence is no proof of that: the server may live. Proof is that nobody listens at its address right
-//! after, that the list shows its next life, or that the list drops it unannounced.
+//! A request that a server was running when its process ended may have crashed it. A connection that breaks or stays
+//! silent does not prove that the process ended; the network may be at fault. Proof is that nothing listens at the
+//! server's address right afterwards, that the list of servers shows its next incarnation, or that the server
+//! disappears from the list without having announced that it is draining.
 
 use std::{io::ErrorKind, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -14,35 +15,35 @@
     telemetry::event,
 };
 
-/// Time to wait for a refusal; zones are 1.4 ms apart, and a request that waits for it goes on after. A
-/// server that is silent refuses nothing: then the list has to show it.
+/// Timeout of a probe of a server's address. The round trip between zones takes 1.4 ms, and the failed request waits
+/// for the probe. A host that does not respond at all refuses no connection; its end is seen only in the list.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time in which a process that is ending closes what it holds, one thing after the other.
+/// Time within which an exiting process closes its listener and connections, one after the other.
 const RESET_TIMEOUT: Duration = Duration::from_millis(5);
-/// Looks at an address whose connections are taken and reset at once.
+/// Number of probes of an address whose connections are accepted and reset at once.
 const PROBES: u32 = 2;
-/// Time for which the answer to one look holds: all connections of a server that ends break within 10 ms.
+/// Time for which the result of a probe is used. All connections to a server that ends break within 10 ms.
 const PROBE_VALID_FOR: Duration = Duration::from_millis(300);
-/// Time before a proof from which on broken requests count as at work when the server ended: a server that
-/// is silent is dropped from the list after three heartbeats of 1.2 s, read 0.8 s later at most.
+/// Age of a lost request up to which it counts as running when the server ended. A silent server is dropped from the
+/// list after three heartbeats of 1.2 s, and the list is read at most 0.8 s later.
 const SUSPECT_WINDOW: Duration = Duration::from_secs(6);
-/// Requests remembered for a server whose end is not proved; it runs 128 at once at most.
+/// Maximum number of lost requests remembered per server whose end is not proved. A server runs at most 128 at once.
 const MAX_LOST: usize = 256;
-/// Time by which something that a server said before its end is read after a break was seen.
+/// Time after a broken connection within which data that the server sent before its end may still be read.
 const READ_DELAY: Duration = Duration::from_millis(250);
 
-/// Requests whose connection to a server broke, and what is known of its end.
+/// Requests that got no response from a server, and what is known about the server's end.
 #[derive(Debug, Default)]
 pub(super) struct LostRequests {
     lost: Vec<LostRequest>,
-    /// When its end was proved; a server may be back before the list shows its next life.
+    /// When the end of the server was proved. The server may be back before the list shows its next incarnation.
     ended_at: Option<Duration>,
-    /// When it was last looked whether the server listens.
+    /// When the server's address was last probed.
     probed_at: Option<Duration>,
 }
 
-/// Notes that a request's connection to a server broke before its answer was whole, looks whether the server
-/// ended, and judges its version by it.
+/// Records that the connection to a server broke before a response was complete, checks whether the server has ended,
+/// and records the failure as evidence about its version.
 pub(super) async fn record_broken_connection(
     router: &Router,
     ctx: &RequestContext,
@@ -60,14 +61,15 @@
     }
     record_lost(router, ctx, member, LossCause::Disconnected);
     if has_ended(router, member).await {
-        // All that ran there broke off, which says one thing about the version and not thirty.
+        // All requests on the server failed together, which is one failure of the version rather than one per
+        // request.
         router.roll_outs.note_silence(&member.server, router.now());
     } else {
         router.roll_outs.note_outcome(&member.server, RunOutcome::Failed);
     }
 }
 
-/// Notes that a request got no answer from a server, which may end or have ended.
+/// Records that a request got no response from a server, which may have ended or may be about to.
 pub(super) fn record_lost(
     router: &Router,
     ctx: &RequestContext,
@@ -86,7 +88,7 @@
     }
 }
 
-/// Whether the server ended; one look serves all whose connections broke together.
+/// Whether the server has ended. One probe serves all requests whose connections broke together.
 async fn has_ended(router: &Router, member: &Member) -> bool {
     let _guard = member.lock_probe().await;
     {
@@ -105,12 +107,12 @@
     is_connection_refused
 }
 
-/// Whether nobody listens at an address.
+/// Whether an address refuses connections.
 async fn is_connection_refused(address: SocketAddr) -> bool {
     for _ in 0..PROBES {
         match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Err(e)) => return e.kind() == ErrorKind::ConnectionRefused,
-            // A process that is just ending may have taken it, and resets it.
+            // A process that is just exiting may accept the connection and then reset it.
             Ok(Ok(stream)) => match timeout(RESET_TIMEOUT, stream.readable()).await {
                 Ok(_) => {}
                 Err(_) => return false,
@@ -121,16 +123,16 @@
     false
 }
 
-/// How a request and the server that had it parted.
+/// Why a request got no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LossCause {
-    /// The connection broke, or the request was taken back while the server may have begun to run it.
+    /// The connection broke, or the request was cancelled while the server may have begun to run it.
     Disconnected,
-    /// The entry no longer waited: the server was silent, or its next life came into view.
+    /// The entry stopped waiting: the server was silent, or its next incarnation was listed.
     Abandoned,
 }
 
-/// A request that got no answer.
+/// A request that got no response.
 #[derive(Clone, Copy, Debug)]
 struct LostRequest {
     fingerprint: Fingerprint,
@@ -139,32 +141,32 @@
 }
 
 impl LostRequests {
-    /// Whether what breaks now broke with the end that was proved.
+    /// Whether a connection that breaks now belongs to the end that was proved.
     fn has_ended(&self, now: Duration) -> bool {
         self.ended_at.is_some_and(|at| now < at + PROBE_VALID_FOR)
     }
 }
 
-/// What shows that a server's life ended.
+/// What proves that a server has ended. The names are written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Proof {
-    /// Nobody listens at its address.
+    /// Its address refuses connections.
     Refused,
-    /// The list shows its next life.
+    /// The list shows its next incarnation.
     StartedAgain,
-    /// The list dropped it though it had not said that it leaves. Some servers leave so, and serve on for a
-    /// while: it speaks only against what broke before.
+    /// It disappeared from the list without a drain notice. Some servers leave this way and keep serving for a
+    /// while, so only requests that were lost earlier count as running at its end.
     Dropped,
 }
 
-/// Notes that a server's life ended: all that was at work there is suspected.
+/// Records that a server has ended. All requests that it was running become suspects.
 pub(super) fn record_server_end(router: &Router, member: &Member, proof: Proof) {
     let now = router.now();
     let (lost, ended_at) = {
         let received_at = member.received_at();
         let mut lost_requests = member.lost_requests();
         if proof != Proof::Refused && lost_requests.ended_at.is_some() {
-            // The list is behind: this end is known, and what was sent since is at work in the next life.
+            // This end is already known, and requests sent since then run in the next incarnation.
             return;
         }
         if proof != Proof::Dropped {
@@ -172,11 +174,11 @@
         }
         let lost = std::mem::take(&mut lost_requests.lost);
         let ended_at = first_broken_at(&lost, received_at).unwrap_or(now);
-        // Whoever was left before the server last spoke was no longer at work there.
+        // Requests that were lost before the server last sent data were no longer running when it ended.
         let lost = lost
             .into_iter()
             .filter(|lost| now < lost.at + SUSPECT_WINDOW && received_at < lost.at + READ_DELAY)
-            // What was left for the news of a next life may have been at work in that one.
+            // Requests abandoned because the next incarnation was listed may have been running in that one.
             .filter(|lost| lost.loss_cause == LossCause::Disconnected || lost.at + READ_DELAY < now)
             .map(|lost| lost.fingerprint)
             .collect::<Vec<_>>();
@@ -202,8 +204,8 @@
     }
 }
 
-/// When the first connection broke after the server last spoke: then it ended. The proof may come a second
-/// later, and then of several servers in one moment, which would count as one event.
+/// The time at which the server ended: when the first connection broke after the server last sent data. The proof may
+/// arrive a second later, and for several servers at once, so that by its time they would count as one event.
 fn first_broken_at(lost: &[LostRequest], received_at: Duration) -> Option<Duration> {
     let broken = lost.iter().filter(|lost| lost.loss_cause == LossCause::Disconnected);
     broken.map(|lost| lost.at).filter(|at| received_at < *at + READ_DELAY).min()
