--- a/src/router/advertised_limits.rs
+++ b/src/router/advertised_limits.rs
@@ -1,4 +1,4 @@
-//! What this entry does with the limits that servers advertise.
+//! Records and logs the rate limits that servers advertise.
 
 use std::time::Duration;
 
@@ -14,15 +14,17 @@
     telemetry::event,
 };
 
-/// Where the news of a limit came from.
+/// Where a limit was learned from. The names are written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Source {
+    /// A response of the server.
     Answer,
+    /// Another entry.
     Entry,
 }
 
 impl Router {
-    /// Notes what a server's answer says of its limit, to a request that was sent at `sent_at`.
+    /// Records the limit in a server's response to a request that was sent at `sent_at`.
     pub(crate) fn record_advertised_limit(
         &self,
         member: &Member,
@@ -33,7 +35,7 @@
         if head.rate_limit == AdvertisedLimit::Unreadable && member.record_unreadable_limit(now) {
             event::RATE_LIMIT_UNREADABLE.log(format_args!("server={}", member.server.id));
         }
-        // A refusal that advertises no limit says that the server is full, not that its limit is over.
+        // A refusal without a limit means that the server is full, not that its limit has been lifted.
         if head.kind == AnswerKind::NotRun && head.rate_limit == AdvertisedLimit::Nothing {
             return;
         }
@@ -43,18 +45,19 @@
         }
     }
 
-    /// Takes in the limits that another entry reports.
+    /// Applies the limits that another entry reports.
     pub(crate) fn take_limit_updates(&self, reported: &[LimitUpdate]) {
         for changed in self.limits.take_update(reported, self.now()) {
             self.log_limit(changed, Source::Entry);
         }
     }
 
-    /// Limits of servers in view, as part of the state dump.
+    /// Limits of the known servers, as part of the state dump.
     pub(crate) fn dump_limits(&self) -> Value {
         self.limits.dump(&self.fleet.load(), self.now())
     }
 
+    /// Logs that a server's limit has changed or has been lifted.
     fn log_limit(&self, changed: Changed, source: Source) {
         let Changed { life, before, rate } = changed;
         let fleet = self.fleet.load();
--- a/src/router/announcements.rs
+++ b/src/router/announcements.rs
@@ -1,4 +1,4 @@
-//! What this entry records of the drain notices and pauses in answers of servers.
+//! Records drain notices, pauses and unknown headers in responses of servers.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 };
 
 impl Router {
-    /// Records what the head of a server's own answer announces.
+    /// Records what the head of a server's own response announces.
     pub(crate) fn record_announcements(
         &self,
         member: &Member,
@@ -42,14 +42,14 @@
         }
     }
 
-    /// Records an answer that shows a server as healthy.
+    /// Records a response that shows a server as healthy.
     pub(crate) fn record_answer(&self, member: &Member) {
         if member.record_answer(self.now()) {
             event::PAUSE_ENDED.log(format_args!("server={}", member.server.id));
         }
     }
 
-    /// Counts headers of an answer that nothing reads, and logs each name once.
+    /// Counts response headers that this program does not know, and logs each name once.
     pub(crate) fn record_unread_headers(&self, member: &Member, head: &AnswerHead) {
         for name in &head.unread {
             if self.metrics.count_unread_header(name.as_str()) {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Counts servers that were left out of a choice since they are unavailable.
+    /// Counts servers that were skipped in a selection because they are unavailable.
     pub(crate) fn count_avoided(&self, closed: &[(&Arc<Member>, Availability)]) {
         for cause in Cause::ALL {
             let servers = closed.iter().filter(|(_, a)| a.is_closed_by(cause)).count() as u64;
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Counts a send to a server that has announced that it should get none.
+    /// Counts a send to a server that has announced that it is draining or paused.
     pub(crate) fn count_unavailable_send(&self, member: &Member, send: &str) {
         let announced = member.state().announced;
         if announced.draining_since().is_some() {
--- a/src/router/availability.rs
+++ b/src/router/availability.rs
@@ -1,6 +1,5 @@
-//! Gathers what is known of a server for the decision whether it may be sent a request.
-//!
-//! The decision itself is [`crate::policy::availability`].
+//! Collects what is known about a server and decides with [`crate::policy::availability`] whether it may be sent a
+//! request.
 
 use std::time::Duration;
 
@@ -15,33 +14,33 @@
     router::{Member, Router, limit_board::LimitView},
 };
 
-/// Time for which a server that nobody answered for is taken as cold once it answers, beyond the time that a
-/// start takes: it is asked again after 4 s at most, and its row follows a heartbeat later.
+/// Added to the duration of a cold start when a server counts as cold after its address refused a connection: the
+/// server is tried again after at most 4 s, and its row follows one heartbeat later.
 const PROBE_INTERVAL: Duration = Duration::from_secs(4);
 
-/// What limits the sends to a server that takes few requests.
+/// Limit on the sends to a server that is cold or rate-limited.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum SendLimit {
-    /// This entry's share.
+    /// This entry's share of the server's rate.
     Share(Allowance),
-    /// The same where no other server can serve: this entry does not know its share.
+    /// A minimal share, used only if no other server can serve, since this entry does not know its rank.
     LastResort(Allowance),
-    /// Other entries share that rate.
+    /// Only other entries have a share of this rate.
     OfOthers(Rate),
 }
 
-/// Whether a send may be made.
+/// Permission to send a request to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SendPermit {
-    /// Its server is under no limit.
+    /// The server is not limited.
     Unlimited,
-    /// It was taken from this entry's share.
+    /// The send was counted against this entry's share.
     Limited,
-    /// Its server became unavailable since it was chosen.
+    /// The server became unavailable since it was selected.
     Denied,
 }
 
-/// Checks the servers of one service at one moment.
+/// Checks the availability of the servers of one service at one moment.
 #[derive(Debug)]
 pub(crate) struct AvailabilityCheck<'a> {
     router: &'a Router,
@@ -54,7 +53,7 @@
 }
 
 impl Router {
-    /// Checks which servers of a service may be sent requests now.
+    /// Prepares a check of the servers of a service at the current time.
     pub(crate) fn check_service(&self, service: &str) -> AvailabilityCheck<'_> {
         let table = self.table.load();
         let cold = table.as_ref().as_ref().and_then(|table| table.cold.get(service)).copied();
@@ -71,12 +70,12 @@
         }
     }
 
-    /// Takes a send to a server from what it may get from here.
+    /// Acquires permission for one send to a server and counts it against the server's limit, if there is one.
     pub(crate) fn acquire_send(&self, member: &Member) -> SendPermit {
         self.check_service(&member.server.service).acquire_send(member)
     }
 
-    /// Why a request that is about to be sent to a server must not be sent any more.
+    /// Why a request that is about to be sent to a server must not be sent, if the server became unavailable.
     pub(crate) fn stops_send(&self, member: &Member) -> Option<Cause> {
         self.check_service(&member.server.service).availability(member).stops_send()
     }
@@ -120,12 +119,13 @@
         }
     }
 
+    /// When this entry may next send to a server within its share.
     fn next_at(&self, member: &Member, allowance: &Allowance) -> Duration {
         member.next_limited_at(allowance, self.now)
     }
 
-    /// Whether a server is cold, by its row or because nothing newer is known of it since it may have
-    /// become so.
+    /// Whether a server is cold: its row says so, its zone was evacuated until recently, or its address refused a
+    /// connection recently.
     fn is_cold(&self, member: &Member, terms: &ColdTerms) -> bool {
         let taken_back = self.router.evacuations.taken_back_at(&member.server.zone);
         self.now < member.cold_until()
@@ -135,28 +135,29 @@
                 .is_some_and(|at| self.now < at + terms.lasts + PROBE_INTERVAL)
     }
 
-    /// Entries that share, where this one does not know its place: as many as were reported, or as the settings name.
+    /// Number of entries that share a limit, for an entry that does not know its rank: the reported number, but
+    /// at least the number of seeds in the settings.
     fn entries(&self) -> u32 {
         let named = self.router.settings.load().seeds.len();
         let reported = self.router.own_place.entries().unwrap_or_default();
         reported.max(u32::try_from(named).unwrap_or(u32::MAX))
     }
 
-    /// What is known of the limit that a server advertises.
+    /// What is known about the rate limit that a server advertises.
     fn advertised(&self, member: &Member) -> LimitBelief {
         let view = self.named.as_ref();
         view.map(|view| view.belief(member.incarnation_hash())).unwrap_or_default()
     }
 
-    /// Requests a second that a server takes from all entries; none where it takes what it has slots for. The
-    /// smaller one counts of what it takes while it is cold and what it advertises.
+    /// The rate at which a server accepts requests from all entries: the smaller of its rate while cold and the
+    /// rate that it advertises. `None` if only its slots limit it.
     fn rate(&self, member: &Member, advertised: &LimitBelief) -> Option<Rate> {
         let cold = self.cold.filter(|terms| self.is_cold(member, terms));
         let cold = cold.map(|terms| terms.sends_per_second);
         cold.into_iter().chain(advertised.rate()).reduce(Rate::min)
     }
 
-    /// What limits the sends to a server; none where nothing does.
+    /// The limit on the sends to a server, if there is one.
     fn limit(&self, member: &Member) -> Option<SendLimit> {
         let advertised = self.advertised(member);
         let rate = self.rate(member, &advertised)?;
