--- a/src/router/availability.rs
+++ b/src/router/availability.rs
@@ -16,7 +16,7 @@
 
 /// Added to the duration of a cold start when a server counts as cold after its address refused a connection: the
 /// server is tried again after at most 4 s, and its row follows one heartbeat later.
-const PROBE_INTERVAL: Duration = Duration::from_secs(4);
+const UNREACHABLE_COLD_MARGIN: Duration = Duration::from_secs(4);
 
 /// Limit on the sends to a server that is cold or rate-limited.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -45,7 +45,7 @@
 pub(crate) struct AvailabilityCheck<'a> {
     router: &'a Router,
     cold: Option<ColdTerms>,
-    named: Option<LimitView<'a>>,
+    advertised_limits: Option<LimitView<'a>>,
     place: Option<Place>,
     is_any_evacuated: bool,
     drain: Duration,
@@ -57,12 +57,12 @@
     pub(crate) fn check_service(&self, service: &str) -> AvailabilityCheck<'_> {
         let table = self.table.load();
         let cold = table.as_ref().as_ref().and_then(|table| table.cold.get(service)).copied();
-        let named = self.limits.view();
-        let is_any_limited = cold.is_some() || named.is_some();
+        let advertised_limits = self.limits.view();
+        let is_any_limited = cold.is_some() || advertised_limits.is_some();
         AvailabilityCheck {
             router: self,
             cold,
-            named,
+            advertised_limits,
             place: is_any_limited.then(|| self.place()).flatten(),
             is_any_evacuated: self.evacuations.is_any(),
             drain: self.settings.load().drain,
@@ -132,20 +132,20 @@
             || taken_back.is_some_and(|at| self.now < at + terms.lasts)
             || member
                 .unreachable_at()
-                .is_some_and(|at| self.now < at + terms.lasts + PROBE_INTERVAL)
+                .is_some_and(|at| self.now < at + terms.lasts + UNREACHABLE_COLD_MARGIN)
     }
 
     /// Number of entries that share a limit, for an entry that does not know its rank: the reported number, but
     /// at least the number of seeds in the settings.
     fn entries(&self) -> u32 {
-        let named = self.router.settings.load().seeds.len();
+        let seeds = self.router.settings.load().seeds.len();
         let reported = self.router.own_place.entries().unwrap_or_default();
-        reported.max(u32::try_from(named).unwrap_or(u32::MAX))
+        reported.max(u32::try_from(seeds).unwrap_or(u32::MAX))
     }
 
     /// What is known about the rate limit that a server advertises.
     fn advertised(&self, member: &Member) -> LimitBelief {
-        let view = self.named.as_ref();
+        let view = self.advertised_limits.as_ref();
         view.map(|view| view.belief(member.incarnation_hash())).unwrap_or_default()
     }
 
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -105,14 +105,14 @@
     ctx: &RequestContext,
     params: AttemptParams<'_>,
 ) -> Option<Arc<Member>> {
-    let may = may_send_again(&ctx.attempts, ctx.route.is_idempotent())
+    let is_allowed = may_send_again(&ctx.attempts, ctx.route.is_idempotent())
         && ctx.runs_left() > 0
         && ctx.deliveries < MAX_DELIVERIES
         && ctx.attempts.len() < MAX_ATTEMPTS
         && router.now() + MIN_TIME_LEFT < ctx.attempt_deadline()
         && !router.is_refused(ctx)
         && !(ctx.is_quarantine_trial && ctx.runs > 0);
-    if !may {
+    if !is_allowed {
         return None;
     }
     let untried = select_server(router, ctx, params, |server| !ctx.has_tried(server));
--- a/src/router/listen.rs
+++ b/src/router/listen.rs
@@ -82,9 +82,9 @@
     router: Arc<Router>,
     listener: TcpListener,
 ) -> std::io::Result<()> {
-    let asked = router.clone();
+    let readiness_router = router.clone();
     let ready = get(move || {
-        let is_ready = asked.is_ready();
+        let is_ready = readiness_router.is_ready();
         async move { if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE } }
     });
     let app = HttpRouter::new()
--- a/src/router/listing.rs
+++ b/src/router/listing.rs
@@ -42,13 +42,14 @@
 }
 
 impl Listing {
-    /// Applies rows read from the store. Servers whose rows are removed are kept until `doubtful_until`, if that
-    /// is set: the rows may have expired only because the store was unreachable.
+    /// Applies rows read from the store. Servers whose rows are removed are kept until
+    /// `removals_uncertain_until`, if that is set: the rows may have expired only because the store was
+    /// unreachable.
     pub(crate) fn apply(
         &mut self,
         rows: &Rows,
         extent: Extent,
-        doubtful_until: Option<Duration>,
+        removals_uncertain_until: Option<Duration>,
         now: Duration,
     ) {
         self.departed.retain(|_, at| now < *at + DEPARTED_RETENTION);
@@ -58,14 +59,14 @@
             let gone: Vec<Box<str>> =
                 known.filter(|id| !listed.contains(&***id)).cloned().collect();
             for id in gone {
-                self.remove(&id, doubtful_until, now);
+                self.remove(&id, removals_uncertain_until, now);
             }
         }
         for row in &rows.rows {
             if row.is_removed {
-                self.remove(&row.key, doubtful_until, now);
+                self.remove(&row.key, removals_uncertain_until, now);
             } else {
-                self.put(row, extent, now);
+                self.apply_row(row, extent, now);
             }
         }
     }
@@ -85,7 +86,7 @@
     }
 
     /// Applies one row that was not removed.
-    fn put(&mut self, row: &Row, extent: Extent, now: Duration) {
+    fn apply_row(&mut self, row: &Row, extent: Extent, now: Duration) {
         let known = self.servers.get(&row.key).and_then(|server| server.born);
         match read_server(row) {
             Ok(server) if known.is_some() && server.born.is_none() => {
@@ -141,11 +142,11 @@
 
     /// Removes a server whose row is gone, or marks it as missing if the row may reappear. A draining server is
     /// always removed, since it announced that it would leave.
-    fn remove(&mut self, id: &str, doubtful_until: Option<Duration>, now: Duration) {
+    fn remove(&mut self, id: &str, removals_uncertain_until: Option<Duration>, now: Duration) {
         self.unreadable.remove(id);
         self.unconfirmed.remove(id);
         let is_draining = self.servers.get(id).is_none_or(|server| server.is_draining);
-        match doubtful_until {
+        match removals_uncertain_until {
             Some(until) if !is_draining => {
                 self.missing.entry(id.into()).or_insert(until);
             }
--- a/src/router/member.rs
+++ b/src/router/member.rs
@@ -76,9 +76,9 @@
     /// Recent sends of this entry while the server was rate-limited.
     limited_sends: LimitedSends,
     /// When an unreadable rate limit of it was last logged.
-    limit_unreadable_at: Option<Duration>,
+    unreadable_limit_logged_at: Option<Duration>,
     /// When an unreadable `Retry-After` of it was last logged.
-    retry_after_unreadable_at: Option<Duration>,
+    unreadable_retry_after_logged_at: Option<Duration>,
     /// Drain notice and pause that it announced in its responses.
     pub(crate) announced: Announced,
     /// How many requests of this entry it may have in flight.
@@ -172,12 +172,12 @@
 
     /// Records that it advertised an unreadable limit; returns whether to log that.
     pub(crate) fn record_unreadable_limit(&self, now: Duration) -> bool {
-        should_log(&mut self.state().limit_unreadable_at, now)
+        should_log(&mut self.state().unreadable_limit_logged_at, now)
     }
 
     /// Records that it sent an unreadable `Retry-After`; returns whether to log that.
     pub(crate) fn record_unreadable_retry_after(&self, now: Duration) -> bool {
-        should_log(&mut self.state().retry_after_unreadable_at, now)
+        should_log(&mut self.state().unreadable_retry_after_logged_at, now)
     }
 
     /// Locks the state of this incarnation.
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -220,7 +220,7 @@
                 // A failed send means that the caller is gone, which no longer matters.
                 let _ = self.tx.send(StreamPart::End).await;
                 self.router.note_answered_whole(&self.ctx);
-                self.log_if_late(&server);
+                self.record_latency(&server);
                 return;
             };
             if matches!(e, StreamError::CallerGone) {
@@ -294,9 +294,9 @@
             if has_retry {
                 self.ctx.mark_retry_taken();
             }
-            let is_withdrawn = || !has_begun && self.router.is_refused(&self.ctx);
+            let is_quarantined = || !has_begun && self.router.is_refused(&self.ctx);
             let given_up =
-                || if is_withdrawn() { StreamError::Quarantined } else { StreamError::Silent };
+                || if is_quarantined() { StreamError::Quarantined } else { StreamError::Silent };
             let Some(frame) = frame.ok_or_else(given_up)? else {
                 if splitter.is_inside_event() {
                     return Err(StreamError::TruncatedEvent);
@@ -356,7 +356,7 @@
     }
 
     /// Records the latency of a complete stream in metrics, and logs it if it missed its route's objectives.
-    fn log_if_late(&self, server: &Member) {
+    fn record_latency(&self, server: &Member) {
         let (first, pause) = (self.timing.time_to_first, self.timing.longest_gap);
         self.router.metrics.first_token.observe(first.as_secs_f64());
         let total = self.router.now().saturating_sub(self.ctx.arrived_at);
--- a/src/router/request_context.rs
+++ b/src/router/request_context.rs
@@ -50,7 +50,7 @@
         route: Arc<Route>,
         service: Box<str>,
         organisation: Option<Arc<Organisation>>,
-        wait: Duration,
+        max_wait: Duration,
         in_flight: InFlightGuard,
     ) -> Self {
         let (attempts, tried_servers) = (Vec::new(), Vec::new());
@@ -59,7 +59,7 @@
             route,
             service,
             organisation,
-            deadline: in_flight.arrived_at + wait,
+            deadline: in_flight.arrived_at + max_wait,
             head_deadline: None,
             arrived_at: in_flight.arrived_at,
             _in_flight: in_flight,
--- a/src/router/response_wait.rs
+++ b/src/router/response_wait.rs
@@ -35,7 +35,7 @@
     work: Pin<&mut F>,
     can_fail_over: impl FnMut() -> bool,
 ) -> Option<F::Output> {
-    let withdrawn = async {
+    let quarantined = async {
         if wait.has_begun {
             std::future::pending::<()>().await;
         }
@@ -47,7 +47,7 @@
         output = wait_while_alive(router, wait, work, can_fail_over) => output,
         () = wait.member.wait_until_ended() => None,
         // Cancelling a quarantined request that the server has not begun to run spares the server.
-        () = withdrawn => None,
+        () = quarantined => None,
     }
 }
 
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -91,9 +91,9 @@
     }
     let (closing, is_closing) = watch::channel(false);
     let callers = tokio::spawn(listen::serve_callers(router.clone(), callers, is_closing));
-    let asked = router.clone();
+    let readiness_router = router.clone();
     tokio::spawn(async move {
-        if let Err(e) = listen::serve_readiness(asked, readiness).await {
+        if let Err(e) = listen::serve_readiness(readiness_router, readiness).await {
             event::ACCEPT_FAILED.log(format_args!("cause=\"{e}\""));
         }
     });
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -18,18 +18,18 @@
     routing::is_home,
 };
 
-/// Selects the server for an attempt among those that `may_be` allows, by id.
+/// Selects the server for an attempt among those that `is_allowed` allows, by id.
 pub(crate) fn select_server(
     router: &Router,
     ctx: &RequestContext,
     params: AttemptParams<'_>,
-    may_be: impl Fn(&str) -> bool,
+    is_allowed: impl Fn(&str) -> bool,
 ) -> Option<Arc<Member>> {
     let fleet = router.fleet.load();
     let settings = router.settings.load();
     let now = router.now();
     let mut members = eligible_servers(router, ctx, params, &fleet);
-    members.retain(|member| may_be(&member.server.id));
+    members.retain(|member| is_allowed(&member.server.id));
     let members = available_servers(router, &ctx.service, members);
     if router.standing(ctx) != Standing::Free {
         return select_for_suspect(ctx, &members).cloned();
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -92,11 +92,11 @@
         return Err(Refusal::Leaving { retry_after });
     }
     let body = read_body(body, &table.limits.unwrap_or(DEFAULT_LIMITS)).await?;
-    let wait = head.patience.unwrap_or(route.timeout).min(route.timeout);
+    let max_wait = head.patience.unwrap_or(route.timeout).min(route.timeout);
     let service = choose_service(&route, &head);
     router.record_request(&service);
     let req = Request { head, body };
-    let ctx = RequestContext::new(req, route, service, organisation, wait, in_flight);
+    let ctx = RequestContext::new(req, route, service, organisation, max_wait, in_flight);
     relay::respond(router, ctx).await
 }
 
@@ -129,11 +129,11 @@
 
 /// Chooses the route's target service by weight. All requests of a session get the same service.
 fn choose_service(route: &Route, head: &RequestHead) -> Box<str> {
-    let all: f64 = route.targets.iter().map(|target| target.weight).sum();
-    let mut left = draw(head.session_key(), &route.name) * all;
+    let total: f64 = route.targets.iter().map(|target| target.weight).sum();
+    let mut remaining = draw(head.session_key(), &route.name) * total;
     for target in &route.targets {
-        left -= target.weight;
-        if left < 0.0 {
+        remaining -= target.weight;
+        if remaining < 0.0 {
             return target.service.clone();
         }
     }
--- a/src/router/server_ends.rs
+++ b/src/router/server_ends.rs
@@ -17,11 +17,11 @@
 
 /// Timeout of a probe of a server's address. The round trip between zones takes 1.4 ms, and the failed request waits
 /// for the probe. A host that does not respond at all refuses no connection; its end is seen only in the list.
-const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 /// Time within which an exiting process closes its listener and connections, one after the other.
 const RESET_TIMEOUT: Duration = Duration::from_millis(5);
 /// Number of probes of an address whose connections are accepted and reset at once.
-const PROBES: u32 = 2;
+const MAX_PROBES: u32 = 2;
 /// Time for which the result of a probe is used. All connections to a server that ends break within 10 ms.
 const PROBE_VALID_FOR: Duration = Duration::from_millis(300);
 /// Age of a lost request up to which it counts as running when the server ended. A silent server is dropped from the
@@ -30,7 +30,7 @@
 /// Maximum number of lost requests remembered per server whose end is not proved. A server runs at most 128 at once.
 const MAX_LOST: usize = 256;
 /// Time after a broken connection within which data that the server sent before its end may still be read.
-const READ_DELAY: Duration = Duration::from_millis(250);
+const LATE_READ_MARGIN: Duration = Duration::from_millis(250);
 
 /// Requests that got no response from a server, and what is known about the server's end.
 #[derive(Debug, Default)]
@@ -109,8 +109,8 @@
 
 /// Whether an address refuses connections.
 async fn is_connection_refused(address: SocketAddr) -> bool {
-    for _ in 0..PROBES {
-        match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
+    for _ in 0..MAX_PROBES {
+        match timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Err(e)) => return e.kind() == ErrorKind::ConnectionRefused,
             // A process that is just exiting may accept the connection and then reset it.
             Ok(Ok(stream)) => match timeout(RESET_TIMEOUT, stream.readable()).await {
@@ -177,9 +177,13 @@
         // Requests that were lost before the server last sent data were no longer running when it ended.
         let lost = lost
             .into_iter()
-            .filter(|lost| now < lost.at + SUSPECT_WINDOW && received_at < lost.at + READ_DELAY)
+            .filter(|lost| {
+                now < lost.at + SUSPECT_WINDOW && received_at < lost.at + LATE_READ_MARGIN
+            })
             // Requests abandoned because the next incarnation was listed may have been running in that one.
-            .filter(|lost| lost.loss_cause == LossCause::Disconnected || lost.at + READ_DELAY < now)
+            .filter(|lost| {
+                lost.loss_cause == LossCause::Disconnected || lost.at + LATE_READ_MARGIN < now
+            })
             .map(|lost| lost.fingerprint)
             .collect::<Vec<_>>();
         (lost, ended_at)
@@ -208,5 +212,5 @@
 /// arrive a second later, and for several servers at once, so that by its time they would count as one event.
 fn first_broken_at(lost: &[LostRequest], received_at: Duration) -> Option<Duration> {
     let broken = lost.iter().filter(|lost| lost.loss_cause == LossCause::Disconnected);
-    broken.map(|lost| lost.at).filter(|at| received_at < *at + READ_DELAY).min()
+    broken.map(|lost| lost.at).filter(|at| received_at < *at + LATE_READ_MARGIN).min()
 }
--- a/src/router/stages.rs
+++ b/src/router/stages.rs
@@ -44,14 +44,14 @@
             return Ok(earlier);
         }
         let response = next?;
-        let known = escalation_input(router, ctx, params, stage, &response);
-        let next = escalate(&known, &router.policy.escalation);
+        let input = escalation_input(router, ctx, params, stage, &response);
+        let next = escalate(&input, &router.policy.escalation);
         let Some(next) = next.filter(|_| router.has_retry_left(&ctx.service)) else {
             router.metrics.count_stage(model.as_deref().unwrap_or("-"), "passed");
             return Ok(StageResponse { response, model });
         };
         router.metrics.count_stage(model.as_deref().unwrap_or("-"), "escalated");
-        ctx.head_deadline = Some(router.now() + time_to_begin(&known));
+        ctx.head_deadline = Some(router.now() + time_to_begin(&input));
         fallback = Some(StageResponse { response, model });
         stage = next;
     }
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -102,7 +102,7 @@
     in_flight: AtomicUsize,
     /// Wakes waiting requests when the configuration, the servers or other awaited data change.
     view_changed: Notify,
-    stop_began: OnceLock<Duration>,
+    stop_started_at: OnceLock<Duration>,
     /// The entry's clock. All times of the request path are readings of it.
     pub clock: Clock,
     /// Queue of requests for quarantine trials; the control thread takes the receiver.
@@ -135,7 +135,7 @@
             lifecycle: Mutex::new(lifecycle::start()),
             in_flight: AtomicUsize::new(0),
             view_changed: Notify::new(),
-            stop_began: OnceLock::new(),
+            stop_started_at: OnceLock::new(),
             clock: Clock::starting_at(CLOCK_ORIGIN),
             trials: (tx, Mutex::new(Some(rx))),
         }
@@ -262,13 +262,13 @@
 
     /// Records the start of a planned stop.
     pub(crate) fn begin_stop(&self) {
-        self.stop_began.get_or_init(|| self.now());
+        self.stop_started_at.get_or_init(|| self.now());
         self.advance(LifecycleEvent::Leave);
     }
 
     /// Whether a request on this route is still accepted: during a planned stop, only if it can finish in time.
     pub(crate) fn accepts(&self, route: &Route) -> bool {
-        let Some(began) = self.stop_began.get() else {
+        let Some(began) = self.stop_started_at.get() else {
             return true;
         };
         let end = *began + self.settings.load().grace.saturating_sub(KILL_MARGIN);
@@ -279,7 +279,7 @@
     /// only until it notices the stop, or if no other entry is ready; in the latter case the caller has to wait
     /// for the next process on this Host.
     pub(crate) fn leaving_retry_after(&self, connected_at: Duration) -> Duration {
-        let began = self.stop_began.get().copied().unwrap_or_default();
+        let began = self.stop_started_at.get().copied().unwrap_or_default();
         if connected_at < began + READINESS_LAG {
             return RETRY_OTHER_ENTRY;
         }
@@ -346,8 +346,8 @@
     /// Records the number of entries, as counted by a seed that all of them report to. The settings give a lower
     /// bound, since a seed that is cut off from the others counts too few.
     pub(crate) fn record_entries(&self, entries: usize) {
-        let named = self.settings.load().seeds.len();
-        let entries = u32::try_from(entries.max(named)).unwrap_or(u32::MAX);
+        let seeds = self.settings.load().seeds.len();
+        let entries = u32::try_from(entries.max(seeds)).unwrap_or(u32::MAX);
         let mut share = self.extra_share.lock().expect("no panics under the lock");
         share.note(entries, self.now());
     }
