--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -133,21 +133,21 @@
     /// Key under which response times are learned: the model, or the service if there is none.
     pub(crate) latency_key: &'a str,
     /// Prefixes of the prompt that other requests may share.
-    pub(crate) marks: &'a [PromptMark],
+    pub(crate) prefixes: &'a [PromptMark],
     /// How many of these the server presumably had cached before the attempt.
-    pub(crate) kept_marks: usize,
+    pub(crate) cached_prefix_count: usize,
     /// Tokens of the prompt that the server has to process.
     pub(crate) uncached_tokens: u64,
     /// How long the server may be silent; `None` if no other server may be tried.
-    pub(crate) patience: Option<Patience>,
+    pub(crate) timeouts: Option<Patience>,
     /// When the attempt is abandoned in any case.
     pub(crate) deadline: Duration,
 }
 
 impl AttemptPlan<'_> {
     /// Prefixes that the server presumably did not have cached before the attempt.
-    fn new_marks(&self) -> &[PromptMark] {
-        &self.marks[self.kept_marks..]
+    fn new_prefixes(&self) -> &[PromptMark] {
+        &self.prefixes[self.cached_prefix_count..]
     }
 }
 
@@ -170,7 +170,7 @@
     let outcome = send_request(router, ctx, plan, can_fail_over).await;
     if let Err(e) = &outcome {
         record_error(router, plan.member, e);
-        plan.member.state().kept.forget(plan.new_marks());
+        plan.member.state().prefixes.forget(plan.new_prefixes());
     }
     let (connection, res) = outcome?;
     outstanding.mark_begun();
@@ -188,7 +188,7 @@
     }
     let member = plan.member.clone();
     if !matches!(head.kind, AnswerKind::Success) {
-        member.state().kept.forget(plan.new_marks());
+        member.state().prefixes.forget(plan.new_prefixes());
     }
     let response =
         OpenResponse { head, body, member, is_slow, connection, _outstanding: outstanding };
@@ -199,12 +199,12 @@
 fn record_prompt_sent(router: &Router, plan: &AttemptPlan<'_>) {
     let now = router.now();
     let mut state = plan.member.state();
-    state.kept.note_sent(plan.marks, plan.uncached_tokens);
-    let to_report = state.kept.to_report(plan.marks, now);
+    state.prefixes.note_sent(plan.prefixes, plan.uncached_tokens);
+    let to_report = state.prefixes.to_report(plan.prefixes, now);
     drop(state);
-    if let Some(mark) = to_report {
-        let tokens = u32::try_from(mark.tokens).unwrap_or(u32::MAX);
-        router.kept.note_own(KeptNote(plan.member.short_hash(), mark.hash, tokens), now);
+    if let Some(prefix) = to_report {
+        let tokens = u32::try_from(prefix.tokens).unwrap_or(u32::MAX);
+        router.kept.note_own(KeptNote(plan.member.short_hash(), prefix.hash, tokens), now);
     }
 }
 
@@ -232,8 +232,8 @@
     request_id: &str,
     sent_at: Duration,
 ) {
-    let is_foreign = matches!(head.kind, AnswerKind::Misplaced | AnswerKind::Unsigned);
-    if is_foreign || (head.status.is_server_error() && !head.announces_rejection()) {
+    let is_wrong_response = matches!(head.kind, AnswerKind::Misplaced | AnswerKind::Unsigned);
+    if is_wrong_response || (head.status.is_server_error() && !head.announces_rejection()) {
         member.record_failure(router.now());
     } else if !head.announces_rejection() {
         router.record_answer(member);
@@ -273,7 +273,7 @@
     let wait = ResponseWait {
         ctx,
         member: plan.member,
-        patience: plan.patience,
+        timeouts: plan.timeouts,
         deadline: plan.deadline,
         has_begun: false,
     };
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -16,7 +16,7 @@
         refusal::Refusal,
         request_context::{AttemptParams, RequestContext},
         roll_out::RunOutcome,
-        selection::{latency_key, marks, select_server, unavailability},
+        selection::{latency_key, prefixes, select_server, unavailability},
         server_ends::{LossCause, record_broken_connection, record_lost},
     },
     routing::{AnswerKind, RouteKind},
@@ -141,18 +141,19 @@
 ) -> Result<OpenResponse, AttemptError> {
     let allows_failover = ctx.route.is_idempotent() && ctx.runs_left() > 1;
     let key = latency_key(ctx, params);
-    let belief = router.readings.get(key);
-    let marks = marks(ctx, params);
+    let timing = router.readings.get(key);
+    let prefixes = prefixes(ctx, params);
     let prompt_tokens = ctx.req.head.prompt_tokens;
-    let kept_marks = member.state().kept.kept_marks(&marks);
-    let kept_tokens: u64 = marks[..kept_marks].iter().map(|mark| mark.tokens).sum();
-    let uncached_tokens = prompt_tokens.saturating_sub(kept_tokens);
+    let cached_prefix_count = member.state().prefixes.kept_marks(&prefixes);
+    let cached_tokens: u64 =
+        prefixes[..cached_prefix_count].iter().map(|prefix| prefix.tokens).sum();
+    let uncached_tokens = prompt_tokens.saturating_sub(cached_tokens);
     // Cached prefixes may have been evicted, so the timeout allows for processing the whole prompt.
-    let prefill_time = belief.reading_time(prompt_tokens);
+    let prefill_time = timing.reading_time(prompt_tokens);
     let (kind, objective) = (ctx.route.kind, ctx.route.objective);
     // Includes this request.
     let outstanding = member.outstanding() + 1;
-    let patience = head_patience(kind, objective, belief.head_time(), prefill_time, outstanding);
+    let timeouts = head_patience(kind, objective, timing.head_time(), prefill_time, outstanding);
     let plan = AttemptPlan {
         member,
         headers: AttemptHeaders {
@@ -165,10 +166,10 @@
         },
         is_once_only: !ctx.route.is_idempotent(),
         latency_key: key,
-        marks: &marks,
-        kept_marks,
+        prefixes: &prefixes,
+        cached_prefix_count,
         uncached_tokens,
-        patience: allows_failover.then_some(patience),
+        timeouts: allows_failover.then_some(timeouts),
         deadline: ctx.attempt_deadline(),
     };
     let mut has_retry = false;
--- a/src/router/fleet.rs
+++ b/src/router/fleet.rs
@@ -129,7 +129,7 @@
     pub(crate) fn set_cache_capacities(&self, memories: &HashMap<Box<str>, u64>) {
         for member in self.members.values() {
             if let Some(tokens) = memories.get(&member.server.service) {
-                member.state().kept.set_memory(*tokens);
+                member.state().prefixes.set_memory(*tokens);
             }
         }
     }
--- a/src/router/kept_board.rs
+++ b/src/router/kept_board.rs
@@ -87,7 +87,7 @@
         for note in earlier.iter().chain(notes) {
             let KeptNote(server, hash, tokens) = *note;
             match fleet.by_short_hash(server) {
-                Some(member) => member.state().kept.note_reported(hash, u64::from(tokens)),
+                Some(member) => member.state().prefixes.note_reported(hash, u64::from(tokens)),
                 None => inner.unplaced.push(*note),
             }
         }
--- a/src/router/member.rs
+++ b/src/router/member.rs
@@ -68,7 +68,7 @@
     /// Prefill time of the prompts of those requests.
     pub(crate) backlog: Duration,
     /// Prompt prefixes that are presumably in its cache.
-    pub(crate) kept: KeptParts,
+    pub(crate) prefixes: KeptParts,
     /// When data was last received from it, on the entry's clock.
     pub(crate) received_at: Duration,
     /// Whether another server responded at its address.
@@ -216,7 +216,7 @@
     pub(super) fn release_memory(&self) {
         let mut state = self.state();
         state.idle_connections = Vec::new();
-        state.kept = KeptParts::default();
+        state.prefixes = KeptParts::default();
     }
 
     /// Records a response that shows the server as healthy; returns whether it is the first one after a pause.
@@ -330,14 +330,14 @@
     }
 
     /// Its properties for server selection, for a prompt with these shared parts.
-    pub fn candidate(&self, zone: &str, marks: &[PromptMark], now: Duration) -> Candidate {
+    pub fn candidate(&self, zone: &str, prefixes: &[PromptMark], now: Duration) -> Candidate {
         let state = self.state();
         Candidate {
             id_hash: self.id_hash,
             load: state.load.estimate(now),
             slots: self.server.slots,
             backlog: state.backlog + state.load.others_backlog_for_choice(now),
-            kept_tokens: state.kept.kept_tokens(marks),
+            kept_tokens: state.prefixes.kept_tokens(prefixes),
             failure_rate: state.failure_rate.get(now),
             is_near: &*self.server.zone == zone,
         }
@@ -364,7 +364,7 @@
             "draining_ms": state.announced.draining_since().map(|since| age_ms(since, now)),
             "paused_ms": state.announced.paused_until().saturating_sub(now).as_millis() as u64,
             "idle_connections": state.idle_connections.len(),
-            "kept_tokens": state.kept.total_tokens(),
+            "kept_tokens": state.prefixes.total_tokens(),
         })
     }
 }
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -30,7 +30,7 @@
 };
 
 /// Maximum size of a buffered response, in bytes.
-const MAX_WHOLE_BODY: usize = 4 << 20;
+const MAX_BUFFERED_BODY: usize = 4 << 20;
 /// Maximum size of one event of a stream, in bytes.
 const MAX_EVENT: usize = 1 << 20;
 /// Number of stream parts buffered for a slow caller before reading from the server pauses.
@@ -43,7 +43,7 @@
 ) -> Result<Response<ResponseBody>, Refusal> {
     ctx.is_quarantine_trial = router.gets_trial(&ctx).await;
     if ctx.route.kind != RouteKind::Stream {
-        return respond_whole(router, &mut ctx).await;
+        return respond_buffered(router, &mut ctx).await;
     }
     let StageResponse { response, model } = stages::run_cascade(router, &mut ctx).await?;
     if response.head.kind != AnswerKind::Success {
@@ -59,7 +59,7 @@
 }
 
 /// Runs a request whose response is buffered. A response that is lost before it is complete is requested again.
-async fn respond_whole(
+async fn respond_buffered(
     router: &Arc<Router>,
     ctx: &mut RequestContext,
 ) -> Result<Response<ResponseBody>, Refusal> {
@@ -89,7 +89,7 @@
     let wait = ResponseWait {
         ctx,
         member: &server,
-        patience: None,
+        timeouts: None,
         deadline: ctx.deadline,
         has_begun: true,
     };
@@ -112,7 +112,7 @@
     mut response: OpenResponse,
 ) -> Result<Response<ResponseBody>, ()> {
     let mut res = response_with_head(&response.head);
-    let body = Limited::new(&mut response.body, MAX_WHOLE_BODY).collect().await;
+    let body = Limited::new(&mut response.body, MAX_BUFFERED_BODY).collect().await;
     let Ok(body) = body else {
         record_broken_connection(router, ctx, &response.member).await;
         return Err(());
@@ -190,7 +190,7 @@
     }
 
     /// Time from the first event to the last one.
-    fn took(&self) -> Duration {
+    fn elapsed(&self) -> Duration {
         let Some((first, last)) = self.first.zip(self.last) else {
             return Duration::ZERO;
         };
@@ -262,13 +262,13 @@
             return None;
         }
         let model = self.model.clone();
-        let params = AttemptParams { model: model.as_deref(), ..self.params() };
+        let params = AttemptParams { model: model.as_deref(), ..self.attempt_params() };
         let response = send_until_answered(&self.router, &mut self.ctx, params).await.ok()?;
         (response.head.kind == AnswerKind::Success).then_some(response)
     }
 
     /// Parameters for resuming the stream at another server.
-    fn params(&self) -> AttemptParams<'_> {
+    fn attempt_params(&self) -> AttemptParams<'_> {
         let last_event = self.last_event.or(self.ctx.req.head.last_event);
         AttemptParams { model: self.model.as_deref(), last_event }
     }
@@ -278,18 +278,18 @@
         let mut splitter = EventSplitter::default();
         let mut run = RunTiming::default();
         loop {
-            let patience = self.patience(&response.member);
+            let timeouts = self.timeouts(&response.member);
             let next = pin!(response.body.frame());
             let deadline = self.ctx.deadline;
             let (router, ctx, server) = (&self.router, &self.ctx, &response.member);
-            let params = self.params();
+            let params = self.attempt_params();
             let mut has_retry = false;
             let can_fail_over = || {
                 has_retry = reserve_failover(router, ctx, params, &server.server.id);
                 has_retry
             };
             let has_begun = run.first.is_some();
-            let wait = ResponseWait { ctx, member: server, patience, deadline, has_begun };
+            let wait = ResponseWait { ctx, member: server, timeouts, deadline, has_begun };
             let frame = wait_for_response(router, &wait, next, can_fail_over).await;
             if has_retry {
                 self.ctx.mark_retry_taken();
@@ -327,7 +327,7 @@
     /// Counts a run as slow against its version as soon as its events arrive far too slowly.
     fn check_pace(&self, response: &OpenResponse, run: &mut RunTiming) {
         run.record_event(Instant::now());
-        if run.is_counted || !self.reading().is_trickle(run.gaps, run.took()) {
+        if run.is_counted || !self.timing().is_trickle(run.gaps, run.elapsed()) {
             return;
         }
         run.is_counted = true;
@@ -340,14 +340,14 @@
         // Slow runs are included in the mean: without them it would fall, and more runs would count as slow. A
         // version that is being rolled out must not influence the mean that it is measured by.
         if run.gaps > 0 && !roll_outs.is_on_trial(server) {
-            self.router.readings.note_pace(self.latency_key(), run.took() / run.gaps);
+            self.router.readings.note_pace(self.latency_key(), run.elapsed() / run.gaps);
         }
         if !run.is_counted {
             roll_outs.note_outcome(server, RunOutcome::Good);
         }
     }
 
-    fn reading(&self) -> ReadingBelief {
+    fn timing(&self) -> ReadingBelief {
         self.router.readings.get(self.latency_key())
     }
 
@@ -388,7 +388,7 @@
     }
 
     /// How long the server may be silent; `None` if the stream can't be resumed at another server.
-    fn patience(&self, server: &Member) -> Option<Patience> {
+    fn timeouts(&self, server: &Member) -> Option<Patience> {
         let may_resume = self.ctx.route.is_resumable && self.ctx.runs_left() > 0;
         may_resume.then(|| event_patience(self.ctx.route.event_gap, server.outstanding()))
     }
--- a/src/router/request_context.rs
+++ b/src/router/request_context.rs
@@ -104,7 +104,7 @@
     /// service was gone, each request tried it 10 to 12 times within 40 ms, with a log line each, before the
     /// request was refused.
     pub(super) fn is_unreachable(&self, server: &str) -> bool {
-        self.unreachable_servers.iter().any(|unreachable_servers| **unreachable_servers == *server)
+        self.unreachable_servers.iter().any(|id| **id == *server)
     }
 
     /// Value of the `send` label in metrics for the next attempt.
@@ -114,7 +114,7 @@
 
     /// Whether an attempt was made at this server.
     pub(super) fn has_tried(&self, server: &str) -> bool {
-        self.tried_servers.iter().any(|tried_servers| **tried_servers == *server)
+        self.tried_servers.iter().any(|id| **id == *server)
     }
 
     /// Records that a retry was taken from the budget for the next attempt.
--- a/src/router/response_wait.rs
+++ b/src/router/response_wait.rs
@@ -18,7 +18,7 @@
     /// The server that runs it.
     pub(crate) member: &'a Member,
     /// How long the server may be silent; `None` if no other server may be tried.
-    pub(crate) patience: Option<Patience>,
+    pub(crate) timeouts: Option<Patience>,
     /// When to give up in any case, on the entry's clock.
     pub(crate) deadline: Duration,
     /// Whether part of the response has arrived, which shows that the server runs the request.
@@ -59,12 +59,12 @@
     mut can_fail_over: impl FnMut() -> bool,
 ) -> Option<F::Output> {
     let ResponseWait { member, deadline, .. } = *wait;
-    let Some(patience) = wait.patience else {
+    let Some(timeouts) = wait.timeouts else {
         return router.clock.until(deadline, work).await;
     };
     let began = router.now();
-    let slow_at = began + patience.slow;
-    let mut next_check = slow_at.min(began + patience.dark);
+    let slow_at = began + timeouts.slow;
+    let mut next_check = slow_at.min(began + timeouts.dark);
     loop {
         if let Some(output) = router.clock.until(deadline.min(next_check), work.as_mut()).await {
             return Some(output);
@@ -75,7 +75,7 @@
         }
         let silent_since = member.received_at().max(began);
         // A server sends nothing while it processes a long prompt, so the prompts in its queue are allowed for.
-        let silent_too_long_at = silent_since + patience.dark + member.backlog_for_choice(now);
+        let silent_too_long_at = silent_since + timeouts.dark + member.backlog_for_choice(now);
         if (now >= slow_at || now >= silent_too_long_at) && can_fail_over() {
             return None;
         }
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -34,8 +34,8 @@
     if router.standing(ctx) != Standing::Free {
         return select_for_suspect(ctx, &members).cloned();
     }
-    let marks = marks(ctx, params);
-    let candidate = |m: &&Arc<Member>| m.candidate(&settings.zone, &marks, now);
+    let prefixes = prefixes(ctx, params);
+    let candidate = |m: &&Arc<Member>| m.candidate(&settings.zone, &prefixes, now);
     let candidates: Vec<_> = members.iter().map(candidate).collect();
     let chosen =
         place(&candidates, &placement_input(router, ctx, params), &router.policy.placement)?;
@@ -137,24 +137,24 @@
     ctx: &RequestContext,
     params: AttemptParams<'_>,
 ) -> ExpectedLatency {
-    let belief = router.readings.get(latency_key(ctx, params));
+    let timing = router.readings.get(latency_key(ctx, params));
     let prompt_tokens = ctx.req.head.prompt_tokens;
-    let (ahead, kept) = match select_server(router, ctx, params, |_| true) {
+    let (ahead, cached_tokens) = match select_server(router, ctx, params, |_| true) {
         Some(member) => {
-            let kept = member.state().kept.kept_tokens(&marks(ctx, params));
-            (member.backlog(router.now()), kept)
+            let cached_tokens = member.state().prefixes.kept_tokens(&prefixes(ctx, params));
+            (member.backlog(router.now()), cached_tokens)
         }
         None => (Duration::ZERO, 0),
     };
-    let unread = prompt_tokens.saturating_sub(kept);
+    let uncached_tokens = prompt_tokens.saturating_sub(cached_tokens);
     ExpectedLatency {
-        time_to_head: belief.expected_head(unread, ahead),
-        unloaded_time_to_head: belief.expected_head(unread, Duration::ZERO),
+        time_to_head: timing.expected_head(uncached_tokens, ahead),
+        unloaded_time_to_head: timing.expected_head(uncached_tokens, Duration::ZERO),
     }
 }
 
 /// The prefixes of the prompt that other requests may share; empty if the route does not use prompt caches.
-pub(crate) fn marks(ctx: &RequestContext, params: AttemptParams<'_>) -> Vec<PromptMark> {
+pub(crate) fn prefixes(ctx: &RequestContext, params: AttemptParams<'_>) -> Vec<PromptMark> {
     if !ctx.route.is_sticky {
         return Vec::new();
     }
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -35,7 +35,7 @@
 }
 
 impl InFlightGuard {
-    fn enter(router: &Arc<Router>) -> Self {
+    fn new(router: &Arc<Router>) -> Self {
         router.record_request_started();
         Self { router: router.clone(), arrived_at: router.now() }
     }
@@ -77,7 +77,7 @@
     connected_at: Duration,
 ) -> Result<Response<ResponseBody>, Refusal> {
     router.notice_suspension();
-    let in_flight = InFlightGuard::enter(router);
+    let in_flight = InFlightGuard::new(router);
     let (parts, body) = req.into_parts();
     let head =
         read_request(&parts.method, &parts.uri, &parts.headers).map_err(|_| Refusal::Malformed)?;
