--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -129,6 +129,7 @@
 pub(crate) struct AttemptPlan<'a> {
     pub(crate) member: &'a Arc<Member>,
     pub(crate) headers: AttemptHeaders<'a>,
+    /// Whether the request must not run more than once.
     pub(crate) is_once_only: bool,
     /// Key under which response times are learned: the model, or the service if there is none.
     pub(crate) latency_key: &'a str,
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// Serves one request. Errors become responses, so this never fails.
+/// Serves one request. Refusals become responses, so this never fails.
 pub(crate) async fn serve(
     router: Arc<Router>,
     req: HttpRequest<Incoming>,
@@ -71,6 +71,7 @@
     Ok(res)
 }
 
+/// Serves one request, or returns the reason for refusing it.
 async fn try_serve(
     router: &Arc<Router>,
     req: HttpRequest<Incoming>,
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -95,13 +95,17 @@
     pub(crate) link: Link,
     /// Prometheus metrics.
     pub metrics: Metrics,
+    /// Retry budgets by service.
     pub(super) retry_budgets: Mutex<HashMap<Box<str>, SendBudget>>,
+    /// This entry's share of the retries that all entries may make beyond the configured ratio.
     extra_share: Mutex<ExtraShare>,
+    /// How long no server of a service could accept requests, by service; determines `Retry-After`.
     overloads: Mutex<HashMap<Box<str>, Overload>>,
     lifecycle: Mutex<Lifecycle>,
     in_flight: AtomicUsize,
     /// Wakes waiting requests when the configuration, the servers or other awaited data change.
     view_changed: Notify,
+    /// When a planned stop began.
     stop_started_at: OnceLock<Duration>,
     /// The entry's clock. All times of the request path are readings of it.
     pub clock: Clock,
