--- a/src/router/advertised_limits.rs
+++ b/src/router/advertised_limits.rs
@@ -46,7 +46,7 @@
     }
 
     /// Applies the limits that another entry reports.
-    pub(crate) fn take_limit_updates(&self, reported: &[LimitUpdate]) {
+    pub(crate) fn apply_limit_updates(&self, reported: &[LimitUpdate]) {
         for changed in self.limits.take_update(reported, self.now()) {
             self.log_limit(changed, Source::Entry);
         }
--- a/src/router/fleet.rs
+++ b/src/router/fleet.rs
@@ -103,8 +103,8 @@
     }
 
     /// The server whose incarnation has this hash.
-    pub(crate) fn by_incarnation(&self, life: LifeHash) -> Option<&Arc<Member>> {
-        self.by_short_hash(life as u32).filter(|member| member.incarnation_hash() == life)
+    pub(crate) fn by_incarnation(&self, hash: LifeHash) -> Option<&Arc<Member>> {
+        self.by_short_hash(hash as u32).filter(|member| member.incarnation_hash() == hash)
     }
 
     /// Whether a server with this id is listed.
--- a/src/router/follow.rs
+++ b/src/router/follow.rs
@@ -184,7 +184,7 @@
     router.loads.apply(&loads, &fleet, router.now());
     router.kept.apply(&kept, &fleet);
     router.quarantine.take_update(&ends, router.now());
-    router.take_limit_updates(&limits);
+    router.apply_limit_updates(&limits);
     if is_informed && router.quarantine.note_informed() {
         router.wake_waiters();
     }
--- a/src/router/member.rs
+++ b/src/router/member.rs
@@ -28,7 +28,7 @@
 
 /// Outlier ejection of servers. A server is ejected after two consecutive failures: a single lost response is common
 /// here, and waiting for a third failure would cost a third of another request's time.
-const OUTLIER_RULES: OutlierRules = OutlierRules {
+const OUTLIER_CONFIG: OutlierRules = OutlierRules {
     out_after: 2,
     first_out: Duration::from_millis(500),
     longest_out: Duration::from_secs(4),
@@ -222,7 +222,7 @@
     /// Records a response that shows the server as healthy; returns whether it is the first one after a pause.
     pub(crate) fn record_answer(&self, now: Duration) -> bool {
         let mut state = self.state();
-        state.outlier.note_answer(&OUTLIER_RULES);
+        state.outlier.note_answer(&OUTLIER_CONFIG);
         state.send_window.note_answer();
         state.failure_rate.note(false, now);
         state.announced.note_answer(now)
@@ -231,7 +231,7 @@
     /// Records a failure of the server.
     pub(crate) fn record_failure(&self, now: Duration) {
         let mut state = self.state();
-        state.outlier.note_failure(&OUTLIER_RULES, now);
+        state.outlier.note_failure(&OUTLIER_CONFIG, now);
         state.failure_rate.note(true, now);
     }
 
@@ -239,7 +239,7 @@
     pub(crate) fn record_unreachable(&self, now: Duration) {
         let mut state = self.state();
         state.unreachable_at = Some(now);
-        state.outlier.note_unreachable(&OUTLIER_RULES, now);
+        state.outlier.note_unreachable(&OUTLIER_CONFIG, now);
         state.failure_rate.note(true, now);
     }
 
@@ -255,7 +255,7 @@
     }
 
     /// The same for server selection, where the prompts of other entries count only up to a bound.
-    pub(crate) fn backlog_for_choice(&self, now: Duration) -> Duration {
+    pub(crate) fn backlog_for_placement(&self, now: Duration) -> Duration {
         let state = self.state();
         state.backlog + state.load.others_backlog_for_choice(now)
     }
--- a/src/router/peers.rs
+++ b/src/router/peers.rs
@@ -132,7 +132,7 @@
         router.roll_outs.take_evidence(host, report.evidence);
         router.kept.take_report(&report.kept, &router.fleet.load(), router.now());
         router.quarantine.take_update(&report.ends, router.now());
-        router.take_limit_updates(&report.limits);
+        router.apply_limit_updates(&report.limits);
         report = loop {
             let asked = tokio::select! {
                 asked = receive(&mut socket) => asked?,
--- a/src/router/reports.rs
+++ b/src/router/reports.rs
@@ -142,6 +142,6 @@
         return Err(Error::Broken("news were expected".into()));
     };
     router.quarantine.take_update(&ends, router.now());
-    router.take_limit_updates(&limits);
+    router.apply_limit_updates(&limits);
     Ok(())
 }
--- a/src/router/response_wait.rs
+++ b/src/router/response_wait.rs
@@ -75,7 +75,7 @@
         }
         let silent_since = member.received_at().max(began);
         // A server sends nothing while it processes a long prompt, so the prompts in its queue are allowed for.
-        let silent_too_long_at = silent_since + timeouts.dark + member.backlog_for_choice(now);
+        let silent_too_long_at = silent_since + timeouts.dark + member.backlog_for_placement(now);
         if (now >= slow_at || now >= silent_too_long_at) && can_fail_over() {
             return None;
         }
