--- a/src/router/announcements.rs
+++ b/src/router/announcements.rs
@@ -1,4 +1,4 @@
-//! What this entry records of the drain notices and pauses in answers of servers.
+//! Records drain notices, pauses and unknown headers in responses of servers.
 
 use std::sync::Arc;
 
@@ -13,22 +13,27 @@
 };
 
 impl Router {
-    /// Records what the head of a server's own answer announces.
-    pub(crate) fn note_announced(&self, member: &Member, head: &ResponseHead, request_id: &str) {
+    /// Records what the head of a server's own response announces.
+    pub(crate) fn record_announcements(
+        &self,
+        member: &Member,
+        head: &ResponseHead,
+        request_id: &str,
+    ) {
         let (now, id) = (self.now(), &member.server.id);
-        if head.is_draining && member.note_draining(now) {
+        if head.is_draining && member.record_draining(now) {
             event::SERVER_DRAINING.log(format_args!("server={id} request={request_id}"));
         }
         if !head.is_overload_rejection() {
             return;
         }
-        if head.retry_after == RetryAfter::Unreadable && member.note_unreadable_retry_after(now) {
+        if head.retry_after == RetryAfter::Unreadable && member.record_unreadable_retry_after(now) {
             event::RETRY_AFTER_UNREADABLE.log(format_args!("server={id} request={request_id}"));
         }
         let Some(pause) = head.retry_after.pause() else {
             return;
         };
-        if member.note_pause(pause, now) {
+        if member.record_pause(pause, now) {
             event::PAUSE_REQUESTED.log(format_args!(
                 "server={id} request={request_id} status={} pause_ms={}",
                 head.status.as_u16(),
@@ -37,15 +42,15 @@
         }
     }
 
-    /// Records an answer that shows a server as healthy.
-    pub(crate) fn note_answer(&self, member: &Member) {
-        if member.note_answer(self.now()) {
+    /// Records a response that shows a server as healthy.
+    pub(crate) fn record_answer(&self, member: &Member) {
+        if member.record_answer(self.now()) {
             event::PAUSE_ENDED.log(format_args!("server={}", member.server.id));
         }
     }
 
-    /// Counts headers of an answer that nothing reads, and logs each name once.
-    pub(crate) fn note_unread_headers(&self, member: &Member, head: &ResponseHead) {
+    /// Counts response headers that this program does not know, and logs each name once.
+    pub(crate) fn record_unread_headers(&self, member: &Member, head: &ResponseHead) {
         for name in &head.unknown_headers {
             if self.metrics.count_unread_header(name.as_str()) {
                 event::HEADER_UNREAD.log(format_args!("header={name} server={}", member.server.id));
@@ -53,7 +58,7 @@
         }
     }
 
-    /// Counts servers that were left out of a choice since they are unavailable.
+    /// Counts servers that were skipped in a selection because they are unavailable.
     pub(crate) fn count_avoided(&self, closed: &[(&Arc<Member>, Availability)]) {
         for cause in UnavailableCause::ALL {
             let servers = closed.iter().filter(|(_, a)| a.is_closed_by(cause)).count() as u64;
@@ -63,7 +68,7 @@
         }
     }
 
-    /// Counts a send to a server that has announced that it should get none.
+    /// Counts a send to a server that has announced that it is draining or paused.
     pub(crate) fn count_unavailable_send(&self, member: &Member, send: &str) {
         let announced = member.state().announced;
         if announced.draining_since().is_some() {
--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request sent to one BackendServer, up to the head of its answer.
+//! One attempt: sends a request to one BackendServer and waits for the head of the response.
 
 use std::{pin::pin, sync::Arc, time::Duration};
 
@@ -26,13 +26,13 @@
     routing::{Request, ResponseHead, ResponseKind},
 };
 
-/// Counts a request as being at a server until it is dropped.
+/// Counts a request in the load of its server until it is dropped.
 #[derive(Debug)]
 pub(crate) struct OutstandingGuard {
     member: Arc<Member>,
-    /// Time for its prompt.
+    /// Prefill time of its prompt.
     prefill_time: Duration,
-    /// Whether its answer has begun.
+    /// Whether its response has begun.
     has_begun: bool,
 }
 
@@ -46,8 +46,8 @@
         Self { member: member.clone(), prefill_time, has_begun: false }
     }
 
-    /// Notes that an answer has begun, or that none is waited for any more.
-    fn note_begun(&mut self) {
+    /// Records that the response has begun or is no longer awaited.
+    fn mark_begun(&mut self) {
         if std::mem::replace(&mut self.has_begun, true) {
             return;
         }
@@ -59,27 +59,27 @@
 
 impl Drop for OutstandingGuard {
     fn drop(&mut self) {
-        self.note_begun();
+        self.mark_begun();
         self.member.state().load.own_requests -= 1;
     }
 }
 
-/// An answer whose head is here and whose body is still coming.
+/// A response whose head has arrived and whose body is still being received.
 ///
-/// Dropping it closes the connection, which stops the server's work.
+/// Dropping it closes the connection, which makes the server stop its work.
 #[derive(Debug)]
 pub(crate) struct OpenResponse {
     pub(crate) head: ResponseHead,
     pub(crate) body: Incoming,
     pub(crate) member: Arc<Member>,
-    /// Whether its head took several times longer than such heads do.
+    /// Whether its head took several times longer than usual.
     pub(crate) is_slow: bool,
     connection: Connection,
     _outstanding: OutstandingGuard,
 }
 
 impl OpenResponse {
-    /// Gives the connection back once the body was read to its end.
+    /// Returns the connection to the pool after the body was read to the end.
     pub(crate) fn finish(self, now: Duration) {
         if !self.head.closes_connection {
             connection::check_in(&self.member, self.connection, now);
@@ -87,37 +87,37 @@
     }
 }
 
-/// Why an attempt brought no answer of the server.
+/// Why an attempt produced no response of the server.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AttemptError {
-    /// Nothing was sent.
+    /// No connection could be opened, so nothing was sent.
     #[error("not sent: {0}")]
     NotSent(#[from] ConnectError),
-    /// Nothing was sent: the server became unavailable while it was connected to.
+    /// The server became unavailable while the connection was opened, so nothing was sent.
     #[error("not sent: the server is {0}")]
     Unavailable(UnavailableCause),
-    /// The server says that it did not run it.
+    /// The server declared that it did not run the request.
     #[error("the server refused it with status {0}")]
     Refused(http::StatusCode),
-    /// Another server has the address.
+    /// Another server listens at the address.
     #[error("another server has the address")]
     OtherServer,
-    /// It was sent and may have run.
+    /// The connection failed after the request was sent; it may have run.
     #[error("the connection ended: {0}")]
     Lost(#[from] hyper::Error),
-    /// No head of an answer in time; it may have run.
-    #[error("no answer in time")]
+    /// No response head arrived in time; the request may have run.
+    #[error("no response in time")]
     Timeout,
-    /// Servers ended under it, at which it was at work as well; it may have run.
-    #[error("it is found to end servers")]
+    /// Servers crashed while running it, and it was quarantined while this attempt waited; it may have run.
+    #[error("the request was quarantined because servers crashed while running it")]
     Quarantined,
-    /// What came is not the server's answer to this request; it may have run.
-    #[error("the answer is not its server's or belongs to another request")]
+    /// The response is not the server's response to this request; the request may have run.
+    #[error("the response comes from another server or belongs to another request")]
     WrongResponse,
 }
 
 impl AttemptError {
-    /// Whether this proves that the request did not run and never will.
+    /// Whether the error proves that the request did not run and will not run.
     pub(crate) fn proves_not_run(&self) -> bool {
         matches!(
             self,
@@ -126,34 +126,36 @@
     }
 }
 
-/// How an attempt is to be made.
+/// Server, headers, timeouts and cached prompt parts of an attempt.
 #[derive(Debug)]
 pub(crate) struct AttemptPlan<'a> {
     pub(crate) member: &'a Arc<Member>,
     pub(crate) headers: AttemptHeaders<'a>,
+    /// Whether the request must not run more than once.
     pub(crate) is_once_only: bool,
-    /// What head times are learned by: the model, or the service where there is none.
+    /// Key under which response times are learned: the model, or the service if there is none.
     pub(crate) latency_key: &'a str,
-    /// Parts of the prompt that other requests may share.
-    pub(crate) marks: &'a [PromptPrefix],
-    /// How many of these the server kept before.
-    pub(crate) kept_marks: usize,
-    /// Tokens of the prompt that the server has to read.
+    /// Prefixes of the prompt that other requests may share.
+    pub(crate) prefixes: &'a [PromptPrefix],
+    /// How many of these the server presumably had cached before the attempt.
+    pub(crate) cached_prefix_count: usize,
+    /// Tokens of the prompt that the server has to process.
     pub(crate) uncached_tokens: u64,
-    /// How long its silence is tolerated; none where no other server may be tried after.
-    pub(crate) patience: Option<AnswerTimeouts>,
-    /// When the request is given up in any case.
+    /// How long the server may be silent; `None` if no other server may be tried.
+    pub(crate) timeouts: Option<AnswerTimeouts>,
+    /// When the attempt is abandoned in any case.
     pub(crate) deadline: Duration,
 }
 
 impl AttemptPlan<'_> {
-    /// Parts that the server did not keep before this attempt.
-    fn new_marks(&self) -> &[PromptPrefix] {
-        &self.marks[self.kept_marks..]
+    /// Prefixes that the server presumably did not have cached before the attempt.
+    fn new_prefixes(&self) -> &[PromptPrefix] {
+        &self.prefixes[self.cached_prefix_count..]
     }
 }
 
-/// Makes the attempt.
+/// Sends the request and waits for the head of the response. `can_fail_over` is asked whether a slow server may be
+/// abandoned for another one.
 pub(crate) async fn send(
     router: &Router,
     ctx: &RequestContext,
@@ -164,21 +166,21 @@
     let ahead = plan.member.backlog(router.now());
     let mut outstanding = OutstandingGuard::new(plan.member, prefill_time);
     let sent_at = router.now();
-    note_prompt_sent(router, plan);
+    record_prompt_sent(router, plan);
     router.count_unavailable_send(plan.member, ctx.send_kind());
-    // By the runtime's clock: a suspension says nothing about the server's pace.
+    // The runtime's clock stops during a suspension of the Host, which says nothing about the server's speed.
     let began = Instant::now();
     let outcome = send_request(router, ctx, plan, can_fail_over).await;
     if let Err(e) = &outcome {
-        note_error(router, plan.member, e);
-        plan.member.state().kept.forget(plan.new_marks());
+        record_error(router, plan.member, e);
+        plan.member.state().prefixes.forget(plan.new_prefixes());
     }
     let (connection, res) = outcome?;
-    outstanding.note_begun();
-    plan.member.note_received(router.now());
+    outstanding.mark_begun();
+    plan.member.record_received(router.now());
     let (parts, body) = res.into_parts();
     let head = parse_response_head(parts.status, &parts.headers, &ctx.req.head.id);
-    note_response_head(router, plan.member, &head, &ctx.req.head.id, sent_at);
+    record_response_head(router, plan.member, &head, &ctx.req.head.id, sent_at);
     let (tokens, took) = (plan.uncached_tokens, began.elapsed());
     let is_slow = router.readings.get(plan.latency_key).is_slow_head(tokens, took);
     if head.kind == ResponseKind::Success {
@@ -189,27 +191,27 @@
     }
     let member = plan.member.clone();
     if !matches!(head.kind, ResponseKind::Success) {
-        member.state().kept.forget(plan.new_marks());
+        member.state().prefixes.forget(plan.new_prefixes());
     }
     let response =
         OpenResponse { head, body, member, is_slow, connection, _outstanding: outstanding };
     check_response(response)
 }
 
-/// Notes which parts of the prompt the server will keep, and lets the other entries know.
-fn note_prompt_sent(router: &Router, plan: &AttemptPlan<'_>) {
+/// Records which prefixes of the prompt the server will have cached, and reports them to the other entries.
+fn record_prompt_sent(router: &Router, plan: &AttemptPlan<'_>) {
     let now = router.now();
     let mut state = plan.member.state();
-    state.kept.record_sent(plan.marks, plan.uncached_tokens);
-    let to_report = state.kept.take_report(plan.marks, now);
+    state.prefixes.record_sent(plan.prefixes, plan.uncached_tokens);
+    let to_report = state.prefixes.take_report(plan.prefixes, now);
     drop(state);
-    if let Some(mark) = to_report {
-        let tokens = u32::try_from(mark.tokens).unwrap_or(u32::MAX);
-        router.kept.record_own(CachedPrefix(plan.member.short_hash(), mark.hash, tokens), now);
+    if let Some(prefix) = to_report {
+        let tokens = u32::try_from(prefix.tokens).unwrap_or(u32::MAX);
+        router.kept.record_own(CachedPrefix(plan.member.short_hash(), prefix.hash, tokens), now);
     }
 }
 
-/// Turns answers that are no answer to this request into errors.
+/// Turns responses that are not the server's result for this request into errors.
 fn check_response(response: OpenResponse) -> Result<OpenResponse, AttemptError> {
     match response.head.kind {
         ResponseKind::Success | ResponseKind::Failure => Ok(response),
@@ -225,41 +227,46 @@
     }
 }
 
-fn note_response_head(
+/// Updates what is known about the server from the head of its response.
+fn record_response_head(
     router: &Router,
     member: &Member,
     head: &ResponseHead,
     request_id: &str,
     sent_at: Duration,
 ) {
-    let is_foreign = matches!(head.kind, ResponseKind::WrongRequest | ResponseKind::Unsigned);
-    if is_foreign || (head.status.is_server_error() && !head.announces_rejection()) {
-        member.note_failure(router.now());
+    let is_wrong_response =
+        matches!(head.kind, ResponseKind::WrongRequest | ResponseKind::Unsigned);
+    if is_wrong_response || (head.status.is_server_error() && !head.announces_rejection()) {
+        member.record_failure(router.now());
     } else if !head.announces_rejection() {
-        router.note_answer(member);
+        router.record_answer(member);
     }
     if head.kind.is_authentic() {
-        router.note_advertised_limit(member, head, sent_at);
-        router.note_announced(member, head, request_id);
-        router.note_unread_headers(member, head);
+        router.record_advertised_limit(member, head, sent_at);
+        router.record_announcements(member, head, request_id);
+        router.record_unread_headers(member, head);
     }
 }
 
-fn note_error(router: &Router, member: &Member, e: &AttemptError) {
+/// Counts an error against the server, if it is the server's fault.
+fn record_error(router: &Router, member: &Member, e: &AttemptError) {
     match e {
         AttemptError::Unavailable(_)
         | AttemptError::Refused(_)
         | AttemptError::OtherServer
         | AttemptError::Quarantined => {}
-        // Judged once it is known whether the server ended.
+        // Recorded by `server_ends`, once it is known whether the server crashed.
         AttemptError::Lost(_) => {}
-        AttemptError::NotSent(ConnectError::Refused(_)) => member.note_unreachable(router.now()),
-        _ => member.note_failure(router.now()),
+        AttemptError::NotSent(ConnectError::Refused(_)) => member.record_unreachable(router.now()),
+        _ => member.record_failure(router.now()),
     }
 }
 
+/// A response and the connection on which its body arrives.
 type ConnectionAndHead = (Connection, http::Response<Incoming>);
 
+/// Sends the request on a pooled connection, and on a new one if the server had closed the pooled one.
 async fn send_request(
     router: &Router,
     ctx: &RequestContext,
@@ -270,14 +277,14 @@
     let wait = ResponseWait {
         ctx,
         member: plan.member,
-        patience: plan.patience,
+        timeouts: plan.timeouts,
         deadline: plan.deadline,
         has_begun: false,
     };
     let mut checkout = connection::check_out(plan.member, router.now(), plan.is_once_only).await?;
     loop {
         let Checkout { mut connection, is_reused } = checkout;
-        // Connecting takes time.
+        // The server may have become unavailable while the connection was opened.
         if let Some(cause) = router.stops_send(plan.member) {
             return Err(AttemptError::Unavailable(cause));
         }
@@ -291,7 +298,7 @@
             Ok(res) => return Ok((connection, res)),
             Err(e) => e,
         };
-        // A kept connection that the server had closed gives the request back unsent.
+        // If the server had closed the pooled connection, hyper returns the unsent request.
         let Some(unsent) = e.take_message().filter(|_| is_reused) else {
             return Err(AttemptError::Lost(e.into_error()));
         };
@@ -301,6 +308,7 @@
     }
 }
 
+/// Builds the HTTP request with the headers for the server.
 fn build_request(req: &Request, plan: &AttemptPlan<'_>) -> HttpRequest<Full<Bytes>> {
     let mut message = HttpRequest::new(Full::new(req.body.clone()));
     *message.method_mut() = req.head.method.clone();
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which server a request is tried at next, until one answers or nothing more may be tried.
+//! Sends a request to one server after another, until one responds or no further attempt is allowed.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,23 +16,24 @@
         refusal::Refusal,
         request_context::{AttemptParams, RequestContext},
         roll_out::RunOutcome,
-        selection::{latency_key, marks, select_server, unavailability},
-        server_ends::{LossCause, note_broken_connection, note_lost},
+        selection::{latency_key, prefixes, select_server, unavailability},
+        server_ends::{LossCause, record_broken_connection, record_lost},
     },
     routing::{ResponseKind, RouteKind},
     telemetry::event,
 };
 
-/// Sends of one request that reach a server at most, refused ones included: with more, a full
-/// pool would be asked over and over.
+/// Maximum number of attempts of one request that reach a server, including those that the server refuses. With more,
+/// requests would keep asking a pool that is full.
 const MAX_DELIVERIES: u32 = 5;
-/// Servers that one request is tried at, those included that can't be reached: these cost a round
-/// trip each, and half of a pool may be gone before the list says so.
+/// Maximum number of attempts of one request, including those at unreachable servers. An unreachable server costs one
+/// round trip, and half of a pool may be gone before the list shows it.
 const MAX_ATTEMPTS: usize = 12;
-/// Least time left with which a server is still asked.
+/// Minimum time before the deadline with which another attempt is made.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
 
-/// Tries servers until one answers; the answer may be the server's own failure.
+/// Sends a request to servers until one succeeds. If none does, returns the last failure response of a server, or
+/// else a refusal.
 pub(crate) async fn send_until_answered(
     router: &Router,
     ctx: &mut RequestContext,
@@ -52,7 +53,7 @@
         match router.acquire_send(&member) {
             SendPermit::Unlimited => {}
             SendPermit::Limited => router.metrics.count_limited(ctx.send_kind()),
-            // The choice is made anew.
+            // The server became unavailable since it was selected; select again.
             SendPermit::Denied => continue,
         }
         match attempt_at(router, ctx, &member, params).await {
@@ -70,7 +71,7 @@
     }
 }
 
-/// What the caller gets when nothing more is tried.
+/// The refusal for the caller when no further attempt is made.
 fn refusal_after_attempts(
     router: &Router,
     ctx: &RequestContext,
@@ -81,7 +82,7 @@
             Refusal::Quarantined { retry_after: router.refusal_retry_after(ctx) }
         }
         RequestOutcome::NotRun => {
-            let retry_after = router.note_overload(&ctx.service, &ctx.req.head.id);
+            let retry_after = router.record_overload(&ctx.service, &ctx.req.head.id);
             let Some((cause, wait)) = unavailability(router, ctx, params) else {
                 return Refusal::NotRun { retry_after };
             };
@@ -89,7 +90,8 @@
                 router.metrics.count_limited("refused");
                 return Refusal::RateLimited { retry_after: retry_after.max(wait) };
             }
-            // Spread, so that callers don't come back together when the first pause ends.
+            // The spread in `retry_after` keeps callers from returning all at once when the first server is
+            // available.
             Refusal::Unavailable { cause, retry_after: wait + retry_after }
         }
         _ if ctx.time_left(router) < MIN_TIME_LEFT => Refusal::TimedOut,
@@ -97,28 +99,28 @@
     }
 }
 
-/// The next server, if another attempt may be made.
+/// The server for the next attempt, if one is allowed. Servers that were not tried yet are preferred.
 fn next_server(
     router: &Router,
     ctx: &RequestContext,
     params: AttemptParams<'_>,
 ) -> Option<Arc<Member>> {
-    let may = may_retry(&ctx.attempts, ctx.route.is_idempotent())
+    let is_allowed = may_retry(&ctx.attempts, ctx.route.is_idempotent())
         && ctx.runs_left() > 0
         && ctx.deliveries < MAX_DELIVERIES
         && ctx.attempts.len() < MAX_ATTEMPTS
         && router.now() + MIN_TIME_LEFT < ctx.attempt_deadline()
         && !router.is_refused(ctx)
         && !(ctx.is_quarantine_trial && ctx.runs > 0);
-    if !may {
+    if !is_allowed {
         return None;
     }
     let untried = select_server(router, ctx, params, |server| !ctx.has_tried(server));
     untried.or_else(|| select_server(router, ctx, params, |server| !ctx.is_unreachable(server)))
 }
 
-/// Whether the request could go on at another server than this one; takes the repeated send that
-/// it needs from the budget.
+/// Whether the request can be moved from its current server to an untried one; if so, takes the retry that this needs
+/// from the budget.
 pub(crate) fn reserve_failover(
     router: &Router,
     ctx: &RequestContext,
@@ -130,6 +132,7 @@
         && router.take_retry(&ctx.service)
 }
 
+/// Makes one attempt at a server and records its outcome.
 async fn attempt_at(
     router: &Router,
     ctx: &mut RequestContext,
@@ -138,19 +141,20 @@
 ) -> Result<OpenResponse, AttemptError> {
     let allows_failover = ctx.route.is_idempotent() && ctx.runs_left() > 1;
     let key = latency_key(ctx, params);
-    let belief = router.readings.get(key);
-    let marks = marks(ctx, params);
+    let timing = router.readings.get(key);
+    let prefixes = prefixes(ctx, params);
     let prompt_tokens = ctx.req.head.prompt_tokens;
-    let kept_marks = member.state().kept.cached_prefix_count(&marks);
-    let cached_tokens: u64 = marks[..kept_marks].iter().map(|mark| mark.tokens).sum();
+    let cached_prefix_count = member.state().prefixes.cached_prefix_count(&prefixes);
+    let cached_tokens: u64 =
+        prefixes[..cached_prefix_count].iter().map(|prefix| prefix.tokens).sum();
     let uncached_tokens = prompt_tokens.saturating_sub(cached_tokens);
-    // What is believed to be kept may be gone: the time for the whole prompt is allowed.
-    let prefill_time = belief.prefill_time(prompt_tokens);
+    // Cached prefixes may have been evicted, so the timeout allows for processing the whole prompt.
+    let prefill_time = timing.prefill_time(prompt_tokens);
     let (kind, objective) = (ctx.route.kind, ctx.route.objective);
-    // This one is awaited there, too.
+    // Includes this request.
     let outstanding = member.outstanding() + 1;
-    let patience =
-        head_timeouts(kind, objective, belief.mean_head_time(), prefill_time, outstanding);
+    let timeouts =
+        head_timeouts(kind, objective, timing.mean_head_time(), prefill_time, outstanding);
     let plan = AttemptPlan {
         member,
         headers: AttemptHeaders {
@@ -163,10 +167,10 @@
         },
         is_once_only: !ctx.route.is_idempotent(),
         latency_key: key,
-        marks: &marks,
-        kept_marks,
+        prefixes: &prefixes,
+        cached_prefix_count,
         uncached_tokens,
-        patience: allows_failover.then_some(patience),
+        timeouts: allows_failover.then_some(timeouts),
         deadline: ctx.attempt_deadline(),
     };
     let mut has_retry = false;
@@ -190,12 +194,12 @@
     }
     if !matches!(&result, Err(e) if e.proves_not_run()) {
         ctx.runs += 1;
-        note_run_outcome(router, ctx, member, &result).await;
+        record_run_outcome(router, ctx, member, &result).await;
     }
     result
 }
 
-/// State of an attempt after its result, and the word for it in metrics.
+/// The state of an attempt after its result, and the value of the `outcome` label in metrics.
 fn classify_result(result: &Result<OpenResponse, AttemptError>) -> (AttemptState, &'static str) {
     let sent = attempt::advance(attempt::initial_state(), AttemptEvent::Sent);
     match result {
@@ -208,25 +212,26 @@
     }
 }
 
-/// Counts an attempt that may have run for or against its server, its version and the request itself.
-async fn note_run_outcome(
+/// Records the outcome of an attempt that may have run, as evidence about its server, its version and the request
+/// itself.
+async fn record_run_outcome(
     router: &Router,
     ctx: &RequestContext,
     member: &Arc<Member>,
     result: &Result<OpenResponse, AttemptError>,
 ) {
     let outcome = match result {
-        // It may have begun to run, and end the server all the same.
+        // The server may have begun to run the request and may still crash.
         Err(AttemptError::Quarantined) => {
-            return note_lost(router, ctx, member, LossCause::Disconnected);
+            return record_lost(router, ctx, member, LossCause::Disconnected);
         }
-        Err(AttemptError::Lost(_)) => return note_broken_connection(router, ctx, member).await,
+        Err(AttemptError::Lost(_)) => return record_broken_connection(router, ctx, member).await,
         Err(AttemptError::Timeout) => {
-            note_lost(router, ctx, member, LossCause::Abandoned);
+            record_lost(router, ctx, member, LossCause::Abandoned);
             return router.roll_outs.record_timeout(&member.server, router.now());
         }
         Ok(response) if response.head.kind == ResponseKind::Success => {
-            // Judged when its body has ended, but for a stream that is late already.
+            // Recorded at the end of the body, except for a stream whose head was already slow.
             if !response.is_slow || ctx.route.kind != RouteKind::Stream {
                 return;
             }
--- a/src/router/orders.rs
+++ b/src/router/orders.rs
@@ -11,7 +11,7 @@
         store::{Rows, StoreClient, Table},
     },
     policy::lifecycle::LifecycleEvent,
-    router::{Router, feed::follow_table, restore::Extent, servers::note_versions},
+    router::{Router, feed::follow_table, restore::Extent, servers::record_versions},
     routing::RoutingTable,
     telemetry::event,
 };
@@ -88,7 +88,7 @@
                 format!("service={} to={} within={:?}", order.service, order.to, order.duration);
             if router.roll_outs.add_order(order, router.now(), is_start) {
                 event::ROLL_OUT_ORDERED.log(format_args!("{reported}"));
-                note_versions(router);
+                record_versions(router);
             }
         }
         OperatorChange::RollOutWithdrawn(service) => router.roll_outs.withdraw(&service),
--- a/src/router/peer_follower.rs
+++ b/src/router/peer_follower.rs
@@ -175,7 +175,7 @@
     }
     router.views.record_peer_message(router.now());
     if entries > 0 {
-        router.note_entries(entries);
+        router.record_entries(entries);
     }
     if let Some(place) = place.filter(|place| place.rank < place.entries) {
         router.own_place.record(place, router.now());
@@ -184,7 +184,7 @@
     router.loads.apply(&loads, &fleet, router.now());
     router.kept.apply(&kept, &fleet);
     router.quarantine.apply_updates(&ends, router.now());
-    router.take_limit_updates(&limits);
+    router.apply_limit_updates(&limits);
     if is_informed && router.quarantine.mark_informed() {
         router.wake_waiters();
     }
--- a/src/router/peers.rs
+++ b/src/router/peers.rs
@@ -137,7 +137,7 @@
         router.roll_outs.apply_evidence(host, report.evidence);
         router.kept.apply_report(&report.kept, &router.fleet.load(), router.now());
         router.quarantine.apply_updates(&report.ends, router.now());
-        router.take_limit_updates(&report.limits);
+        router.apply_limit_updates(&report.limits);
         report = loop {
             let asked = tokio::select! {
                 asked = receive(&mut socket) => asked?,
--- a/src/router/prefix_reports.rs
+++ b/src/router/prefix_reports.rs
@@ -87,7 +87,7 @@
         for note in earlier.iter().chain(notes) {
             let CachedPrefix(server, hash, tokens) = *note;
             match fleet.by_short_hash(server) {
-                Some(member) => member.state().kept.record_peer_report(hash, u64::from(tokens)),
+                Some(member) => member.state().prefixes.record_peer_report(hash, u64::from(tokens)),
                 None => inner.unplaced.push(*note),
             }
         }
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -1,4 +1,5 @@
-//! Passing an answer on: in one piece, or event by event with a resume where a server breaks off.
+//! Forwards responses to callers: buffered, or event by event. A stream that breaks off is resumed at another
+//! server if its route allows that.
 
 use std::{pin::pin, sync::Arc, time::Duration};
 
@@ -21,28 +22,28 @@
         response_wait::{ResponseWait, wait_for_response},
         roll_out::RunOutcome,
         selection::latency_key,
-        server_ends::{LossCause, note_broken_connection, note_lost},
+        server_ends::{LossCause, record_broken_connection, record_lost},
         stages::{self, StageResponse},
     },
     routing::{ResponseHead, ResponseKind, RouteKind},
     telemetry::event,
 };
 
-/// Largest answer in one piece, bytes; it is held until it is whole.
-const MAX_WHOLE_BODY: usize = 4 << 20;
-/// Largest event of a stream, bytes.
+/// Maximum size of a buffered response, in bytes.
+const MAX_BUFFERED_BODY: usize = 4 << 20;
+/// Maximum size of one event of a stream, in bytes.
 const MAX_EVENT: usize = 1 << 20;
-/// Parts that may wait for a slow caller before the server is no longer read.
+/// Number of stream parts buffered for a slow caller before reading from the server pauses.
 const RELAY_QUEUE: usize = 8;
 
-/// Runs a job and gives the answer for its caller.
+/// Runs a request and returns the response for its caller.
 pub(crate) async fn respond(
     router: &Arc<Router>,
     mut ctx: RequestContext,
 ) -> Result<Response<ResponseBody>, Refusal> {
     ctx.is_quarantine_trial = router.claim_trial(&ctx).await;
     if ctx.route.kind != RouteKind::Stream {
-        return respond_whole(router, &mut ctx).await;
+        return respond_buffered(router, &mut ctx).await;
     }
     let StageResponse { response, model } = stages::run_cascade(router, &mut ctx).await?;
     if response.head.kind != ResponseKind::Success {
@@ -57,7 +58,8 @@
     Ok(res)
 }
 
-async fn respond_whole(
+/// Runs a request whose response is buffered. A response that is lost before it is complete is requested again.
+async fn respond_buffered(
     router: &Arc<Router>,
     ctx: &mut RequestContext,
 ) -> Result<Response<ResponseBody>, Refusal> {
@@ -67,17 +69,17 @@
         match read_until_deadline(router, ctx, response).await {
             Some(Ok(res)) => return Ok(res),
             Some(Err(())) => {}
-            // At the deadline, or when the server has started again: then it may be tried elsewhere.
+            // The deadline has passed, or the server has restarted. In the latter case another server may be tried.
             None => {
-                note_lost(router, ctx, &server, LossCause::Abandoned);
+                record_lost(router, ctx, &server, LossCause::Abandoned);
                 router.roll_outs.record_timeout(&server.server, router.now());
             }
         }
-        ctx.note_last_attempt_lost();
+        ctx.mark_last_attempt_lost();
     }
 }
 
-/// Reads an answer in one piece; none at the deadline, or when its server has started again.
+/// Reads a response to its end; `None` if the deadline passes or the server restarts.
 async fn read_until_deadline(
     router: &Router,
     ctx: &RequestContext,
@@ -87,7 +89,7 @@
     let wait = ResponseWait {
         ctx,
         member: &server,
-        patience: None,
+        timeouts: None,
         deadline: ctx.deadline,
         has_begun: true,
     };
@@ -95,6 +97,7 @@
     wait_for_response(router, &wait, read, || false).await
 }
 
+/// A response with the status and headers of a server's response and an empty body.
 fn response_with_head(head: &ResponseHead) -> Response<ResponseBody> {
     let mut res = Response::new(ResponseBody::whole(""));
     *res.status_mut() = head.status;
@@ -102,16 +105,16 @@
     res
 }
 
-/// Reads an answer to its end, so that nothing of it is passed on unless all of it is here.
+/// Reads a response to its end, so that the caller gets all of it or nothing.
 async fn read_to_end(
     router: &Router,
     ctx: &RequestContext,
     mut response: OpenResponse,
 ) -> Result<Response<ResponseBody>, ()> {
     let mut res = response_with_head(&response.head);
-    let body = Limited::new(&mut response.body, MAX_WHOLE_BODY).collect().await;
+    let body = Limited::new(&mut response.body, MAX_BUFFERED_BODY).collect().await;
     let Ok(body) = body else {
-        note_broken_connection(router, ctx, &response.member).await;
+        record_broken_connection(router, ctx, &response.member).await;
         return Err(());
     };
     if response.head.kind == ResponseKind::Success {
@@ -124,12 +127,12 @@
     Ok(res)
 }
 
-/// Why a server's stream was not read on.
+/// Why a server's stream was not read to its end.
 #[derive(Debug, thiserror::Error)]
 enum StreamError {
     #[error("the connection ended: {0}")]
     Lost(#[from] hyper::Error),
-    #[error("it ended within an event")]
+    #[error("the stream ended within an event")]
     TruncatedEvent,
     #[error("no event in time")]
     Silent,
@@ -139,11 +142,11 @@
     TooLarge,
     #[error("the caller is gone")]
     CallerGone,
-    #[error("it is found to end servers")]
+    #[error("the request was quarantined because servers crashed while running it")]
     Quarantined,
 }
 
-/// When a stream's events came, on the entry's clock.
+/// When the events of a stream were relayed to the caller, over all servers, on the entry's clock.
 #[derive(Clone, Copy, Debug)]
 struct StreamTiming {
     arrived_at: Duration,
@@ -158,7 +161,8 @@
         Self { arrived_at, last: None, time_to_first, longest_gap }
     }
 
-    fn note_event(&mut self, now: Duration) {
+    /// Records an event that was passed to the caller's connection.
+    fn record_event(&mut self, now: Duration) {
         match self.last.replace(now) {
             None => self.time_to_first = now - self.arrived_at,
             Some(last) => self.longest_gap = self.longest_gap.max(now - last),
@@ -166,26 +170,27 @@
     }
 }
 
-/// When the events of one run came, by the runtime's clock: a suspension says nothing about the server's pace.
+/// When the events of one server's run arrived. Uses the runtime's clock, which stops during a suspension of the
+/// Host, since a suspension says nothing about the server's speed.
 #[derive(Clone, Copy, Debug, Default)]
 struct RunTiming {
     first: Option<Instant>,
     last: Option<Instant>,
     gaps: u32,
-    /// Whether it was counted against its version already.
+    /// Whether the run was already counted as slow against its version.
     is_counted: bool,
 }
 
 impl RunTiming {
-    fn note_event(&mut self, now: Instant) {
+    fn record_event(&mut self, now: Instant) {
         self.first.get_or_insert(now);
         if self.last.replace(now).is_some() {
             self.gaps += 1;
         }
     }
 
-    /// Time from the first event to the last.
-    fn took(&self) -> Duration {
+    /// Time from the first event to the last one.
+    fn elapsed(&self) -> Duration {
         let Some((first, last)) = self.first.zip(self.last) else {
             return Duration::ZERO;
         };
@@ -193,40 +198,42 @@
     }
 }
 
-/// Passes a stream on.
+/// Task that relays a stream to its caller.
 struct Relay {
     router: Arc<Router>,
     ctx: RequestContext,
     model: Option<Box<str>>,
     tx: mpsc::Sender<StreamPart>,
-    /// Last event passed on.
+    /// Id of the last event that was relayed.
     last_event: Option<u64>,
     timing: StreamTiming,
 }
 
 impl Relay {
+    /// Relays the stream until it is complete, can't be resumed, or the caller is gone. A stream that ends without
+    /// [`StreamPart::End`] is interrupted for the caller.
     async fn run(mut self, first: OpenResponse) {
         let mut response = first;
         loop {
             let server = response.member.clone();
             let Err(e) = self.relay_events(response).await else {
-                // A caller that has left no longer minds whether the end arrives.
+                // A failed send means that the caller is gone, which no longer matters.
                 let _ = self.tx.send(StreamPart::End).await;
                 self.router.record_complete_answer(&self.ctx);
-                self.log_if_late(&server);
+                self.record_latency(&server);
                 return;
             };
             if matches!(e, StreamError::CallerGone) {
                 return;
             }
-            self.note_stream_error(&server, &e).await;
+            self.record_stream_error(&server, &e).await;
             let (id, events) = (&self.ctx.req.head.id, self.last_event);
             event::STREAM_BROKEN.log(format_args!(
                 "request={id} fingerprint={} server={} last_event={events:?} cause=\"{e}\"",
                 self.ctx.fingerprint(),
                 server.server.id
             ));
-            self.ctx.note_last_attempt_lost();
+            self.ctx.mark_last_attempt_lost();
             let Some(next) = self.resume().await else {
                 return;
             };
@@ -234,81 +241,81 @@
         }
     }
 
-    /// Counts a stream that broke off against its server, its version and the request itself.
-    async fn note_stream_error(&self, server: &Arc<Member>, e: &StreamError) {
+    /// Records a stream that broke off, as evidence about its server, its version and the request itself.
+    async fn record_stream_error(&self, server: &Arc<Member>, e: &StreamError) {
         let (router, ctx) = (&self.router, &self.ctx);
         match e {
-            // It may have begun to run, and end the server all the same.
-            StreamError::Quarantined => note_lost(router, ctx, server, LossCause::Disconnected),
+            // The server may have begun to run the request and may still crash.
+            StreamError::Quarantined => record_lost(router, ctx, server, LossCause::Disconnected),
             StreamError::Silent => {
-                server.note_failure(router.now());
-                note_lost(router, ctx, server, LossCause::Abandoned);
+                server.record_failure(router.now());
+                record_lost(router, ctx, server, LossCause::Abandoned);
                 router.roll_outs.record_timeout(&server.server, router.now());
             }
-            _ => note_broken_connection(router, ctx, server).await,
+            _ => record_broken_connection(router, ctx, server).await,
         }
     }
 
-    /// Asks another server for the rest.
+    /// Requests the rest of the stream from another server.
     async fn resume(&mut self) -> Option<OpenResponse> {
         if !self.ctx.route.is_resumable {
             return None;
         }
         let model = self.model.clone();
-        let params = AttemptParams { model: model.as_deref(), ..self.params() };
+        let params = AttemptParams { model: model.as_deref(), ..self.attempt_params() };
         let response = send_until_answered(&self.router, &mut self.ctx, params).await.ok()?;
         (response.head.kind == ResponseKind::Success).then_some(response)
     }
 
-    /// What another server is asked for.
-    fn params(&self) -> AttemptParams<'_> {
+    /// Parameters for resuming the stream at another server.
+    fn attempt_params(&self) -> AttemptParams<'_> {
         let last_event = self.last_event.or(self.ctx.req.head.last_event_id);
         AttemptParams { model: self.model.as_deref(), last_event }
     }
 
-    /// Passes one server's events on until its stream ends whole.
+    /// Relays the events of one server until its stream is complete.
     async fn relay_events(&mut self, mut response: OpenResponse) -> Result<(), StreamError> {
         let mut splitter = EventSplitter::default();
         let mut run = RunTiming::default();
         loop {
-            let patience = self.patience(&response.member);
+            let timeouts = self.timeouts(&response.member);
             let next = pin!(response.body.frame());
             let deadline = self.ctx.deadline;
             let (router, ctx, server) = (&self.router, &self.ctx, &response.member);
-            let params = self.params();
+            let params = self.attempt_params();
             let mut has_retry = false;
             let can_fail_over = || {
                 has_retry = reserve_failover(router, ctx, params, &server.server.id);
                 has_retry
             };
             let has_begun = run.first.is_some();
-            let wait = ResponseWait { ctx, member: server, patience, deadline, has_begun };
+            let wait = ResponseWait { ctx, member: server, timeouts, deadline, has_begun };
             let frame = wait_for_response(router, &wait, next, can_fail_over).await;
             if has_retry {
-                self.ctx.note_retry_taken();
+                self.ctx.mark_retry_taken();
             }
-            let is_withdrawn = || !has_begun && self.router.is_refused(&self.ctx);
+            let is_quarantined = || !has_begun && self.router.is_refused(&self.ctx);
             let given_up =
-                || if is_withdrawn() { StreamError::Quarantined } else { StreamError::Silent };
+                || if is_quarantined() { StreamError::Quarantined } else { StreamError::Silent };
             let Some(frame) = frame.ok_or_else(given_up)? else {
                 if splitter.is_inside_event() {
                     return Err(StreamError::TruncatedEvent);
                 }
-                self.note_whole_run(&response, &run);
+                self.record_complete_run(&response, &run);
                 response.finish(self.router.now());
                 return Ok(());
             };
             let Ok(data) = frame?.into_data() else {
                 continue;
             };
-            response.member.note_received(self.router.now());
+            response.member.record_received(self.router.now());
             splitter.push(&data);
             while let Some(event) = splitter.next_event() {
                 self.check_order(event.id)?;
                 let sent = self.tx.send(StreamPart::Events(event.bytes)).await;
                 sent.map_err(|_| StreamError::CallerGone)?;
                 self.last_event = event.id.or(self.last_event);
-                self.timing.note_event(self.router.now());
+                self.timing.record_event(self.router.now());
                 self.check_pace(&response, &mut run);
             }
             if splitter.pending() > MAX_EVENT {
@@ -317,30 +324,30 @@
         }
     }
 
-    /// Counts a run against its version as soon as its events come far too slowly.
+    /// Counts a run as slow against its version as soon as its events arrive far too slowly.
     fn check_pace(&self, response: &OpenResponse, run: &mut RunTiming) {
-        run.note_event(Instant::now());
-        if run.is_counted || !self.reading().is_slow_stream(run.gaps, run.took()) {
+        run.record_event(Instant::now());
+        if run.is_counted || !self.timing().is_slow_stream(run.gaps, run.elapsed()) {
             return;
         }
         run.is_counted = true;
         self.router.roll_outs.record_outcome(&response.member.server, RunOutcome::Slow);
     }
 
-    /// Counts a run that ended whole for its version, and learns its pace.
-    fn note_whole_run(&self, response: &OpenResponse, run: &RunTiming) {
+    /// Records a complete run as evidence for its version, and learns the time between its events.
+    fn record_complete_run(&self, response: &OpenResponse, run: &RunTiming) {
         let (server, roll_outs) = (&response.member.server, &self.router.roll_outs);
-        // Slow runs count in the mean, too: without them it falls, and more runs are called slow. A
-        // version on trial does not set the pace that it is measured by.
+        // Slow runs are included in the mean: without them it would fall, and more runs would count as slow. A
+        // version that is being rolled out must not influence the mean that it is measured by.
         if run.gaps > 0 && !roll_outs.is_on_trial(server) {
-            self.router.readings.record_pace(self.latency_key(), run.took() / run.gaps);
+            self.router.readings.record_pace(self.latency_key(), run.elapsed() / run.gaps);
         }
         if !run.is_counted {
             roll_outs.record_outcome(server, RunOutcome::Good);
         }
     }
 
-    fn reading(&self) -> TimingEstimate {
+    fn timing(&self) -> TimingEstimate {
         self.router.readings.get(self.latency_key())
     }
 
@@ -348,8 +355,8 @@
         latency_key(&self.ctx, AttemptParams { model: self.model.as_deref(), last_event: None })
     }
 
-    /// Logs a stream that ended whole but came later than its route aims at.
-    fn log_if_late(&self, server: &Member) {
+    /// Records the latency of a complete stream in metrics, and logs it if it missed its route's objectives.
+    fn record_latency(&self, server: &Member) {
         let (first, pause) = (self.timing.time_to_first, self.timing.longest_gap);
         self.router.metrics.first_token.observe(first.as_secs_f64());
         let total = self.router.now().saturating_sub(self.ctx.arrived_at);
@@ -372,6 +379,7 @@
         ));
     }
 
+    /// Checks that no event is missing between the last one and the one with this id.
     fn check_order(&self, id: Option<u64>) -> Result<(), StreamError> {
         match (id, self.last_event) {
             (Some(id), Some(last)) if id != last + 1 => Err(StreamError::MissingEvent),
@@ -379,8 +387,8 @@
         }
     }
 
-    /// How long the server's silence is tolerated; without end where nothing else could be done.
-    fn patience(&self, server: &Member) -> Option<AnswerTimeouts> {
+    /// How long the server may be silent; `None` if the stream can't be resumed at another server.
+    fn timeouts(&self, server: &Member) -> Option<AnswerTimeouts> {
         let may_resume = self.ctx.route.is_resumable && self.ctx.runs_left() > 0;
         may_resume.then(|| event_timeouts(self.ctx.route.max_event_gap, server.outstanding()))
     }
--- a/src/router/seed_reporter.rs
+++ b/src/router/seed_reporter.rs
@@ -55,7 +55,7 @@
         reports.send_replace(Report { loads, evidence, is_new, ..Report::default() });
         if router.is_seed() {
             let now = router.now();
-            router.note_entries(router.loads.entry_count(now));
+            router.record_entries(router.loads.entry_count(now));
             if let Some(place) = router.place_of(&settings.host) {
                 router.own_place.record(place, now);
             }
@@ -142,6 +142,6 @@
         return Err(Error::Broken("news were expected".into()));
     };
     router.quarantine.apply_updates(&ends, router.now());
-    router.take_limit_updates(&limits);
+    router.apply_limit_updates(&limits);
     Ok(())
 }
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -1,4 +1,4 @@
-//! One caller's request, from its head to its answer.
+//! Handles one HTTP request of a caller: validates it, reads its body, and hands it to the relay.
 
 use std::{convert::Infallible, sync::Arc, time::Duration};
 
@@ -18,7 +18,7 @@
     telemetry::event,
 };
 
-/// Limits in force until a configuration sets some; those of both first deployments.
+/// Limits that apply until a configuration sets them; both first deployments use these values.
 pub(crate) const DEFAULT_LIMITS: CallerLimits = CallerLimits {
     header_bytes: 16 << 10,
     body_bytes: 4 << 20,
@@ -26,28 +26,28 @@
     idle_timeout: Duration::from_secs(15),
 };
 
-/// A request that has arrived; leaves the count of requests in flight when dropped.
+/// Counts a request as in flight until it is dropped.
 #[derive(Debug)]
 pub(crate) struct InFlightGuard {
     router: Arc<Router>,
-    /// When it arrived, on the entry's clock.
+    /// When the request arrived, on the entry's clock.
     pub(crate) arrived_at: Duration,
 }
 
 impl InFlightGuard {
-    fn enter(router: &Arc<Router>) -> Self {
-        router.note_request_started();
+    fn new(router: &Arc<Router>) -> Self {
+        router.record_request_started();
         Self { router: router.clone(), arrived_at: router.now() }
     }
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.router.note_request_finished();
+        self.router.record_request_finished();
     }
 }
 
-/// Serves one request.
+/// Serves one request. Refusals become responses, so this never fails.
 pub(crate) async fn serve(
     router: Arc<Router>,
     req: HttpRequest<Incoming>,
@@ -71,13 +71,14 @@
     Ok(res)
 }
 
+/// Serves one request, or returns the reason for refusing it.
 async fn try_serve(
     router: &Arc<Router>,
     req: HttpRequest<Incoming>,
     connected_at: Duration,
 ) -> Result<Response<ResponseBody>, Refusal> {
     router.notice_suspension();
-    let in_flight = InFlightGuard::enter(router);
+    let in_flight = InFlightGuard::new(router);
     let (parts, body) = req.into_parts();
     let head = parse_request_head(&parts.method, &parts.uri, &parts.headers)
         .map_err(|_| Refusal::Malformed)?;
@@ -92,15 +93,15 @@
         return Err(Refusal::Leaving { retry_after });
     }
     let body = read_body(body, &table.limits.unwrap_or(DEFAULT_LIMITS)).await?;
-    let wait = head.caller_timeout.unwrap_or(route.timeout).min(route.timeout);
+    let max_wait = head.caller_timeout.unwrap_or(route.timeout).min(route.timeout);
     let service = choose_service(&route, &head);
-    router.note_request(&service);
+    router.record_request(&service);
     let req = Request { head, body };
-    let ctx = RequestContext::new(req, route, service, organisation, wait, in_flight);
+    let ctx = RequestContext::new(req, route, service, organisation, max_wait, in_flight);
     relay::respond(router, ctx).await
 }
 
-/// The request's route and Organisation, if the configuration allows it.
+/// Finds the request's route and authenticates its Organisation.
 fn admit(
     table: &RoutingTable,
     head: &RequestHead,
@@ -116,6 +117,7 @@
     Ok((route.clone(), organisation))
 }
 
+/// Reads the request's body within the size and time limits.
 async fn read_body(body: Incoming, limits: &CallerLimits) -> Result<Bytes, Refusal> {
     let read = Limited::new(body, limits.body_bytes).collect();
     match timeout(limits.idle_timeout, read).await {
@@ -126,13 +128,13 @@
     }
 }
 
-/// The service that runs a request: by weight, the same one for a whole session.
+/// Chooses the route's target service by weight. All requests of a session get the same service.
 fn choose_service(route: &Route, head: &RequestHead) -> Box<str> {
-    let all: f64 = route.targets.iter().map(|target| target.weight).sum();
-    let mut left = hash_fraction(head.session_key(), &route.name) * all;
+    let total: f64 = route.targets.iter().map(|target| target.weight).sum();
+    let mut remaining = hash_fraction(head.session_key(), &route.name) * total;
     for target in &route.targets {
-        left -= target.weight;
-        if left < 0.0 {
+        remaining -= target.weight;
+        if remaining < 0.0 {
             return target.service.clone();
         }
     }
--- a/src/router/servers.rs
+++ b/src/router/servers.rs
@@ -1,4 +1,4 @@
-//! The BackendServers as the store lists them.
+//! Keeps the fleet up to date with the store's table of BackendServers.
 
 use tokio::time::sleep;
 
@@ -14,7 +14,7 @@
     telemetry::event,
 };
 
-/// Follows the list of servers.
+/// Follows the store's table of servers and publishes a new fleet whenever it changes.
 pub(crate) async fn follow_servers(router: &Router, store: &StoreClient) {
     let listing = std::sync::Mutex::new(Listing::default());
     let apply = |rows: Rows, extent: Extent, contact: &StoreReachability| {
@@ -37,6 +37,7 @@
     tokio::join!(follow_table(router, store, Table::Servers, apply), expire);
 }
 
+/// Replaces the router's fleet by the usable servers of the listing.
 fn publish_fleet(router: &Router, listing: &Listing) {
     let before = router.fleet.load_full();
     let next = before.with_servers(listing.usable().cloned(), router.now());
@@ -45,25 +46,26 @@
     event::SERVERS_CHANGED
         .log(format_args!("servers={} cold={cold} unreadable={unreadable}", next.len()));
     router.metrics.rows_unreadable.set(i64::try_from(unreadable).unwrap_or(i64::MAX));
-    note_ended_servers(router, listing, &before, &next);
+    record_ended_servers(router, listing, &before, &next);
     router.set_fleet(next);
-    note_versions(router);
+    record_versions(router);
 }
 
-/// Takes servers that have started again, or are gone without having said so, as ended.
-fn note_ended_servers(router: &Router, listing: &Listing, before: &Fleet, next: &Fleet) {
+/// Records the end of servers that have restarted, or whose rows are gone though they had not announced that they
+/// are draining. A row that can't be read says nothing about its server.
+fn record_ended_servers(router: &Router, listing: &Listing, before: &Fleet, next: &Fleet) {
     for member in before.missing_from(next).filter(|member| !member.is_draining()) {
         let id = &member.server.id;
         if next.has_id(id) {
-            server_ends::note_server_end(router, member, Proof::StartedAgain);
+            server_ends::record_server_end(router, member, Proof::StartedAgain);
         } else if !listing.is_unreadable(id) {
-            server_ends::note_server_end(router, member, Proof::Dropped);
+            server_ends::record_server_end(router, member, Proof::Dropped);
         }
     }
 }
 
-/// Notes for the roll-outs under way which versions have servers.
-pub(super) fn note_versions(router: &Router) {
+/// Records, for each roll-out in progress, which versions have servers.
+pub(super) fn record_versions(router: &Router) {
     let fleet = router.fleet.load();
     for order in router.roll_outs.running() {
         for member in fleet.of_service(&order.service) {
