--- a/src/router/load_reports.rs
+++ b/src/router/load_reports.rs
@@ -14,10 +14,10 @@
 };
 
 /// Age at which a report counts no more: three reports missed.
-const REPORT_LASTS: Duration = Duration::from_millis(1_200);
+const REPORT_LIFETIME: Duration = Duration::from_millis(1_200);
 /// Servers reported at most, the busiest first: 3 KB at 2,100 servers. Servers that are not reported look
 /// free, so there is room for all that a pool of some hundred has.
-const MOST_REPORTED: usize = 256;
+const MAX_REPORTED_SERVERS: usize = 256;
 
 /// Load that one entry, or all of them, have put on a server. It is reported as three numbers without names,
 /// 11 bytes instead of 40.
@@ -55,7 +55,7 @@
 
 impl ReceivedReport {
     fn is_fresh(&self, now: Duration) -> bool {
-        now < self.at + REPORT_LASTS
+        now < self.at + REPORT_LIFETIME
     }
 }
 
@@ -64,7 +64,7 @@
     /// Reports by the Host they came from.
     reports: HashMap<Box<str>, ReceivedReport>,
     /// Number of the next link that brings reports.
-    next_link: u64,
+    last_link_id: u64,
     /// What was last reported of this entry.
     own: Vec<ServerLoad>,
 }
@@ -76,9 +76,9 @@
 }
 
 fn busiest(mut loads: Vec<ServerLoad>) -> Vec<ServerLoad> {
-    if loads.len() > MOST_REPORTED {
+    if loads.len() > MAX_REPORTED_SERVERS {
         loads.sort_by_key(|load| std::cmp::Reverse((load.backlog_ms, load.requests)));
-        loads.truncate(MOST_REPORTED);
+        loads.truncate(MAX_REPORTED_SERVERS);
     }
     loads
 }
@@ -105,8 +105,8 @@
     /// A number for a link that brings reports.
     pub(crate) fn next_link_id(&self) -> u64 {
         let mut inner = self.lock();
-        inner.next_link += 1;
-        inner.next_link
+        inner.last_link_id += 1;
+        inner.last_link_id
     }
 
     /// Takes in another entry's report.
--- a/src/router/prefix_reports.rs
+++ b/src/router/prefix_reports.rs
@@ -15,11 +15,11 @@
 
 /// Notes kept for links that are behind or new; 40 KB. At 1,000 requests a second, of which one in four
 /// has long shared parts, the seeds take in 300 to 400 in a second.
-const MOST_NOTES: usize = 2_048;
+const MAX_STORED: usize = 2_048;
 /// Notes reported in one message at most, so that a message stays under 10 KB.
-const MOST_REPORTED: usize = 512;
+const MAX_PER_MESSAGE: usize = 512;
 /// Age at which a note is passed on no more: a part that is still in use was reported again by then.
-const REPORTED_FOR: Duration = Duration::from_secs(8);
+const MAX_AGE: Duration = Duration::from_secs(8);
 
 /// A part of a prompt that a server was sent, as entries report it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -33,7 +33,7 @@
 );
 
 const LIMITS: UpdateLogLimits =
-    UpdateLogLimits { kept: MOST_NOTES, reported: MOST_REPORTED, reported_for: REPORTED_FOR };
+    UpdateLogLimits { capacity: MAX_STORED, per_message: MAX_PER_MESSAGE, max_age: MAX_AGE };
 
 #[derive(Debug)]
 struct Inner {
@@ -43,12 +43,12 @@
     all: UpdateLog<CachedPrefix>,
     /// Notes about servers that are not in view yet, at most [`MOST_REPORTED`]: an entry that starts is informed
     /// of parts before it has read the list of servers.
-    unplaced: Vec<CachedPrefix>,
+    unmatched: Vec<CachedPrefix>,
 }
 
 impl Default for Inner {
     fn default() -> Self {
-        Self { own: UpdateLog::new(LIMITS), all: UpdateLog::new(LIMITS), unplaced: Vec::new() }
+        Self { own: UpdateLog::new(LIMITS), all: UpdateLog::new(LIMITS), unmatched: Vec::new() }
     }
 }
 
@@ -64,40 +64,40 @@
     }
 
     /// Notes what this entry sent.
-    pub(crate) fn record_own(&self, note: CachedPrefix, now: Duration) {
+    pub(crate) fn record_own(&self, prefix: CachedPrefix, now: Duration) {
         let mut inner = self.lock();
-        inner.own.push(note, now);
-        inner.all.push(note, now);
+        inner.own.push(prefix, now);
+        inner.all.push(prefix, now);
     }
 
     /// Takes in what another entry reports that it sent; those that follow this one are informed, too.
-    pub(crate) fn apply_report(&self, notes: &[CachedPrefix], fleet: &Fleet, now: Duration) {
+    pub(crate) fn apply_report(&self, prefixes: &[CachedPrefix], fleet: &Fleet, now: Duration) {
         let mut inner = self.lock();
-        for note in notes {
-            inner.all.push(*note, now);
+        for prefix in prefixes {
+            inner.all.push(*prefix, now);
         }
         drop(inner);
-        self.apply(notes, fleet);
+        self.apply(prefixes, fleet);
     }
 
     /// Lets the servers' records know what other entries sent them.
-    pub(crate) fn apply(&self, notes: &[CachedPrefix], fleet: &Fleet) {
+    pub(crate) fn apply(&self, prefixes: &[CachedPrefix], fleet: &Fleet) {
         let mut inner = self.lock();
-        let earlier = std::mem::take(&mut inner.unplaced);
-        for note in earlier.iter().chain(notes) {
-            let CachedPrefix(server, hash, tokens) = *note;
+        let earlier = std::mem::take(&mut inner.unmatched);
+        for prefix in earlier.iter().chain(prefixes) {
+            let CachedPrefix(server, hash, tokens) = *prefix;
             match fleet.by_short_hash(server) {
                 Some(member) => member.record().kept.note_reported(hash, u64::from(tokens)),
-                None => inner.unplaced.push(*note),
+                None => inner.unmatched.push(*prefix),
             }
         }
-        let too_many = inner.unplaced.len().saturating_sub(MOST_REPORTED);
-        inner.unplaced.drain(..too_many);
+        let excess = inner.unmatched.len().saturating_sub(MAX_PER_MESSAGE);
+        inner.unmatched.drain(..excess);
     }
 
     /// What this entry sent since the note with this number, and the number to go on with.
-    pub(crate) fn own_since(&self, number: u64, now: Duration) -> (Vec<CachedPrefix>, u64) {
-        self.lock().own.from(number, now)
+    pub(crate) fn own_since(&self, position: u64, now: Duration) -> (Vec<CachedPrefix>, u64) {
+        self.lock().own.since(position, now)
     }
 
     /// Notes that a link did not get because too many came.
@@ -107,7 +107,7 @@
     }
 
     /// The same for all entries.
-    pub(crate) fn all_since(&self, number: u64, now: Duration) -> (Vec<CachedPrefix>, u64) {
-        self.lock().all.from(number, now)
+    pub(crate) fn all_since(&self, position: u64, now: Duration) -> (Vec<CachedPrefix>, u64) {
+        self.lock().all.since(position, now)
     }
 }
--- a/src/router/shared_limits.rs
+++ b/src/router/shared_limits.rs
@@ -27,9 +27,9 @@
 };
 
 /// Servers reported in one message at most, 1.4 KB; the others follow with the next ones.
-const MOST_REPORTED: usize = 64;
+const MAX_PER_MESSAGE: usize = 64;
 /// Time for which a server that is out of view is remembered: news of it may be under way, or the list be late.
-const REMEMBERED: Duration = Duration::from_secs(60);
+const RETENTION: Duration = Duration::from_secs(60);
 
 /// A server's limit on its way: its life, the counts of the news, and the rate, none where it has ended. Numbers
 /// without names take 22 bytes instead of 60.
@@ -37,11 +37,11 @@
 pub(crate) struct LimitUpdate(LifeHash, u32, u32, Option<Rate>);
 
 impl LimitUpdate {
-    fn new(life: LifeHash, news: LimitNews) -> Self {
+    fn encode(life: LifeHash, news: LimitNews) -> Self {
         Self(life, news.change, news.again, news.rate)
     }
 
-    fn read(self) -> (LifeHash, LimitNews) {
+    fn decode(self) -> (LifeHash, LimitNews) {
         let Self(life, change, again, rate) = self;
         let rate = rate.filter(|rate| rate.is_finite() && *rate > 0.0);
         (life, LimitNews { change, again, rate })
@@ -52,7 +52,7 @@
 struct KnownLimit {
     belief: LimitBelief,
     /// Number of the last news.
-    number: u64,
+    sequence: u64,
     /// Whether this entry had them from the server itself.
     is_own: bool,
 }
@@ -61,7 +61,7 @@
 struct Inner {
     servers: HashMap<LifeHash, KnownLimit>,
     /// Number of the next news.
-    next: u64,
+    next_sequence: u64,
 }
 
 impl Inner {
@@ -130,14 +130,14 @@
     pub(crate) fn record_answer(
         &self,
         life: LifeHash,
-        said: AdvertisedLimit,
+        advertised: AdvertisedLimit,
         sent_at: Duration,
         now: Duration,
     ) -> Option<LimitChange> {
-        if self.rate_limited() == 0 && !matches!(said, AdvertisedLimit::Rate(_)) {
+        if self.rate_limited() == 0 && !matches!(advertised, AdvertisedLimit::Rate(_)) {
             return None;
         }
-        self.update(life, true, |belief| belief.note(said, sent_at, now))
+        self.update(life, true, |belief| belief.note(advertised, sent_at, now))
     }
 
     /// Takes in what another entry reports; what changed by it.
@@ -146,11 +146,11 @@
         reported: &[LimitUpdate],
         now: Duration,
     ) -> Vec<LimitChange> {
-        let take = |reported: &LimitUpdate| {
-            let (life, news) = reported.read();
+        let apply = |reported: &LimitUpdate| {
+            let (life, news) = reported.decode();
             self.update(life, false, |belief| belief.take_update(news, now))
         };
-        reported.iter().filter_map(take).collect()
+        reported.iter().filter_map(apply).collect()
     }
 
     /// Lets a belief change, and makes it known if it did.
@@ -158,22 +158,22 @@
         &self,
         life: LifeHash,
         is_own: bool,
-        take_in: impl FnOnce(&mut LimitBelief) -> Option<Change>,
+        apply: impl FnOnce(&mut LimitBelief) -> Option<Change>,
     ) -> Option<LimitChange> {
         let mut inner = self.lock();
         let mut known = inner.servers.get(&life).copied().unwrap_or_default();
         let before = known.belief.rate();
-        let change = take_in(&mut known.belief);
+        let change = apply(&mut known.belief);
         let Some(change) = change else {
             // It may have been received all the same.
-            if let Some(kept) = inner.servers.get_mut(&life) {
-                kept.belief = known.belief;
+            if let Some(stored) = inner.servers.get_mut(&life) {
+                stored.belief = known.belief;
             }
             return None;
         };
         let rate = known.belief.rate();
-        (known.number, known.is_own) = (inner.next, is_own);
-        inner.next += 1;
+        (known.sequence, known.is_own) = (inner.next_sequence, is_own);
+        inner.next_sequence += 1;
         inner.servers.insert(life, known);
         self.rate_limited.store(inner.rate_limited(), Ordering::Release);
         drop(inner);
@@ -188,32 +188,33 @@
 
     /// News from a number on that this entry received from servers itself, and the number to go on with. A reader
     /// that begins, with none, gets all that is known.
-    pub(crate) fn own_since(&self, number: Option<u64>) -> (Vec<LimitUpdate>, u64) {
-        let is_all = number.is_none();
-        self.since(number.unwrap_or_default(), |known| is_all || known.is_own)
+    pub(crate) fn own_since(&self, sequence: Option<u64>) -> (Vec<LimitUpdate>, u64) {
+        let is_all = sequence.is_none();
+        self.since(sequence.unwrap_or_default(), |known| is_all || known.is_own)
     }
 
     /// The same of what it received from servers or from other entries.
-    pub(crate) fn all_since(&self, number: u64) -> (Vec<LimitUpdate>, u64) {
-        self.since(number, |_| true)
+    pub(crate) fn all_since(&self, sequence: u64) -> (Vec<LimitUpdate>, u64) {
+        self.since(sequence, |_| true)
     }
 
     fn since(
         &self,
-        number: u64,
+        sequence: u64,
         is_reported: impl Fn(&KnownLimit) -> bool,
     ) -> (Vec<LimitUpdate>, u64) {
         let inner = self.lock();
-        if number >= inner.next {
-            return (Vec::new(), inner.next);
+        if sequence >= inner.next_sequence {
+            return (Vec::new(), inner.next_sequence);
         }
-        let news = inner.servers.iter().filter(|(_, known)| known.number >= number);
+        let news = inner.servers.iter().filter(|(_, known)| known.sequence >= sequence);
         let mut news: Vec<_> = news.filter(|(_, known)| is_reported(known)).collect();
-        news.sort_unstable_by_key(|(_, known)| known.number);
-        let next = news.get(MOST_REPORTED).map_or(inner.next, |(_, known)| known.number);
-        news.truncate(MOST_REPORTED);
+        news.sort_unstable_by_key(|(_, known)| known.sequence);
+        let next =
+            news.get(MAX_PER_MESSAGE).map_or(inner.next_sequence, |(_, known)| known.sequence);
+        news.truncate(MAX_PER_MESSAGE);
         let reported = |(life, known): (&LifeHash, &KnownLimit)| {
-            Some(LimitUpdate::new(*life, known.belief.news()?))
+            Some(LimitUpdate::encode(*life, known.belief.news()?))
         };
         (news.into_iter().filter_map(reported).collect(), next)
     }
@@ -221,7 +222,7 @@
     /// Part of the state dump.
     pub(crate) fn dump(&self, fleet: &Fleet, now: Duration) -> Value {
         let inner = self.lock();
-        let one = |(life, known): (&LifeHash, &KnownLimit)| {
+        let describe = |(life, known): (&LifeHash, &KnownLimit)| {
             let member = fleet.by_life(*life)?;
             let received_ms = now.saturating_sub(known.belief.received_at()).as_millis() as u64;
             Some(json!({
@@ -231,13 +232,13 @@
                 "received_here": known.is_own,
             }))
         };
-        Value::Array(inner.servers.iter().filter_map(one).collect())
+        Value::Array(inner.servers.iter().filter_map(describe).collect())
     }
 
     /// Forgets servers that are long out of view.
     pub(crate) fn forget_departed(&self, fleet: &Fleet, now: Duration) {
         let is_kept = |life: &LifeHash, known: &mut KnownLimit| {
-            fleet.by_life(*life).is_some() || now < known.belief.received_at() + REMEMBERED
+            fleet.by_life(*life).is_some() || now < known.belief.received_at() + RETENTION
         };
         let mut inner = self.lock();
         inner.servers.retain(is_kept);
--- a/src/router/shared_quarantine.rs
+++ b/src/router/shared_quarantine.rs
@@ -26,10 +26,10 @@
 /// Notes kept for links that are behind: those of a zone's loss, and 0.4 MB at most. A message has 512
 /// at most, 16 KB; what comes later is sent to new links as a whole.
 const LIMITS: UpdateLogLimits =
-    UpdateLogLimits { kept: 4_096, reported: 512, reported_for: Duration::from_secs(60) };
+    UpdateLogLimits { capacity: 4_096, per_message: 512, max_age: Duration::from_secs(60) };
 
 /// Ends under a request from which on news of it is urgent: one more and it is refused.
-const GRAVE_FROM: usize = 2;
+const URGENT_FROM: usize = 2;
 
 /// A note on its way: fingerprint in two halves, the life, and the age in milliseconds, none where the end is
 /// annulled. Four numbers without names take 32 bytes instead of 70.
@@ -37,7 +37,7 @@
 pub(crate) struct QuarantineUpdate(u64, u64, LifeHash, Option<u32>);
 
 impl QuarantineUpdate {
-    fn new(note: &Note, now: Duration) -> Self {
+    fn encode(note: &Note, now: Duration) -> Self {
         let age_ms =
             |at: &Duration| u32::try_from(now.saturating_sub(*at).as_millis()).unwrap_or(u32::MAX);
         let Fingerprint(fingerprint) = note.fingerprint();
@@ -48,7 +48,7 @@
         Self((fingerprint >> 64) as u64, fingerprint as u64, life, age_ms)
     }
 
-    fn read(self, now: Duration) -> Note {
+    fn decode(self, now: Duration) -> Note {
         let Self(high, low, life, age_ms) = self;
         let fingerprint = Fingerprint(u128::from(high) << 64 | u128::from(low));
         match age_ms.map(u64::from).map(Duration::from_millis) {
@@ -156,7 +156,7 @@
     /// Takes in what another entry reports.
     pub(crate) fn apply_updates(&self, reported: &[QuarantineUpdate], now: Duration) {
         if !reported.is_empty() {
-            self.apply(reported.iter().map(|note| note.read(now)), false, now);
+            self.apply(reported.iter().map(|note| note.decode(now)), false, now);
         }
     }
 
@@ -251,47 +251,51 @@
     /// begins gets all that is known.
     pub(crate) fn own_since(
         &self,
-        number: Option<u64>,
+        position: Option<u64>,
         now: Duration,
     ) -> (Vec<QuarantineUpdate>, u64) {
-        self.since(number, now, |inner| &mut inner.own)
+        self.since(position, now, |inner| &mut inner.own)
     }
 
     /// The same of what this entry saw or received.
     pub(crate) fn all_since(
         &self,
-        number: Option<u64>,
+        position: Option<u64>,
         now: Duration,
     ) -> (Vec<QuarantineUpdate>, u64) {
-        self.since(number, now, |inner| &mut inner.all)
+        self.since(position, now, |inner| &mut inner.all)
     }
 
     /// What this entry saw or received since the note with this number, of requests that may be refused next: all
     /// ends under those that two or more count against. One end alone says little, and a zone's loss brings
     /// thousands of these.
-    pub(crate) fn urgent_since(&self, number: u64, now: Duration) -> (Vec<QuarantineUpdate>, u64) {
+    pub(crate) fn urgent_since(
+        &self,
+        position: u64,
+        now: Duration,
+    ) -> (Vec<QuarantineUpdate>, u64) {
         let mut inner = self.lock();
-        let (notes, next) = inner.all.from(number, now);
+        let (notes, next) = inner.all.since(position, now);
         let mut requests: Vec<Fingerprint> = notes.iter().map(Note::fingerprint).collect();
         requests.sort_unstable();
         requests.dedup();
         let ends = requests.iter().map(|request| inner.quarantine.ends(request));
-        let grave = ends.filter(|ends| ends.len() >= GRAVE_FROM).flatten();
-        (grave.map(|note| QuarantineUpdate::new(&note, now)).collect(), next)
+        let urgent = ends.filter(|ends| ends.len() >= URGENT_FROM).flatten();
+        (urgent.map(|note| QuarantineUpdate::encode(&note, now)).collect(), next)
     }
 
     fn since(
         &self,
-        number: Option<u64>,
+        position: Option<u64>,
         now: Duration,
         log: impl Fn(&mut Inner) -> &mut UpdateLog<Note>,
     ) -> (Vec<QuarantineUpdate>, u64) {
         let mut inner = self.lock();
-        let (notes, next) = match number {
-            Some(number) => log(&mut inner).from(number, now),
-            None => (inner.known_notes(now), log(&mut inner).next()),
+        let (notes, next) = match position {
+            Some(position) => log(&mut inner).since(position, now),
+            None => (inner.all_notes(now), log(&mut inner).next_position()),
         };
-        (notes.iter().map(|note| QuarantineUpdate::new(note, now)).collect(), next)
+        (notes.iter().map(|note| QuarantineUpdate::encode(note, now)).collect(), next)
     }
 
     /// Notes that a link did not get because too many came.
@@ -318,7 +322,7 @@
     /// Part of the state dump.
     pub(crate) fn dump(&self, now: Duration) -> Value {
         let inner = self.lock();
-        let one = |case: &Case| {
+        let describe = |case: &Case| {
             json!({
                 "fingerprint": case.fingerprint.to_string(),
                 "ends": case.ends.len(),
@@ -326,20 +330,20 @@
                 "trials": case.trials,
             })
         };
-        Value::Array(inner.quarantine.cases(false, now).iter().map(one).collect())
+        Value::Array(inner.quarantine.cases(false, now).iter().map(describe).collect())
     }
 }
 
 impl Inner {
     /// All that is known, as notes; as many as one message holds, those of refused requests first.
-    fn known_notes(&self, now: Duration) -> Vec<Note> {
+    fn all_notes(&self, now: Duration) -> Vec<Note> {
         let mut cases = self.quarantine.cases(false, now);
         cases.sort_by_key(|case| !is_refused(&self.quarantine, &case.fingerprint, now));
         let notes = cases.iter().flat_map(|case| {
             let fingerprint = case.fingerprint;
             case.ends.iter().map(move |(life, at)| Note::End { fingerprint, life: *life, at: *at })
         });
-        notes.take(LIMITS.reported).collect()
+        notes.take(LIMITS.per_message).collect()
     }
 }
 
