--- a/src/router/compressed_rows.rs
+++ b/src/router/compressed_rows.rs
@@ -17,7 +17,7 @@
 };
 
 /// Largest unpacked size that is taken, bytes: ten times the rows of 2,100 servers.
-const MOST_UNPACKED: u64 = 8 << 20;
+const MAX_DECOMPRESSED: u64 = 8 << 20;
 
 /// Rows of one table, packed. After a loss of all entries each seed sends all rows to dozens of others at
 /// once: 60 KB each for 160 servers, and a sixth of it packed.
@@ -41,7 +41,7 @@
 
 impl CompressedUpdate {
     /// Packs rows.
-    pub(crate) fn pack(update: &TableUpdate) -> Self {
+    pub(crate) fn compress(update: &TableUpdate) -> Self {
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
         let rows = encoder.write_all(&encode(&update.rows)).and_then(|()| encoder.finish());
         let rows = rows.expect("writing to memory can't fail");
@@ -60,17 +60,17 @@
     ///
     /// # Errors
     /// When they were not packed by [`CompressedUpdate::pack`].
-    pub(crate) fn unpack(&self) -> Result<TableUpdate> {
-        let mut unpacked = Vec::new();
-        let mut decoder = DeflateDecoder::new(&self.rows.0[..]).take(MOST_UNPACKED);
-        decoder.read_to_end(&mut unpacked)?;
+    pub(crate) fn decompress(&self) -> Result<TableUpdate> {
+        let mut decompressed = Vec::new();
+        let mut decoder = DeflateDecoder::new(&self.rows.0[..]).take(MAX_DECOMPRESSED);
+        decoder.read_to_end(&mut decompressed)?;
         Ok(TableUpdate {
             table: self.table,
             version: StoreVersion { era: self.era, revision: self.version },
             store_now: self.store_now,
             is_whole: self.is_whole,
             is_amended: self.is_amended,
-            rows: decode::<Vec<Row>>(&unpacked)?,
+            rows: decode::<Vec<Row>>(&decompressed)?,
         })
     }
 }
--- a/src/router/peer_link.rs
+++ b/src/router/peer_link.rs
@@ -11,12 +11,12 @@
 
 /// Updates that wait for whoever follows a table; more than that means that nobody takes them, and
 /// a new link begins with all rows anyway.
-const MOST_WAITING: usize = 256;
+const MAX_PENDING: usize = 256;
 
 #[derive(Debug, Default)]
 struct Inner {
     is_current: bool,
-    waiting: HashMap<Table, VecDeque<TableUpdate>>,
+    pending: HashMap<Table, VecDeque<TableUpdate>>,
 }
 
 /// The link to another entry, as those who follow a table see it.
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct PeerLink {
     inner: Mutex<Inner>,
-    news: Notify,
+    changed: Notify,
 }
 
 impl PeerLink {
@@ -38,7 +38,7 @@
     pub(crate) fn set_current(&self, is_current: bool) -> bool {
         let before = std::mem::replace(&mut self.lock().is_current, is_current);
         if before != is_current {
-            self.news.notify_waiters();
+            self.changed.notify_waiters();
         }
         before != is_current
     }
@@ -51,41 +51,41 @@
     /// Takes in an update; false when nobody took the ones before it.
     pub(crate) fn push(&self, update: TableUpdate) -> bool {
         let mut inner = self.lock();
-        let waiting = inner.waiting.entry(update.table).or_default();
+        let pending = inner.pending.entry(update.table).or_default();
         if update.is_whole {
-            waiting.clear();
+            pending.clear();
         }
-        if waiting.len() >= MOST_WAITING {
+        if pending.len() >= MAX_PENDING {
             return false;
         }
-        waiting.push_back(update);
+        pending.push_back(update);
         drop(inner);
-        self.news.notify_waiters();
+        self.changed.notify_waiters();
         true
     }
 
     /// Forgets what came over a link that has ended.
-    pub(crate) fn reset(&self) {
+    pub(crate) fn clear(&self) {
         let mut inner = self.lock();
         inner.is_current = false;
-        inner.waiting.clear();
+        inner.pending.clear();
         drop(inner);
-        self.news.notify_waiters();
+        self.changed.notify_waiters();
     }
 
     /// Takes the next update about a table, if one waits.
     pub(crate) fn take(&self, table: Table) -> Option<TableUpdate> {
-        self.lock().waiting.get_mut(&table)?.pop_front()
+        self.lock().pending.get_mut(&table)?.pop_front()
     }
 
     /// Waits until the link stands in for the store.
     pub(crate) async fn wait_until_current(&self) {
         loop {
-            let news = self.news.notified();
+            let changed = self.changed.notified();
             if self.is_current() {
                 return;
             }
-            news.await;
+            changed.await;
         }
     }
 
@@ -93,26 +93,26 @@
     pub(crate) async fn wait_for_change(&self, table: Table) {
         let before = self.is_current();
         loop {
-            let news = self.news.notified();
-            let waits = self.lock().waiting.get(&table).is_some_and(|all| !all.is_empty());
-            if waits || self.is_current() != before {
+            let changed = self.changed.notified();
+            let has_update = self.lock().pending.get(&table).is_some_and(|all| !all.is_empty());
+            if has_update || self.is_current() != before {
                 return;
             }
-            news.await;
+            changed.await;
         }
     }
 
     /// Waits for the next update about a table; none once the link is not current.
     pub(crate) async fn next(&self, table: Table) -> Option<TableUpdate> {
         loop {
-            let news = self.news.notified();
+            let changed = self.changed.notified();
             if let Some(update) = self.take(table) {
                 return Some(update);
             }
             if !self.is_current() {
                 return None;
             }
-            news.await;
+            changed.await;
         }
     }
 }
--- a/src/router/peers.rs
+++ b/src/router/peers.rs
@@ -34,25 +34,25 @@
 };
 
 /// Time to reach another entry and to get its first answer: a few round trips between regions.
-pub(crate) const OPENING: Duration = Duration::from_secs(1);
+pub(crate) const OPEN_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time between heartbeats on a link.
-const BEAT_EVERY: Duration = Duration::from_millis(300);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 /// Time for which news of a server's end is gathered before it is reported: dozens of entries see one end within
 /// 10 ms, and each message reports the load as well, 3 KB. A request that ends servers may come to any entry
 /// within a tenth of a second.
-pub(crate) const GATHER: Duration = Duration::from_millis(30);
+pub(crate) const BATCH_DELAY: Duration = Duration::from_millis(30);
 /// Silence after which a link is given up: three heartbeats. The store is asked at once after
 /// that, and a new configuration has two seconds to be in force.
-const SILENT_AFTER: Duration = Duration::from_millis(900);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Pause after a link could not be taken.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(500);
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(500);
 /// Links that one entry serves: at 360 entries all report to each seed and follow it, when it is the only
 /// one that is left; with 400 the last of them had no link.
-const MOST_LINKS: usize = 800;
+const MAX_LINKS: usize = 800;
 
 pub(crate) type Socket = WebSocketStream<TcpStream>;
 
-pub(crate) fn silent() -> Error {
+pub(crate) fn timed_out() -> Error {
     Error::Broken("no word in time".into())
 }
 
@@ -63,7 +63,7 @@
 
 /// Serves the entries that follow this one.
 pub(crate) async fn serve_peers(router: Arc<Router>, listener: TcpListener) {
-    let places = Arc::new(Semaphore::new(MOST_LINKS));
+    let permits = Arc::new(Semaphore::new(MAX_LINKS));
     // Ends the links with the control thread's work.
     let mut links = JoinSet::new();
     loop {
@@ -71,19 +71,19 @@
             Ok((stream, _)) => stream,
             Err(e) => {
                 event::ACCEPT_FAILED.log(format_args!("cause=\"{e}\""));
-                sleep(ACCEPT_AGAIN).await;
+                sleep(ACCEPT_RETRY_PAUSE).await;
                 continue;
             }
         };
         while links.try_join_next().is_some() {}
-        let Ok(place) = places.clone().try_acquire_owned() else {
-            event::PEER_FAILED.log(format_args!("cause=\"{MOST_LINKS} links are open\""));
+        let Ok(permit) = permits.clone().try_acquire_owned() else {
+            event::PEER_FAILED.log(format_args!("cause=\"{MAX_LINKS} links are open\""));
             continue;
         };
         let router = router.clone();
         links.spawn(async move {
-            let _place = place;
-            if let Err(e) = serve(&router, stream).await {
+            let _permit = permit;
+            if let Err(e) = serve_link(&router, stream).await {
                 event::PEER_FAILED.log(format_args!("cause=\"{e}\""));
             }
         });
@@ -91,10 +91,11 @@
 }
 
 /// Serves one entry until it leaves.
-async fn serve(router: &Router, stream: TcpStream) -> Result<()> {
+async fn serve_link(router: &Router, stream: TcpStream) -> Result<()> {
     stream.set_nodelay(true)?;
-    let mut socket = timeout(OPENING, accept_async(stream)).await.map_err(|_| silent())??;
-    match timeout(OPENING, receive(&mut socket)).await.map_err(|_| silent())?? {
+    let mut socket =
+        timeout(OPEN_TIMEOUT, accept_async(stream)).await.map_err(|_| timed_out())??;
+    match timeout(OPEN_TIMEOUT, receive_message(&mut socket)).await.map_err(|_| timed_out())?? {
         PeerRequest::Follow { version, era, only_in, host } => {
             let version = StoreVersion { era, revision: version };
             serve_follower(router, socket, version, only_in.as_deref(), &host).await
@@ -124,8 +125,8 @@
     mut report: Report,
 ) -> Result<()> {
     let link = router.loads.next_link_id();
-    let _forgets = RemoveReportOnDrop { router, host, link };
-    let mut news = UrgentUpdates::of(router);
+    let _guard = RemoveReportOnDrop { router, host, link };
+    let mut urgent = UrgentUpdates::new(router);
     loop {
         let (loads, now) = (report.loads, router.now());
         router.loads.apply_report(host, link, loads, !report.is_new, now);
@@ -134,14 +135,14 @@
         router.quarantine.apply_updates(&report.ends, router.now());
         router.take_limit_updates(&report.limits);
         report = loop {
-            let asked = tokio::select! {
-                asked = receive(&mut socket) => asked?,
-                message = news.next() => {
+            let request = tokio::select! {
+                request = receive_message(&mut socket) => request?,
+                message = urgent.next() => {
                     send_message(&mut socket, &message).await?;
                     continue;
                 }
             };
-            match asked {
+            match request {
                 PeerRequest::Report { report, .. } => break report,
                 PeerRequest::Follow { .. } => {
                     return Err(Error::Broken("reports were expected".into()));
@@ -165,19 +166,19 @@
     if !is_wanted {
         return Ok(());
     }
-    let (mut updates, mut news) = router.views.subscribe(version);
+    let (mut updates, mut changes) = router.views.subscribe(version);
     let (mut next_kept, mut next_end, mut next_limit) = (0, None, 0);
-    let mut suspicions = router.quarantine.changes();
-    let mut urgent_limits = router.limits.urgent_changes();
+    let mut quarantine_changes = router.quarantine.changes();
+    let mut limit_changes = router.limits.urgent_changes();
     loop {
         let is_current = router.is_current();
         let loads = router.loads.sums(router.now());
         let (kept, next) = router.kept.all_since(next_kept, router.now());
         next_kept = next;
-        suspicions.mark_unchanged();
+        quarantine_changes.mark_unchanged();
         let (ends, next) = router.quarantine.all_since(next_end, router.now());
         next_end = Some(next);
-        urgent_limits.mark_unchanged();
+        limit_changes.mark_unchanged();
         let (limits, next) = router.limits.all_since(next_limit);
         next_limit = next;
         let entries = router.loads.entry_count(router.now());
@@ -196,17 +197,17 @@
         };
         send_message(&mut socket, &beat).await?;
         updates = tokio::select! {
-            update = news.recv() => match update {
+            update = changes.recv() => match update {
                 Ok(update) => vec![update],
                 Err(RecvError::Lagged(_) | RecvError::Closed) => return Ok(()),
             },
-            () = sleep(BEAT_EVERY) => Vec::new(),
-            _ = suspicions.changed() => {
-                sleep(GATHER).await;
+            () = sleep(HEARTBEAT_INTERVAL) => Vec::new(),
+            _ = quarantine_changes.changed() => {
+                sleep(BATCH_DELAY).await;
                 Vec::new()
             }
-            _ = urgent_limits.changed() => {
-                sleep(GATHER).await;
+            _ = limit_changes.changed() => {
+                sleep(BATCH_DELAY).await;
                 Vec::new()
             }
             message = socket.next() => match message {
@@ -219,34 +220,34 @@
 
 pub(crate) async fn send_message<T: Serialize>(socket: &mut Socket, message: &T) -> Result<()> {
     let message = Message::binary(encode(message));
-    timeout(SILENT_AFTER, socket.send(message)).await.map_err(|_| silent())??;
+    timeout(SILENCE_TIMEOUT, socket.send(message)).await.map_err(|_| timed_out())??;
     Ok(())
 }
 
 /// Asks the other end to show that it lives. A link that has gone silent for good takes what is written to it, and
 /// what was reported would reach nobody.
-pub(crate) async fn ask_if_alive(socket: &mut Socket) -> Result<()> {
+pub(crate) async fn send_ping(socket: &mut Socket) -> Result<()> {
     socket.send(Message::Ping(Bytes::new())).await?;
     Ok(())
 }
 
 /// The next message, unless the link ends or is silent for too long.
 pub(crate) async fn next_message(socket: &mut Socket) -> Result<Message> {
-    let message = timeout(SILENT_AFTER, socket.next()).await.map_err(|_| silent())?;
+    let message = timeout(SILENCE_TIMEOUT, socket.next()).await.map_err(|_| timed_out())?;
     match message.ok_or_else(|| Error::Broken("the link ended".into()))?? {
         Message::Close(_) => Err(Error::Broken("the link ended".into())),
         message => Ok(message),
     }
 }
 
-pub(crate) async fn open(peer: SocketAddr) -> Result<Socket> {
+pub(crate) async fn connect(peer: SocketAddr) -> Result<Socket> {
     let stream = TcpStream::connect(peer).await?;
     stream.set_nodelay(true)?;
     let (socket, _) = client_async(format!("ws://{peer}/"), stream).await?;
     Ok(socket)
 }
 
-pub(crate) async fn receive<T: DeserializeOwned>(socket: &mut Socket) -> Result<T> {
+pub(crate) async fn receive_message<T: DeserializeOwned>(socket: &mut Socket) -> Result<T> {
     loop {
         if let Message::Binary(data) = next_message(socket).await? {
             return decode(&data);
--- a/src/router/seed_reporter.rs
+++ b/src/router/seed_reporter.rs
@@ -15,16 +15,17 @@
         Router,
         messages::{PeerMessage, PeerRequest, Report},
         peers::{
-            GATHER, OPENING, ask_if_alive, next_message, open, other_seeds, send_message, silent,
+            BATCH_DELAY, OPEN_TIMEOUT, connect, next_message, other_seeds, send_message, send_ping,
+            timed_out,
         },
     },
     telemetry::event,
 };
 
 /// Time between reports of the own load to the seeds; streams last a second or a few.
-const REPORT_EVERY: Duration = Duration::from_millis(400);
+const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 /// Pause before a seed that could not be reported to is tried again.
-const REPORT_AGAIN: Duration = Duration::from_secs(2);
+const RECONNECT_PAUSE: Duration = Duration::from_secs(2);
 
 /// Reports the own load to every seed, and lets a seed know the sums itself.
 pub(crate) async fn report_to_seeds(router: &Arc<Router>) {
@@ -32,7 +33,7 @@
     let mut reported: Vec<SocketAddr> = Vec::new();
     let (reports, _) = watch::channel(Report::default());
     // A seed passes on what it receives, too: some entries may not reach them.
-    let (mut suspicions, mut urgent_limits) = if router.is_seed() {
+    let (mut quarantine_changes, mut limit_changes) = if router.is_seed() {
         (router.quarantine.changes(), router.limits.urgent_changes())
     } else {
         (router.quarantine.own_changes(), router.limits.own_urgent_changes())
@@ -44,7 +45,7 @@
             links.abort_all();
             for seed in &others {
                 let host = settings.host.clone();
-                links.spawn(keep_reporting(router.clone(), *seed, host, reports.subscribe()));
+                links.spawn(report_with_retries(router.clone(), *seed, host, reports.subscribe()));
             }
             reported = others;
         }
@@ -62,43 +63,43 @@
             router.loads.apply(&router.loads.sums(now), &fleet, now);
         }
         drop(fleet);
-        let news = async {
+        let urgent = async {
             tokio::select! {
-                _ = suspicions.changed() => {}
-                _ = urgent_limits.changed() => {}
+                _ = quarantine_changes.changed() => {}
+                _ = limit_changes.changed() => {}
             }
         };
-        let is_news = timeout(REPORT_EVERY, news).await.is_ok();
+        let is_urgent = timeout(REPORT_INTERVAL, urgent).await.is_ok();
         // What an entry saw itself is reported at once: it may be killed next.
-        if is_news && router.is_seed() {
-            sleep(GATHER).await;
+        if is_urgent && router.is_seed() {
+            sleep(BATCH_DELAY).await;
         }
     }
 }
 
 /// Reports to one seed for ever; a seed that is away is tried again at a pause.
-async fn keep_reporting(
+async fn report_with_retries(
     router: Arc<Router>,
     seed: SocketAddr,
     host: Box<str>,
     mut reports: watch::Receiver<Report>,
 ) {
     loop {
-        if let Err(e) = report_to(&router, seed, &host, &mut reports).await {
+        if let Err(e) = report_to_seed(&router, seed, &host, &mut reports).await {
             event::PEER_FAILED.log(format_args!("peer={seed} cause=\"{e}\""));
         }
-        sleep(REPORT_AGAIN).await;
+        sleep(RECONNECT_PAUSE).await;
     }
 }
 
-async fn report_to(
+async fn report_to_seed(
     router: &Router,
     seed: SocketAddr,
     host: &str,
     reports: &mut watch::Receiver<Report>,
 ) -> Result<()> {
     let mut wakes = router.clock.wakes();
-    let mut socket = timeout(OPENING, open(seed)).await.map_err(|_| silent())??;
+    let mut socket = timeout(OPEN_TIMEOUT, connect(seed)).await.map_err(|_| timed_out())??;
     let (mut next_kept, mut next_end, mut next_limit) = (0, None, None);
     loop {
         let mut report = reports.borrow_and_update().clone();
@@ -116,13 +117,13 @@
         };
         (report.limits, next_limit) = (limits, Some(next));
         send_message(&mut socket, &PeerRequest::Report { host: host.into(), report }).await?;
-        ask_if_alive(&mut socket).await?;
+        send_ping(&mut socket).await?;
         let mut is_alive = false;
         loop {
             tokio::select! {
                 message = next_message(&mut socket) => match message? {
                     Message::Pong(_) => is_alive = true,
-                    Message::Binary(data) => take_news(router, decode(&data)?)?,
+                    Message::Binary(data) => apply_urgent_updates(router, decode(&data)?)?,
                     _ => {}
                 },
                 changed = reports.changed(), if is_alive => match changed {
@@ -130,14 +131,14 @@
                     Err(_) => return Ok(()),
                 },
                 // The seed has given the link up meanwhile.
-                _ = wakes.changed() => return Err(silent()),
+                _ = wakes.changed() => return Err(timed_out()),
             }
         }
     }
 }
 
 /// Takes in urgent news of an entry that is reported to.
-fn take_news(router: &Router, message: PeerMessage) -> Result<()> {
+fn apply_urgent_updates(router: &Router, message: PeerMessage) -> Result<()> {
     let PeerMessage::News { ends, limits } = message else {
         return Err(Error::Broken("news were expected".into()));
     };
--- a/src/router/speed_estimates.rs
+++ b/src/router/speed_estimates.rs
@@ -29,10 +29,10 @@
         &self,
         key: &str,
         unread_tokens: u64,
-        ahead: Duration,
-        took: Duration,
+        queue_time: Duration,
+        elapsed: Duration,
     ) {
-        self.lock().entry(key.into()).or_default().note(unread_tokens, ahead, took);
+        self.lock().entry(key.into()).or_default().note(unread_tokens, queue_time, elapsed);
     }
 
     /// Learns from a stream's mean time between two events.
--- a/src/router/table_views.rs
+++ b/src/router/table_views.rs
@@ -15,17 +15,17 @@
 };
 
 /// Updates kept for a subscriber that reads slowly; one further behind has to begin anew.
-const MOST_BEHIND: usize = 64;
+const UPDATE_BUFFER: usize = 64;
 
 impl TableView {
     /// All rows, packed once for all that begin to follow before something changes.
-    fn packed(&mut self, table: Table) -> CompressedUpdate {
-        let Self { version, store_now, rows, packed, is_amended, .. } = self;
-        let pack = || {
+    fn compressed(&mut self, table: Table) -> CompressedUpdate {
+        let Self { version, store_now, rows, compressed, is_amended, .. } = self;
+        let compress = || {
             let rows = rows.values().cloned().collect();
             let (version, store_now, is_amended) = (*version, *store_now, *is_amended);
             let is_whole = true;
-            CompressedUpdate::pack(&TableUpdate {
+            CompressedUpdate::compress(&TableUpdate {
                 table,
                 version,
                 store_now,
@@ -34,7 +34,7 @@
                 rows,
             })
         };
-        packed.get_or_insert_with(pack).clone()
+        compressed.get_or_insert_with(compress).clone()
     }
 }
 
@@ -68,7 +68,7 @@
     store_now: Duration,
     rows: BTreeMap<Box<str>, Row>,
     /// All rows packed, until something changes.
-    packed: Option<CompressedUpdate>,
+    compressed: Option<CompressedUpdate>,
     answered_at: Duration,
     is_lost: bool,
 }
@@ -76,7 +76,7 @@
 /// What was last seen of each table.
 #[derive(Debug)]
 pub(crate) struct TableViews {
-    seen: Mutex<HashMap<Table, TableView>>,
+    tables: Mutex<HashMap<Table, TableView>>,
     updates: broadcast::Sender<CompressedUpdate>,
     /// When an entry that is followed last spoke.
     received_at: Mutex<Duration>,
@@ -85,8 +85,8 @@
 impl Default for TableViews {
     fn default() -> Self {
         Self {
-            seen: Mutex::default(),
-            updates: broadcast::Sender::new(MOST_BEHIND),
+            tables: Mutex::default(),
+            updates: broadcast::Sender::new(UPDATE_BUFFER),
             received_at: Mutex::default(),
         }
     }
@@ -106,20 +106,20 @@
         is_whole: bool,
         is_amended: bool,
     ) {
-        let mut all = self.seen.lock().expect("no panics under the lock");
-        let seen = all.entry(table).or_default();
-        seen.version = rows.version;
-        seen.store_now = rows.now;
-        seen.packed = None;
+        let mut tables = self.tables.lock().expect("no panics under the lock");
+        let view = tables.entry(table).or_default();
+        view.version = rows.version;
+        view.store_now = rows.now;
+        view.compressed = None;
         if is_whole {
-            seen.rows.clear();
-            seen.is_amended = is_amended;
+            view.rows.clear();
+            view.is_amended = is_amended;
         }
         for row in &rows.rows {
             if row.is_removed {
-                seen.rows.remove(&row.key);
+                view.rows.remove(&row.key);
             } else {
-                seen.rows.insert(row.key.clone(), row.clone());
+                view.rows.insert(row.key.clone(), row.clone());
             }
         }
         let has_news = is_whole || !rows.rows.is_empty();
@@ -136,7 +136,7 @@
         };
         // Under the lock, so that a subscriber's first view and its updates fit together. An error
         // only says that there are no subscribers any more.
-        let _ = self.updates.send(CompressedUpdate::pack(&update));
+        let _ = self.updates.send(CompressedUpdate::compress(&update));
     }
 
     /// All rows of the tables of which something newer than this has been seen, and what comes
@@ -146,13 +146,13 @@
         &self,
         version: StoreVersion,
     ) -> (Vec<CompressedUpdate>, broadcast::Receiver<CompressedUpdate>) {
-        let mut all = self.seen.lock().expect("no panics under the lock");
-        let is_wanted = |(table, seen): &(&Table, &mut TableView)| {
-            let is_short = matches!(table, Table::Own | Table::Status);
-            is_short || seen.is_amended || seen.version > version
+        let mut tables = self.tables.lock().expect("no panics under the lock");
+        let is_wanted = |(table, view): &(&Table, &mut TableView)| {
+            let is_always_sent = matches!(table, Table::Own | Table::Status);
+            is_always_sent || view.is_amended || view.version > version
         };
-        let wanted = all.iter_mut().filter(is_wanted);
-        let views = wanted.map(|(table, seen)| seen.packed(*table)).collect();
+        let wanted = tables.iter_mut().filter(is_wanted);
+        let views = wanted.map(|(table, view)| view.compressed(*table)).collect();
         (views, self.updates.subscribe())
     }
 
@@ -163,22 +163,22 @@
 
     /// Notes that the store answered about a table.
     pub(crate) fn record_answer(&self, table: Table, now: Duration) {
-        let mut seen = self.seen.lock().expect("no panics under the lock");
-        let seen = seen.entry(table).or_default();
-        seen.answered_at = now;
-        seen.is_lost = false;
+        let mut tables = self.tables.lock().expect("no panics under the lock");
+        let view = tables.entry(table).or_default();
+        view.answered_at = now;
+        view.is_lost = false;
     }
 
     /// Notes that the store gave no answer about a table.
     pub(crate) fn record_failure(&self, table: Table) {
-        let mut seen = self.seen.lock().expect("no panics under the lock");
-        seen.entry(table).or_default().is_lost = true;
+        let mut tables = self.tables.lock().expect("no panics under the lock");
+        tables.entry(table).or_default().is_lost = true;
     }
 
     /// Whether the store last gave no answer about some table.
     pub(crate) fn is_store_lost(&self) -> bool {
-        let seen = self.seen.lock().expect("no panics under the lock");
-        seen.values().any(|seen| seen.is_lost)
+        let tables = self.tables.lock().expect("no panics under the lock");
+        tables.values().any(|view| view.is_lost)
     }
 
     /// Notes that an entry that is followed spoke.
@@ -198,26 +198,26 @@
 
     /// Until when all that was said of every table that is followed has been taken in.
     pub(crate) fn applied_at(&self) -> Duration {
-        let seen = self.seen.lock().expect("no panics under the lock");
-        let answered = seen.values().map(|seen| seen.answered_at).filter(|at| !at.is_zero());
+        let tables = self.tables.lock().expect("no panics under the lock");
+        let answered = tables.values().map(|view| view.answered_at).filter(|at| !at.is_zero());
         answered.min().unwrap_or_default()
     }
 
     /// Newest transaction seen of the table that is furthest behind.
     pub(crate) fn oldest_version(&self) -> StoreVersion {
-        let seen = self.seen.lock().expect("no panics under the lock");
-        seen.values().map(|seen| seen.version).min().unwrap_or_default()
+        let tables = self.tables.lock().expect("no panics under the lock");
+        tables.values().map(|view| view.version).min().unwrap_or_default()
     }
 
     /// Newest era that is known.
     pub(crate) fn era(&self) -> Era {
-        let seen = self.seen.lock().expect("no panics under the lock");
-        seen.values().map(|seen| seen.version.era).max().unwrap_or_default()
+        let tables = self.tables.lock().expect("no panics under the lock");
+        tables.values().map(|view| view.version.era).max().unwrap_or_default()
     }
 
     /// The rows of a table as they were last seen.
     pub(crate) fn rows(&self, table: Table) -> Vec<Row> {
-        let seen = self.seen.lock().expect("no panics under the lock");
-        seen.get(&table).map(|seen| seen.rows.values().cloned().collect()).unwrap_or_default()
+        let tables = self.tables.lock().expect("no panics under the lock");
+        tables.get(&table).map(|view| view.rows.values().cloned().collect()).unwrap_or_default()
     }
 }
