--- a/src/router/departed_servers.rs
+++ b/src/router/departed_servers.rs
@@ -8,20 +8,20 @@
 use crate::{policy::retry_after::LONGEST_PAUSE, router::Member};
 
 /// Time for which a life is remembered: what it announced may hold for as long.
-const REMEMBERED: Duration = LONGEST_PAUSE;
+const RETENTION: Duration = LONGEST_PAUSE;
 /// Lives remembered at most, under half a kilobyte each.
-const MOST: usize = 256;
+const MAX_SERVERS: usize = 256;
 
 /// Lives out of view, by id, and when each went.
 #[derive(Debug, Default)]
 pub(super) struct DepartedServers {
-    lives: HashMap<Box<str>, (Arc<Member>, Duration)>,
+    servers: HashMap<Box<str>, (Arc<Member>, Duration)>,
 }
 
 impl DepartedServers {
     /// The last life that was in view under an id.
     pub(super) fn get(&self, id: &str) -> Option<&Arc<Member>> {
-        self.lives.get(id).map(|(member, _)| member)
+        self.servers.get(id).map(|(member, _)| member)
     }
 
     /// Takes over what another one remembers, but for ids that are in view again.
@@ -31,23 +31,23 @@
         is_in_view: impl Fn(&str) -> bool,
         now: Duration,
     ) {
-        for (id, (member, at)) in &other.lives {
-            if now < *at + REMEMBERED && !is_in_view(id) {
-                self.lives.insert(id.clone(), (member.clone(), *at));
+        for (id, (member, at)) in &other.servers {
+            if now < *at + RETENTION && !is_in_view(id) {
+                self.servers.insert(id.clone(), (member.clone(), *at));
             }
         }
     }
 
     /// Remembers a life that went out of view; the longest gone makes room for it.
-    pub(super) fn add(&mut self, member: &Arc<Member>, now: Duration) {
+    pub(super) fn insert(&mut self, member: &Arc<Member>, now: Duration) {
         member.release_memory();
-        self.lives.insert(member.server.id.clone(), (member.clone(), now));
-        if self.lives.len() <= MOST {
+        self.servers.insert(member.server.id.clone(), (member.clone(), now));
+        if self.servers.len() <= MAX_SERVERS {
             return;
         }
-        let longest_gone = self.lives.iter().min_by_key(|(_, (_, at))| *at);
-        if let Some(id) = longest_gone.map(|(id, _)| id.clone()) {
-            self.lives.remove(&id);
+        let oldest = self.servers.iter().min_by_key(|(_, (_, at))| *at);
+        if let Some(id) = oldest.map(|(id, _)| id.clone()) {
+            self.servers.remove(&id);
         }
     }
 }
--- a/src/router/evacuations.rs
+++ b/src/router/evacuations.rs
@@ -21,7 +21,7 @@
 /// The operator's evacuation orders. Every send asks when its server is chosen, whatever it is for.
 #[derive(Debug, Default)]
 pub(crate) struct Evacuations {
-    orders: ArcSwap<ZoneStates>,
+    states: ArcSwap<ZoneStates>,
 }
 
 impl Evacuations {
@@ -44,25 +44,25 @@
     }
 
     /// Orders are read by one task, so none is lost between the load and the store.
-    fn set(&self, zone: &str, order: ZoneState) {
-        let mut orders = ZoneStates::clone(&self.orders.load());
-        orders.insert(zone.into(), order);
-        self.orders.store(Arc::new(orders));
+    fn set(&self, zone: &str, state: ZoneState) {
+        let mut states = ZoneStates::clone(&self.states.load());
+        states.insert(zone.into(), state);
+        self.states.store(Arc::new(states));
     }
 
     /// Whether any zone is evacuated: mostly none is, and no zone has to be looked up.
     pub(crate) fn has_any(&self) -> bool {
-        self.orders.load().values().any(|order| matches!(order, ZoneState::Evacuated(_)))
+        self.states.load().values().any(|state| matches!(state, ZoneState::Evacuated(_)))
     }
 
     /// Whether nothing may be sent to a zone's servers.
     pub(crate) fn is_evacuated(&self, zone: &str) -> bool {
-        matches!(self.orders.load().get(zone), Some(ZoneState::Evacuated(_)))
+        matches!(self.states.load().get(zone), Some(ZoneState::Evacuated(_)))
     }
 
     /// When the operator last took a zone back; none where it is evacuated or never was.
     pub(crate) fn ended_at(&self, zone: &str) -> Option<Duration> {
-        match self.orders.load().get(zone)? {
+        match self.states.load().get(zone)? {
             ZoneState::Ended(at) => Some(*at),
             ZoneState::Evacuated(_) => None,
         }
@@ -70,21 +70,21 @@
 
     /// Zones that are evacuated.
     pub(crate) fn zones(&self) -> Vec<Box<str>> {
-        let orders = self.orders.load();
-        let evacuated = orders.iter().filter(|(_, order)| matches!(order, ZoneState::Evacuated(_)));
+        let states = self.states.load();
+        let evacuated = states.iter().filter(|(_, state)| matches!(state, ZoneState::Evacuated(_)));
         evacuated.map(|(zone, _)| zone.clone()).collect()
     }
 
     /// Part of the state dump.
     pub(crate) fn dump(&self, now: Duration) -> Value {
-        let orders = self.orders.load();
-        let one = |(zone, order): (_, &ZoneState)| match order {
+        let states = self.states.load();
+        let describe = |(zone, state): (_, &ZoneState)| match state {
             ZoneState::Evacuated(since) => {
                 let for_s = now.saturating_sub(*since).as_secs_f64();
                 Some(json!({"zone": zone, "for_s": for_s}))
             }
             ZoneState::Ended(_) => None,
         };
-        Value::Array(orders.iter().filter_map(one).collect())
+        Value::Array(states.iter().filter_map(describe).collect())
     }
 }
--- a/src/router/fleet.rs
+++ b/src/router/fleet.rs
@@ -66,7 +66,7 @@
         self.departed.inherit(&before.departed, |id| self.members.contains_key(id), now);
         for (id, member) in &before.members {
             if !self.members.contains_key(id) {
-                self.departed.add(member, now);
+                self.departed.insert(member, now);
             }
         }
     }
--- a/src/router/orders.rs
+++ b/src/router/orders.rs
@@ -14,20 +14,20 @@
 };
 
 /// Most kinds of orders that nothing reads and that are logged.
-const MOST_UNREAD: usize = 32;
+const MAX_UNKNOWN_KINDS: usize = 32;
 
 /// Follows the operator's orders.
 pub(crate) async fn follow_orders(router: &Router, store: &StoreClient) {
-    let mut unread = BTreeSet::new();
+    let mut logged = BTreeSet::new();
     follow_table(router, store, Table::Orders, |rows, extent, _| {
-        note_unread_kinds(&rows, &mut unread);
+        log_unknown_kinds(&rows, &mut logged);
         if extent.is_whole() {
             withdraw_missing(router, &rows);
         }
         let is_start = router.table.load().is_none();
         // The first configuration lets requests in: whatever bars servers is in force before.
         let (configuration, others): (Vec<_>, Vec<_>) =
-            read_changes(&rows).partition(|c| matches!(c, OperatorChange::Configuration(_)));
+            parse_changes(&rows).partition(|c| matches!(c, OperatorChange::Configuration(_)));
         for change in others.into_iter().chain(configuration) {
             if extent == Extent::Restored && is_withdrawn(router, &change) {
                 continue;
@@ -39,9 +39,9 @@
 }
 
 /// Logs each kind of orders once that nothing here reads.
-fn note_unread_kinds(rows: &Rows, logged: &mut BTreeSet<Box<str>>) {
+fn log_unknown_kinds(rows: &Rows, logged: &mut BTreeSet<Box<str>>) {
     for kind in rows.rows.iter().filter_map(|row| unknown_kind(&row.key)) {
-        if logged.len() < MOST_UNREAD && logged.insert(kind.into()) {
+        if logged.len() < MAX_UNKNOWN_KINDS && logged.insert(kind.into()) {
             event::ORDER_UNREAD.log(format_args!("kind={kind}"));
         }
     }
@@ -52,7 +52,7 @@
     matches!(change, OperatorChange::RollOut(order) if router.roll_outs.was_withdrawn(order))
 }
 
-fn read_changes(rows: &Rows) -> impl Iterator<Item = OperatorChange> {
+fn parse_changes(rows: &Rows) -> impl Iterator<Item = OperatorChange> {
     rows.rows.iter().filter_map(|row| match read_operator_row(row) {
         Ok(change) => change,
         Err(e) => {
--- a/src/router/restore.rs
+++ b/src/router/restore.rs
@@ -31,23 +31,23 @@
 }
 
 /// Puts the operator's rows that the store lost back among all that it has; whether there were any.
-pub(crate) fn amend(router: &Router, table: Table, rows: &mut Rows) -> bool {
+pub(crate) fn restore_lost_rows(router: &Router, table: Table, rows: &mut Rows) -> bool {
     if table != Table::Orders {
         return false;
     }
     let mut is_amended = false;
     for known in router.views.rows(table) {
-        let shown = rows.rows.iter().position(|row| row.key == known.key);
-        let is_lost = match shown {
-            Some(shown) => is_older_configuration(&rows.rows[shown], &known),
+        let stored = rows.rows.iter().position(|row| row.key == known.key);
+        let is_lost = match stored {
+            Some(stored) => is_older_configuration(&rows.rows[stored], &known),
             None => true,
         };
         if !is_lost {
             continue;
         }
         is_amended = true;
-        match shown {
-            Some(shown) => rows.rows[shown] = known,
+        match stored {
+            Some(stored) => rows.rows[stored] = known,
             None => rows.rows.push(known),
         }
     }
@@ -55,8 +55,8 @@
 }
 
 /// Whether a row holds an older configuration than another one.
-fn is_older_configuration(shown: &Row, known: &Row) -> bool {
-    is_configuration(&shown.key) && configuration_version(shown) < configuration_version(known)
+fn is_older_configuration(stored: &Row, known: &Row) -> bool {
+    is_configuration(&stored.key) && configuration_version(stored) < configuration_version(known)
 }
 
 fn configuration_version(row: &Row) -> Option<u64> {
--- a/src/router/servers.rs
+++ b/src/router/servers.rs
@@ -17,9 +17,14 @@
 /// Follows the list of servers.
 pub(crate) async fn follow_servers(router: &Router, store: &StoreClient) {
     let listing = std::sync::Mutex::new(Listing::default());
-    let apply = |rows: Rows, extent: Extent, contact: &StoreReachability| {
+    let apply = |rows: Rows, extent: Extent, reachability: &StoreReachability| {
         let mut listing = listing.lock().expect("no panics under the lock");
-        listing.apply(&rows, extent, contact.removals_uncertain_until(router.now()), router.now());
+        listing.apply(
+            &rows,
+            extent,
+            reachability.removals_uncertain_until(router.now()),
+            router.now(),
+        );
         if extent.is_whole() || !rows.rows.is_empty() {
             publish(router, &listing);
         }
