--- a/src/router/quarantine.rs
+++ b/src/router/quarantine.rs
@@ -15,14 +15,14 @@
 };
 
 /// Longest wait for the store's answer about a trial: two calls of 5 ms each, ten times over.
-const TRIAL_WAIT: Duration = Duration::from_millis(100);
+const TRIAL_CLAIM_TIMEOUT: Duration = Duration::from_millis(100);
 /// Age at which what another entry said counts no more: four heartbeats.
-const REPORT_LASTS: Duration = Duration::from_millis(1_200);
+const PEER_MESSAGE_LIFETIME: Duration = Duration::from_millis(1_200);
 /// `Retry-After` for a request that only an operator can release: as long as it is remembered.
-const REFUSED_FOR_GOOD: Duration = Duration::from_secs(24 * 60 * 60);
+const PERMANENT_RETRY_AFTER: Duration = Duration::from_secs(24 * 60 * 60);
 /// Least `Retry-After`: where a trial is due and can't be made now, it is under way at another entry, or
 /// the store is away.
-const LEAST_RETRY_AFTER: Duration = Duration::from_secs(5);
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 impl Router {
     /// What may be done with a request, by the servers that ended under it.
@@ -46,9 +46,9 @@
             return false;
         }
         let (answer, answered) = oneshot::channel();
-        let asked = self.trials.0.try_send((job.fingerprint(), answer));
+        let request = self.trials.0.try_send((job.fingerprint(), answer));
         // A store that is slow to answer does not hold the caller up.
-        asked.is_ok() && matches!(timeout(TRIAL_WAIT, answered).await, Ok(Ok(true)))
+        request.is_ok() && matches!(timeout(TRIAL_CLAIM_TIMEOUT, answered).await, Ok(Ok(true)))
     }
 
     /// Takes the end at which trials are asked for; once.
@@ -59,7 +59,7 @@
     /// Whether this entry gets updates from no other one.
     pub(crate) fn is_isolated(&self) -> bool {
         let now = self.now();
-        let is_reported = now < self.views.peer_message_at() + REPORT_LASTS;
+        let is_reported = now < self.views.peer_message_at() + PEER_MESSAGE_LIFETIME;
         !is_reported && self.loads.entry_count(now) <= 1
     }
 
@@ -83,8 +83,8 @@
     /// When the caller of a refused request may come back.
     pub(crate) fn refusal_retry_after(&self, job: &Job) -> Duration {
         match self.standing(job) {
-            Standing::Refused { trial_in: Some(trial_in) } => trial_in.max(LEAST_RETRY_AFTER),
-            _ => REFUSED_FOR_GOOD,
+            Standing::Refused { trial_in: Some(trial_in) } => trial_in.max(MIN_RETRY_AFTER),
+            _ => PERMANENT_RETRY_AFTER,
         }
     }
 
--- a/src/router/quarantine_row.rs
+++ b/src/router/quarantine_row.rs
@@ -22,27 +22,27 @@
 };
 
 /// Key of the row in the system's own table.
-const ROW: &str = "quarantine";
+const ROW_KEY: &str = "quarantine";
 /// Cases in the row, at most: 50 KB, and a row holds 64.
-const MOST_CASES: usize = 256;
+const MAX_CASES: usize = 256;
 /// Ends written of each case: what refuses it, and no more.
-const MOST_ENDS: usize = 4;
+const MAX_ENDS: usize = 4;
 /// Time an entry waits for another one to report what is refused, before it reads the row: a link to a
 /// running seed takes a few round trips, and callers wait half a second at most.
-const LINK_FIRST: Duration = Duration::from_millis(250);
+const FIRST_LINK_WAIT: Duration = Duration::from_millis(250);
 /// Pause after a call that failed, and between looks of an entry that gets updates from no other while something is
 /// suspected.
-const PAUSE: Duration = Duration::from_millis(500);
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
 /// Time between looks of an entry that gets updates from no other while nothing is suspected: what the others find
 /// has to be known within 3 s.
-const LOOK_ALONE: Duration = Duration::from_millis(2_000);
+const ISOLATED_POLL_INTERVAL: Duration = Duration::from_millis(2_000);
 /// Time between looks at whether something has to be written.
-const LOOK_EVERY: Duration = Duration::from_millis(1_000);
+const CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Time that an entry leaves to each seed named before it for writing a case: a call takes 10 ms, and
 /// its news a heartbeat.
-const OTHERS_WRITE: Duration = Duration::from_millis(400);
+const WRITE_STAGGER: Duration = Duration::from_millis(400);
 /// Writes that meet a newer row in a row before an entry rests.
-const MOST_CONFLICTS: u32 = 8;
+const MAX_CONFLICTS: u32 = 8;
 
 /// A case as the row has it; times are on the store's clock.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -97,7 +97,7 @@
         (store + at).saturating_sub(own).as_millis() as u64
     }
 
-    fn read(&self, doc: &CaseDoc) -> Option<Case> {
+    fn decode(&self, doc: &CaseDoc) -> Option<Case> {
         let end = |(life, ms): &(Box<str>, u64)| {
             Some((LifeHash::from_str_radix(life, 16).ok()?, self.to_own(*ms)))
         };
@@ -109,8 +109,8 @@
         })
     }
 
-    fn write(&self, case: &Case) -> CaseDoc {
-        let first = case.ends.len().saturating_sub(MOST_ENDS);
+    fn encode(&self, case: &Case) -> CaseDoc {
+        let first = case.ends.len().saturating_sub(MAX_ENDS);
         let ends = case.ends[first..].iter();
         CaseDoc {
             fingerprint: case.fingerprint.to_string().into(),
@@ -121,12 +121,13 @@
     }
 
     /// Whether the row says all that is known of a case.
-    fn holds(&self, case: &Case) -> bool {
-        let of_same = self.cases.iter().find(|kept| kept.fingerprint == case.fingerprint);
-        of_same.is_some_and(|kept| {
-            let is_kept = |life: &LifeHash| kept.ends.iter().any(|(known, _)| known == life);
-            let is_enough = kept.ends.len() >= MOST_ENDS;
-            kept.trials >= case.trials && (is_enough || case.ends.iter().all(|(l, _)| is_kept(l)))
+    fn covers(&self, case: &Case) -> bool {
+        let of_same = self.cases.iter().find(|stored| stored.fingerprint == case.fingerprint);
+        of_same.is_some_and(|stored| {
+            let is_stored = |life: &LifeHash| stored.ends.iter().any(|(known, _)| known == life);
+            let is_enough = stored.ends.len() >= MAX_ENDS;
+            stored.trials >= case.trials
+                && (is_enough || case.ends.iter().all(|(l, _)| is_stored(l)))
         })
     }
 
@@ -137,17 +138,17 @@
     }
 
     /// Takes in the row as the store has it.
-    fn take(&mut self, router: &Router, row: Option<&Row>) {
+    fn load(&mut self, router: &Router, row: Option<&Row>) {
         self.version = row.map_or(0, |row| row.version);
         let doc = match row.map(|row| serde_json::from_slice::<RowDoc>(&row.value)) {
             Some(Ok(doc)) => doc,
             Some(Err(e)) => {
-                event::DOCUMENT_UNREADABLE.log(format_args!("cause=\"row {ROW}: {e}\""));
+                event::DOCUMENT_UNREADABLE.log(format_args!("cause=\"row {ROW_KEY}: {e}\""));
                 RowDoc::default()
             }
             None => RowDoc::default(),
         };
-        self.cases = doc.cases.iter().filter_map(|doc| self.read(doc)).collect();
+        self.cases = doc.cases.iter().filter_map(|doc| self.decode(doc)).collect();
         router.quarantine.apply_cases(&self.cases, self.clocks.error, router.now());
     }
 }
@@ -159,42 +160,42 @@
     mut trials: mpsc::Receiver<TrialRequest>,
 ) {
     let mut changes = router.quarantine.changes();
-    inform(router).await;
-    let mut kept = None;
+    wait_for_link(router).await;
+    let mut stored = None;
     loop {
         let is_restored =
-            kept.as_ref().is_some_and(|kept: &StoredRow| kept.era < router.views.era());
+            stored.as_ref().is_some_and(|stored: &StoredRow| stored.era < router.views.era());
         if is_restored {
             // The row may lack what was refused since the copy; who is named first writes it again.
-            kept = None;
-            sleep(time_for_others(router)).await;
+            stored = None;
+            sleep(write_delay(router)).await;
         }
         let is_needed = !router.quarantine.is_informed()
             || router.is_isolated()
             || router.quarantine.take_stale_row();
-        if is_needed && read(router, store, &mut kept).await.is_err() {
-            sleep(PAUSE).await;
+        if is_needed && read_row(router, store, &mut stored).await.is_err() {
+            sleep(RETRY_PAUSE).await;
             continue;
         }
         router.quarantine.expire(router.now());
-        if let Err(e) = write_news(router, store, &mut kept).await {
+        if let Err(e) = write_changes(router, store, &mut stored).await {
             event::STORE_UNREACHABLE.log(format_args!("table=Own cause=\"{e}\""));
-            sleep(PAUSE).await;
+            sleep(RETRY_PAUSE).await;
         }
-        let rest = match (router.is_isolated(), router.quarantine.is_idle()) {
-            (true, true) => LOOK_ALONE,
-            (true, false) => PAUSE,
-            (false, _) => LOOK_EVERY,
+        let pause = match (router.is_isolated(), router.quarantine.is_idle()) {
+            (true, true) => ISOLATED_POLL_INTERVAL,
+            (true, false) => RETRY_PAUSE,
+            (false, _) => CHECK_INTERVAL,
         };
         tokio::select! {
-            () = sleep(rest) => {}
+            () = sleep(pause) => {}
             changed = changes.changed() => {
                 if changed.is_ok() {
-                    sleep(time_for_others(router)).await;
+                    sleep(write_delay(router)).await;
                 }
             }
             Some((fingerprint, answer)) = trials.recv() => {
-                let may = try_trial(router, store, &mut kept, &fingerprint).await;
+                let may = claim_trial(router, store, &mut stored, &fingerprint).await;
                 // A caller that has left needs no answer.
                 let _ = answer.send(may);
             }
@@ -203,26 +204,26 @@
 }
 
 /// Waits a moment for another entry to report what is refused.
-async fn inform(router: &Router) {
+async fn wait_for_link(router: &Router) {
     if router.may_follow() {
-        let _ = timeout(LINK_FIRST, router.link.wait_until_current()).await;
+        let _ = timeout(FIRST_LINK_WAIT, router.link.wait_until_current()).await;
     }
 }
 
 /// Entries other than the first seed leave the writing to those named before them, and write what these
 /// have not.
-fn time_for_others(router: &Router) -> Duration {
+fn write_delay(router: &Router) -> Duration {
     let settings = router.settings.load();
     let rank = settings.seeds.iter().position(|seed| Some(*seed) == settings.peer);
     let before = rank.unwrap_or(settings.seeds.len());
-    OTHERS_WRITE * u32::try_from(before).unwrap_or(u32::MAX).min(8)
+    WRITE_STAGGER * u32::try_from(before).unwrap_or(u32::MAX).min(8)
 }
 
 /// Reads the row.
-async fn read(
+async fn read_row(
     router: &Router,
     store: &StoreClient,
-    kept: &mut Option<StoredRow>,
+    stored: &mut Option<StoredRow>,
 ) -> crate::platform::Result<()> {
     router.metrics.count_store_call("quarantine");
     let asked = router.now();
@@ -234,11 +235,12 @@
     let clocks =
         ClockPair { store: now, own: router.now(), error: router.now().saturating_sub(asked) };
     // A call that took long compares the clocks badly; the one before is as good.
-    let before = kept.as_ref().map(|kept| kept.clocks);
+    let before = stored.as_ref().map(|stored| stored.clocks);
     let clocks = before.filter(|before| before.error < clocks.error).unwrap_or(clocks);
-    let row = rows.iter().find(|row| &*row.key == ROW && !row.is_removed);
-    kept.insert(StoredRow { version: 0, era: version.era, cases: Vec::new(), clocks })
-        .take(router, row);
+    let row = rows.iter().find(|row| &*row.key == ROW_KEY && !row.is_removed);
+    stored
+        .insert(StoredRow { version: 0, era: version.era, cases: Vec::new(), clocks })
+        .load(router, row);
     if router.quarantine.mark_informed() {
         router.wake_waiters();
     }
@@ -247,27 +249,27 @@
 
 /// Writes what the row does not say yet: what is refused, and all that is suspected where nobody else learns of
 /// it.
-async fn write_news(
+async fn write_changes(
     router: &Router,
     store: &StoreClient,
-    kept: &mut Option<StoredRow>,
+    stored: &mut Option<StoredRow>,
 ) -> crate::platform::Result<()> {
     if router.quarantine.is_idle() {
         return Ok(());
     }
-    for _ in 0..MOST_CONFLICTS {
+    for _ in 0..MAX_CONFLICTS {
         let cases = router.quarantine.cases(!router.is_isolated(), router.now());
-        let is_kept = |kept: &StoredRow| {
-            let is_there = |case: &Case| kept.holds(case);
-            cases.iter().take(MOST_CASES).all(is_there) && !kept.has_cleared(router)
+        let is_current = |stored: &StoredRow| {
+            let is_covered = |case: &Case| stored.covers(case);
+            cases.iter().take(MAX_CASES).all(is_covered) && !stored.has_cleared(router)
         };
-        let has_none = || cases.is_empty() && kept.is_none();
-        if has_none() || kept.as_ref().is_some_and(is_kept) {
+        let has_none = || cases.is_empty() && stored.is_none();
+        if has_none() || stored.as_ref().is_some_and(is_current) {
             return Ok(());
         }
         // Another entry may have written it meanwhile.
-        read(router, store, kept).await?;
-        if kept.as_ref().is_some_and(is_kept) || write(router, store, kept).await? {
+        read_row(router, store, stored).await?;
+        if stored.as_ref().is_some_and(is_current) || write_row(router, store, stored).await? {
             return Ok(());
         }
     }
@@ -275,29 +277,29 @@
 }
 
 /// Writes all cases over the row as it was last read; false when it has changed since.
-async fn write(
+async fn write_row(
     router: &Router,
     store: &StoreClient,
-    kept: &mut Option<StoredRow>,
+    stored: &mut Option<StoredRow>,
 ) -> crate::platform::Result<bool> {
-    let Some(kept) = kept else {
+    let Some(stored) = stored else {
         return Ok(false);
     };
     let mut cases = router.quarantine.cases(!router.is_isolated(), router.now());
-    cases.truncate(MOST_CASES);
-    let doc = RowDoc { cases: cases.iter().map(|case| kept.write(case)).collect() };
+    cases.truncate(MAX_CASES);
+    let doc = RowDoc { cases: cases.iter().map(|case| stored.encode(case)).collect() };
     let value = serde_json::to_vec(&doc).expect("a document of texts and numbers can be written");
-    let put = Put { table: Table::Own, key: ROW.into(), expected: kept.version, value };
+    let put = Put { table: Table::Own, key: ROW_KEY.into(), expected: stored.version, value };
     router.metrics.count_store_call("quarantine");
-    let outcome = store.write(&[put], kept.era).await;
+    let outcome = store.write(&[put], stored.era).await;
     if outcome.is_err() {
         router.metrics.count_store_error("quarantine");
     }
     match outcome? {
         WriteOutcome::Written(version) => {
             event::QUARANTINE_KEPT.log(format_args!("cases={} version={version}", cases.len()));
-            kept.version = version;
-            kept.cases = cases;
+            stored.version = version;
+            stored.cases = cases;
             Ok(true)
         }
         WriteOutcome::Conflict | WriteOutcome::OtherEra => Ok(false),
@@ -306,19 +308,19 @@
 
 /// Takes a refused request's trial for this entry, if it is due and no other one has taken it. The row is read
 /// first and written under a condition, so one trial is made over all entries.
-async fn try_trial(
+async fn claim_trial(
     router: &Router,
     store: &StoreClient,
-    kept: &mut Option<StoredRow>,
+    stored: &mut Option<StoredRow>,
     fingerprint: &Fingerprint,
 ) -> bool {
-    if read(router, store, kept).await.is_err() {
+    if read_row(router, store, stored).await.is_err() {
         return false;
     }
     if router.quarantine.begin_trial(fingerprint, router.now()).is_none() {
         return false;
     }
-    let is_taken = matches!(write(router, store, kept).await, Ok(true));
+    let is_taken = matches!(write_row(router, store, stored).await, Ok(true));
     event::QUARANTINE_TRIAL.log(format_args!("fingerprint={fingerprint} taken={is_taken}"));
     is_taken
 }
--- a/src/router/roll_out.rs
+++ b/src/router/roll_out.rs
@@ -25,9 +25,9 @@
 };
 
 /// Time in which the silences of one server count once: one long prompt may hold up many streams.
-const SAME_SILENCE: Duration = Duration::from_secs(2);
+const TIMEOUT_DEDUP_WINDOW: Duration = Duration::from_secs(2);
 /// Servers whose silence is remembered before old ones are forgotten.
-const MOST_SILENCES: usize = 4_096;
+const MAX_TIMEOUTS: usize = 4_096;
 
 /// What became of a run, as evidence on its version. Failures and slowness are tested apart:
 /// healthy servers are slow now and then beside long prompts, and seldom fail.
@@ -47,7 +47,7 @@
     /// Orders that were withdrawn, by service: a store that comes back from a copy may still have them.
     withdrawn: HashMap<Box<str>, RollOutOrder>,
     /// When a server's silence was last counted.
-    silences: HashMap<Box<str>, Duration>,
+    timeouts: HashMap<Box<str>, Duration>,
 }
 
 /// All roll-outs; shared by both threads.
@@ -55,13 +55,13 @@
 pub struct RollOuts {
     inner: Arc<Mutex<Inner>>,
     terms: ExposureTerms,
-    found: Notify,
+    order_found: Notify,
 }
 
 impl RollOuts {
     /// No roll-outs yet; their shares will grow by these terms.
     pub fn new(terms: ExposureTerms) -> Self {
-        Self { inner: Arc::default(), terms, found: Notify::new() }
+        Self { inner: Arc::default(), terms, order_found: Notify::new() }
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Inner> {
@@ -82,16 +82,16 @@
             }
         }
         let service = order.service.clone();
-        inner.roll_outs.insert(service, RollOut::begun_now(order, now, is_found));
+        inner.roll_outs.insert(service, RollOut::new(order, now, is_found));
         if is_found {
-            self.found.notify_one();
+            self.order_found.notify_one();
         }
         true
     }
 
     /// Waits until an order is found whose state has to be learned.
     pub(crate) async fn wait_until_found(&self) {
-        self.found.notified().await;
+        self.order_found.notified().await;
     }
 
     /// Whether an order was found after this time and nothing is known yet of how far it got.
@@ -136,7 +136,7 @@
     /// Time since a roll-out began, where the store reported when.
     pub(crate) fn reported_age(&self, order: &RollOutOrder, now: Duration) -> Option<Duration> {
         let inner = self.lock();
-        let roll_out = inner.roll_outs.get(&order.service).filter(|r| r.is_begun)?;
+        let roll_out = inner.roll_outs.get(&order.service).filter(|r| r.is_start_reported)?;
         Some(roll_out.age(now))
     }
 
@@ -155,7 +155,7 @@
         if roll_out.order.revision != revision {
             return;
         }
-        roll_out.is_begun |= began.is_some();
+        roll_out.is_start_reported |= began.is_some();
         roll_out.began = began.unwrap_or(roll_out.began).min(roll_out.began);
         if roll_out.progress == Progress::Running && progress != Progress::Running {
             event::VERDICT_SEEN.log(format_args!("service={service} progress={progress:?}"));
@@ -191,7 +191,7 @@
     ) -> VersionRule {
         let inner = self.lock();
         let roll_out = inner.roll_outs.get(service);
-        roll_out.map_or(VersionRule::Any, |roll_out| roll_out.rule(head, now, &self.terms))
+        roll_out.map_or(VersionRule::Any, |roll_out| roll_out.version_rule(head, now, &self.terms))
     }
 
     /// Logs a session's request that is sent to a version on trial, so that the lines of all
@@ -231,7 +231,7 @@
         evidence.failures += u64::from(outcome == RunOutcome::Failed);
         evidence.rated += u64::from(outcome != RunOutcome::Failed);
         evidence.poor += u64::from(outcome == RunOutcome::Slow);
-        roll_out.judge();
+        roll_out.evaluate();
     }
 
     /// Notes that a server did not answer in time. All that wait for a server time out together,
@@ -239,14 +239,15 @@
     pub(crate) fn record_timeout(&self, server: &BackendServer, now: Duration) {
         {
             let mut inner = self.lock();
-            let reported = inner.silences.entry(server.id.clone()).or_default();
-            let is_same = *reported > Duration::ZERO && now < *reported + SAME_SILENCE;
-            if is_same {
+            let counted_at = inner.timeouts.entry(server.id.clone()).or_default();
+            let is_duplicate =
+                *counted_at > Duration::ZERO && now < *counted_at + TIMEOUT_DEDUP_WINDOW;
+            if is_duplicate {
                 return;
             }
-            *reported = now;
-            if inner.silences.len() > MOST_SILENCES {
-                inner.silences.retain(|_, reported| now < *reported + SAME_SILENCE);
+            *counted_at = now;
+            if inner.timeouts.len() > MAX_TIMEOUTS {
+                inner.timeouts.retain(|_, counted_at| now < *counted_at + TIMEOUT_DEDUP_WINDOW);
             }
         }
         self.record_outcome(server, RunOutcome::Failed);
@@ -268,7 +269,7 @@
             };
             if roll_out.order.revision == evidence.order() {
                 roll_out.others.insert(host.into(), evidence);
-                roll_out.judge_pooled();
+                roll_out.evaluate_pooled();
             }
         }
     }
@@ -313,12 +314,12 @@
     /// Part of the state dump.
     pub(crate) fn dump(&self) -> Value {
         let inner = self.lock();
-        let one = |r: &RollOut| {
+        let describe = |r: &RollOut| {
             json!({
                 "service": r.order.service,
                 "to": r.order.to,
                 "progress": format!("{:?}", r.progress),
-                "began": r.is_begun,
+                "began": r.is_start_reported,
                 "held": r.is_held,
                 "answers": r.new.answers,
                 "answers_of_all": r.pooled().1.answers,
@@ -329,7 +330,7 @@
                 "old_slow": r.old.poor,
             })
         };
-        Value::Array(inner.roll_outs.values().map(one).collect())
+        Value::Array(inner.roll_outs.values().map(describe).collect())
     }
 
     /// Verdicts that this entry can give now.
--- a/src/router/roll_out_driver.rs
+++ b/src/router/roll_out_driver.rs
@@ -18,17 +18,17 @@
 };
 
 /// Time between looks at what this entry can say about roll-outs.
-const DRIVE_EVERY: Duration = Duration::from_millis(200);
+const DRIVE_INTERVAL: Duration = Duration::from_millis(200);
 /// Rest after a verdict or an end that could not be written: each call is paid for, and this entry already
 /// keeps to it.
-const VERDICT_REST: Duration = Duration::from_secs(1);
+const WRITE_RETRY_PAUSE: Duration = Duration::from_secs(1);
 /// Such looks between reads of what other entries said: a bad version may get requests for 5 s
 /// after its fiftieth bad answer, and each entry finds it on its own, too.
-const DRIVES_PER_LOOK: u32 = 8;
+const DRIVES_PER_READ: u32 = 8;
 
 /// Time that an entry which follows another one leaves to those that follow the store for noting the
 /// begin of a roll-out: they look each [`DRIVE_EVERY`], and a process starts in under a second.
-const OTHERS_BEGIN: Duration = Duration::from_secs(2);
+const FOLLOWER_START_DELAY: Duration = Duration::from_secs(2);
 
 /// Our own row about a roll-out.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -53,7 +53,7 @@
 }
 
 impl KnownRows {
-    fn note(&mut self, row: &Row) {
+    fn record(&mut self, row: &Row) {
         let Some(service) = service_of_status(&row.key) else {
             return;
         };
@@ -88,7 +88,7 @@
     }
 
     /// Forgets all where the store came back from an older copy; whether it did.
-    fn enter(&mut self, era: Era) -> bool {
+    fn enter_era(&mut self, era: Era) -> bool {
         let is_new = era > self.era;
         if is_new {
             *self = Self { era, ..Self::default() };
@@ -108,33 +108,33 @@
 /// Drives roll-outs: notes their begin in the store, gives verdicts and learns of others'.
 pub(crate) async fn drive_roll_outs(router: &Router, store: &StoreClient) {
     let mut known = KnownRows::default();
-    let mut seen: HashMap<Box<str>, StoreVersion> = HashMap::new();
+    let mut started: HashMap<Box<str>, StoreVersion> = HashMap::new();
     let mut era = Era::default();
-    let mut are_ends_lost = false;
+    let mut must_rewrite_ends = false;
     let mut drives = 0;
-    let (mut rest_until, mut ends_rest_until) = (Duration::ZERO, Duration::ZERO);
+    let (mut verdict_pause_until, mut ends_pause_until) = (Duration::ZERO, Duration::ZERO);
     loop {
         // What an entry that starts finds has to be known before requests are answered by it.
-        let _ = timeout(DRIVE_EVERY, router.roll_outs.wait_until_found()).await;
+        let _ = timeout(DRIVE_INTERVAL, router.roll_outs.wait_until_found()).await;
         drives += 1;
-        take_from_link(router, &mut known);
+        apply_link_updates(router, &mut known);
         let now_era = known.era.max(router.views.era());
         if now_era > era {
             era = now_era;
-            known.enter(era);
-            seen.clear();
-            (are_ends_lost, ends_rest_until) = (true, Duration::ZERO);
+            known.enter_era(era);
+            started.clear();
+            (must_rewrite_ends, ends_pause_until) = (true, Duration::ZERO);
         }
-        if are_ends_lost && router.now() >= ends_rest_until {
-            are_ends_lost = !report_ends_again(router, store, &mut known).await.unwrap_or(false);
-            ends_rest_until = router.now() + VERDICT_REST;
+        if must_rewrite_ends && router.now() >= ends_pause_until {
+            must_rewrite_ends = !rewrite_ends(router, store, &mut known).await.unwrap_or(false);
+            ends_pause_until = router.now() + WRITE_RETRY_PAUSE;
         }
         let follows = router.follows_link();
-        if drives % DRIVES_PER_LOOK == 0 && !follows {
-            learn_verdicts(router, store, &mut known, &seen).await;
+        if drives % DRIVES_PER_READ == 0 && !follows {
+            read_verdicts(router, store, &mut known, &started).await;
         }
-        settle_begins(router, store, &mut known, &mut seen).await;
-        if router.now() < rest_until {
+        ensure_started(router, store, &mut known, &mut started).await;
+        if router.now() < verdict_pause_until {
             continue;
         }
         // A verdict by what was seen before a suspension may be overtaken.
@@ -142,8 +142,8 @@
             continue;
         }
         for verdict in router.roll_outs.verdicts(router.now()) {
-            if let Err(e) = give(router, store, &mut known, &verdict).await {
-                rest_until = router.now() + VERDICT_REST;
+            if let Err(e) = write_verdict(router, store, &mut known, &verdict).await {
+                verdict_pause_until = router.now() + WRITE_RETRY_PAUSE;
                 event::VERDICT_WAITS
                     .log(format_args!("service={} cause=\"{e}\"", verdict.order.service));
             }
@@ -153,18 +153,18 @@
 
 /// Sees to it that the begin of each order is in the store, and learns how far those got that this
 /// entry found as it started.
-async fn settle_begins(
+async fn ensure_started(
     router: &Router,
     store: &StoreClient,
     known: &mut KnownRows,
-    seen: &mut HashMap<Box<str>, StoreVersion>,
+    started: &mut HashMap<Box<str>, StoreVersion>,
 ) {
     let follows = router.follows_link();
     for order in router.roll_outs.running() {
         let is_unknown = router.roll_outs.is_unknown(&order);
-        let is_young = router.roll_outs.age(&order, router.now()) < OTHERS_BEGIN;
-        let waits = follows && is_young && !is_unknown;
-        if seen.get(&order.service) == Some(&order.revision) || waits {
+        let is_recent = router.roll_outs.age(&order, router.now()) < FOLLOWER_START_DELAY;
+        let waits = follows && is_recent && !is_unknown;
+        if started.get(&order.service) == Some(&order.revision) || waits {
             continue;
         }
         let progress = known.progress(&order).map(|(progress, _)| progress);
@@ -173,11 +173,11 @@
         // What another entry reports may be older than the end, so an entry that starts asks the store
         // unless it is informed of the end, and makes do with what is reported only where the store is away.
         let is_known = is_reported && (has_ended || !is_unknown);
-        let is_settled = is_known || try_begin(router, store, known, &order).await;
-        if is_settled {
-            seen.insert(order.service.clone(), order.revision);
+        let is_started = is_known || try_start(router, store, known, &order).await;
+        if is_started {
+            started.insert(order.service.clone(), order.revision);
         }
-        if is_unknown && (is_settled || is_reported) {
+        if is_unknown && (is_started || is_reported) {
             router.roll_outs.mark_known(&order);
             router.wake_waiters();
         }
@@ -185,56 +185,56 @@
 }
 
 /// Whether the store answered about the begin of an order; it is asked again at the next look.
-async fn try_begin(
+async fn try_start(
     router: &Router,
     store: &StoreClient,
     known: &mut KnownRows,
     order: &RollOutOrder,
 ) -> bool {
-    let begun = begin(router, store, known, order).await;
-    if begun.is_err() {
+    let outcome = start_order(router, store, known, order).await;
+    if outcome.is_err() {
         // The feeds log that the store is away.
         router.metrics.count_store_error("roll_out");
     }
-    begun.is_ok()
+    outcome.is_ok()
 }
 
 /// Learns what the entry that is followed passed on about roll-outs.
-fn take_from_link(router: &Router, known: &mut KnownRows) {
+fn apply_link_updates(router: &Router, known: &mut KnownRows) {
     for table in [Table::Own, Table::Status] {
         while let Some(update) = router.link.take(table) {
             if update.version.era < router.views.era() {
                 continue;
             }
             let rows = update.into_rows();
-            known.enter(rows.version.era);
-            rows.rows.iter().for_each(|row| known.note(row));
+            known.enter_era(rows.version.era);
+            rows.rows.iter().for_each(|row| known.record(row));
             router.views.update(table, &rows, true);
             let running = router.roll_outs.running();
-            running.iter().for_each(|order| take_over(router, known, order, rows.now));
+            running.iter().for_each(|order| apply_known(router, known, order, rows.now));
         }
     }
 }
 
 /// Learns what other entries said about the roll-outs that are under way.
-async fn learn_verdicts(
+async fn read_verdicts(
     router: &Router,
     store: &StoreClient,
     known: &mut KnownRows,
-    seen: &HashMap<Box<str>, StoreVersion>,
+    started: &HashMap<Box<str>, StoreVersion>,
 ) {
     let mut running = router.roll_outs.running();
-    running.retain(|order| seen.get(&order.service) == Some(&order.revision));
+    running.retain(|order| started.get(&order.service) == Some(&order.revision));
     if running.is_empty() {
         return;
     }
     router.metrics.count_store_call("status");
     match store.read(Table::Status).await {
         Ok(rows) => {
-            known.enter(rows.version.era);
-            rows.rows.iter().for_each(|row| known.note(row));
+            known.enter_era(rows.version.era);
+            rows.rows.iter().for_each(|row| known.record(row));
             router.views.update(Table::Status, &rows, true);
-            running.iter().for_each(|order| take_over(router, known, order, rows.now));
+            running.iter().for_each(|order| apply_known(router, known, order, rows.now));
         }
         // The feeds report a store that is away; the next look comes soon.
         Err(_) => router.metrics.count_store_error("status"),
@@ -242,25 +242,25 @@
 }
 
 /// Reads what the store has about roll-outs and, if nothing about this one, writes its begin.
-async fn begin(
+async fn start_order(
     router: &Router,
     store: &StoreClient,
     known: &mut KnownRows,
     order: &RollOutOrder,
 ) -> crate::platform::Result<()> {
-    let now = look(router, store, known).await?;
+    let now = read_rows(router, store, known).await?;
     if known.progress(order).is_none() {
-        write_begin(router, store, known, order, now, Progress::Running).await?;
-        look(router, store, known).await?;
+        write_state(router, store, known, order, now, Progress::Running).await?;
+        read_rows(router, store, known).await?;
     }
-    take_over(router, known, order, now);
+    apply_known(router, known, order, now);
     Ok(())
 }
 
 /// Writes how far the roll-outs got that have ended, where the store lost that as it came back from a copy: an
 /// entry that starts would take them as under way. Whether the store has all of them; not where another write came
 /// first, which may have said something else.
-async fn report_ends_again(
+async fn rewrite_ends(
     router: &Router,
     store: &StoreClient,
     known: &mut KnownRows,
@@ -269,18 +269,18 @@
     if ended.is_empty() {
         return Ok(true);
     }
-    let now = look(router, store, known).await?;
-    let mut are_all_reported = true;
+    let now = read_rows(router, store, known).await?;
+    let mut are_all_written = true;
     for (order, progress) in ended {
         if known.progress(&order).map(|(progress, _)| progress) != Some(progress) {
-            are_all_reported &= write_begin(router, store, known, &order, now, progress).await?;
+            are_all_written &= write_state(router, store, known, &order, now, progress).await?;
         }
     }
-    Ok(are_all_reported)
+    Ok(are_all_written)
 }
 
 /// Writes when a roll-out began and how far it got, unless another entry did; whether it was written.
-async fn write_begin(
+async fn write_state(
     router: &Router,
     store: &StoreClient,
     known: &KnownRows,
@@ -316,7 +316,7 @@
 }
 
 /// Reads what the store has about roll-outs; its clock.
-async fn look(
+async fn read_rows(
     router: &Router,
     store: &StoreClient,
     known: &mut KnownRows,
@@ -327,19 +327,19 @@
     if known.era > own.version.era.min(status.version.era) {
         return Err(Error::Unreadable("the store came back from a copy".into()));
     }
-    known.enter(own.version.era);
-    if known.enter(status.version.era) {
+    known.enter_era(own.version.era);
+    if known.enter_era(status.version.era) {
         // Read in two eras: what was read first holds no more.
         return Err(Error::Unreadable("the store came back from a copy".into()));
     }
-    own.rows.iter().chain(&status.rows).for_each(|row| known.note(row));
+    own.rows.iter().chain(&status.rows).for_each(|row| known.record(row));
     router.views.update(Table::Own, &own, true);
     router.views.update(Table::Status, &status, true);
     Ok(status.now)
 }
 
 /// Takes over what the store has of an order.
-fn take_over(router: &Router, known: &KnownRows, order: &RollOutOrder, store_now: Duration) {
+fn apply_known(router: &Router, known: &KnownRows, order: &RollOutOrder, store_now: Duration) {
     let Some((progress, began_ms)) = known.progress(order) else {
         return;
     };
@@ -349,7 +349,7 @@
 }
 
 /// Writes a verdict, unless another entry has given one.
-async fn give(
+async fn write_verdict(
     router: &Router,
     store: &StoreClient,
     known: &mut KnownRows,
@@ -374,12 +374,12 @@
             router.roll_outs.apply_store_state(&order.service, order.revision, None, progress);
             if router.is_seed() || router.views.has_subscribers() {
                 // Those that follow this entry, now or later, learn of the verdict.
-                look(router, store, known).await?;
+                read_rows(router, store, known).await?;
             }
         }
         WriteOutcome::Conflict | WriteOutcome::OtherEra => {
-            let now = look(router, store, known).await?;
-            take_over(router, known, order, now);
+            let now = read_rows(router, store, known).await?;
+            apply_known(router, known, order, now);
         }
     }
     Ok(())
--- a/src/router/roll_out_state.rs
+++ b/src/router/roll_out_state.rs
@@ -26,7 +26,7 @@
 const GUARD: Guard = Guard { step_samples: 1, tolerated_rise: 0.15, false_hold: 0.1 };
 /// Answers of the new version, to all entries together, without which a roll-out is not completed. An
 /// entry that waits for so many of its own completes a good version a second or two late.
-const LEAST_ANSWERS: u64 = 20;
+const MIN_ANSWERS: u64 = 20;
 
 /// What one entry has seen of a roll-out's two versions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -62,7 +62,7 @@
     /// When it began, on the entry's clock.
     pub(super) began: Duration,
     /// Whether the store reported when it began.
-    pub(super) is_begun: bool,
+    pub(super) is_start_reported: bool,
     /// When this entry found it as it started, until it has learned how far it got.
     pub(super) found_at: Option<Duration>,
     pub(super) progress: Progress,
@@ -81,11 +81,11 @@
 
 impl RollOut {
     /// An order that has just been seen, or found by an entry that starts.
-    pub(super) fn begun_now(order: RollOutOrder, now: Duration, is_found: bool) -> Self {
+    pub(super) fn new(order: RollOutOrder, now: Duration, is_found: bool) -> Self {
         Self {
             order,
             began: now,
-            is_begun: false,
+            is_start_reported: false,
             found_at: is_found.then_some(now),
             progress: Progress::Running,
             is_held: false,
@@ -99,7 +99,7 @@
     }
 
     /// Which versions may run a request now.
-    pub(super) fn rule(
+    pub(super) fn version_rule(
         &self,
         head: &RequestHead,
         now: Duration,
@@ -137,7 +137,7 @@
         is_running && !is_beyond_trial(self.age(now), self.order.within, terms)
     }
 
-    pub(super) fn judge(&mut self) {
+    pub(super) fn evaluate(&mut self) {
         self.test.observe(self.old, self.new, &GUARD);
         if self.test.finding(&GUARD) == Finding::Worse {
             self.hold(1, self.old, self.new);
@@ -152,7 +152,7 @@
         self.others.values().fold((self.old, self.new), sum)
     }
 
-    pub(super) fn judge_pooled(&mut self) {
+    pub(super) fn evaluate_pooled(&mut self) {
         let (old, new) = self.pooled();
         self.pooled_test.observe(old, new, &GUARD);
         if self.pooled_test.finding(&GUARD) == Finding::Worse {
@@ -189,10 +189,10 @@
     }
 
     /// Whether the version may be called good.
-    fn is_proved(&self) -> bool {
+    fn is_proven_good(&self) -> bool {
         let tests = [&self.test, &self.pooled_test];
         let (_, new) = self.pooled();
-        new.answers >= LEAST_ANSWERS && !tests.iter().any(|t| t.is_suspicious(&GUARD))
+        new.answers >= MIN_ANSWERS && !tests.iter().any(|t| t.is_suspicious(&GUARD))
     }
 
     pub(super) fn verdict(&self, now: Duration, terms: &ExposureTerms) -> Option<Verdict> {
@@ -202,7 +202,7 @@
         let elapsed = self.age(now);
         let progress = if self.is_held {
             Progress::RolledBack
-        } else if may_complete(elapsed, self.order.within, terms) && self.is_proved() {
+        } else if may_complete(elapsed, self.order.within, terms) && self.is_proven_good() {
             Progress::Completed
         } else {
             return None;
