--- a/src/router/load_reports.rs
+++ b/src/router/load_reports.rs
@@ -1,8 +1,8 @@
-//! What entries report to each other about the load they put on BackendServers.
+//! Exchange of the load that entries put on BackendServers.
 //!
-//! A server's answers report its load, but with many entries each of them gets answers of one server only
-//! every few seconds. So each entry reports what it has at each server to the seeds, and these
-//! add the reports up and pass the sums on (docs/decisions/0010).
+//! A server reports its load in its answers, but with many entries each of them gets an answer of a
+//! given server only every few seconds. So each entry reports the load that it puts on each server
+//! to the seeds, and the seeds add the reports up and pass the sums on (docs/decisions/0010).
 
 use std::{collections::HashMap, sync::Mutex, time::Duration};
 
@@ -13,21 +13,21 @@
     router::Fleet,
 };
 
-/// Age at which a report counts no more: three reports missed.
+/// Time after which a report is ignored: three missed reports.
 const REPORT_LIFETIME: Duration = Duration::from_millis(1_200);
-/// Servers reported at most, the busiest first: 3 KB at 2,100 servers. Servers that are not reported look
-/// free, so there is room for all that a pool of some hundred has.
+/// Maximum number of servers in a report, the busiest first; 3 KB at 2,100 servers. Servers that
+/// are left out look idle, so the limit covers a pool of a few hundred servers.
 const MAX_REPORTED_SERVERS: usize = 256;
 
-/// Load that one entry, or all of them, have put on a server. It is reported as three numbers without names,
-/// 11 bytes instead of 40.
+/// Load that one entry, or all entries together, have put on a server. It is encoded as three
+/// numbers without field names, 11 bytes instead of 40.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, u32, u32)", into = "(u32, u32, u32)")]
 pub(crate) struct ServerLoad {
     /// Short hash of the server's id.
     server: u32,
     requests: u32,
-    /// Time for prompts that are not read yet, milliseconds.
+    /// Time that the server needs to process the prompts in its queue, in milliseconds.
     backlog_ms: u32,
 }
 
@@ -43,11 +43,11 @@
     }
 }
 
-/// The last report of one entry.
+/// The latest report of one entry.
 #[derive(Debug)]
 struct ReceivedReport {
     at: Duration,
-    /// The link it came over.
+    /// Id of the link that delivered it.
     link: u64,
     is_settled: bool,
     loads: Vec<ServerLoad>,
@@ -61,15 +61,15 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    /// Reports by the Host they came from.
+    /// Latest reports by Host.
     reports: HashMap<Box<str>, ReceivedReport>,
-    /// Number of the next link that brings reports.
+    /// Id of the newest link that delivers reports.
     last_link_id: u64,
-    /// What was last reported of this entry.
+    /// Latest report of this entry itself.
     own: Vec<ServerLoad>,
 }
 
-/// The reports an entry has, and its own.
+/// Load reports of other entries and of this one.
 #[derive(Debug, Default)]
 pub(crate) struct LoadReports {
     inner: Mutex<Inner>,
@@ -88,7 +88,7 @@
         self.inner.lock().expect("no panics under the lock")
     }
 
-    /// What this entry has at the servers now, to be reported.
+    /// Collects and stores the load that this entry has on the servers, for its next report.
     pub(crate) fn collect_own(&self, fleet: &Fleet) -> Vec<ServerLoad> {
         let loads = fleet.members().filter_map(|member| {
             let record = member.record();
@@ -102,14 +102,14 @@
         own
     }
 
-    /// A number for a link that brings reports.
+    /// Allocates an id for a link that delivers reports.
     pub(crate) fn next_link_id(&self) -> u64 {
         let mut inner = self.lock();
         inner.last_link_id += 1;
         inner.last_link_id
     }
 
-    /// Takes in another entry's report.
+    /// Stores another entry's report.
     pub(crate) fn apply_report(
         &self,
         host: &str,
@@ -123,8 +123,9 @@
         inner.reports.insert(host.into(), ReceivedReport { at: now, link, is_settled, loads });
     }
 
-    /// Forgets the entry whose link has ended, unless it has reported over another one since: its process is
-    /// gone, which its silence would show a second later.
+    /// Removes the report of an entry whose link has ended, unless it has reported over a newer
+    /// link. Its process is gone; without this, its report would count until it expires about a
+    /// second later.
     pub(crate) fn remove_report(&self, host: &str, link: u64) {
         let mut inner = self.lock();
         if inner.reports.get(host).is_some_and(|report| report.link == link) {
@@ -132,13 +133,13 @@
         }
     }
 
-    /// Entries that report here, and this one.
+    /// Number of entries that report here, including this one.
     pub(crate) fn entry_count(&self, now: Duration) -> usize {
         let inner = self.lock();
         inner.reports.values().filter(|report| report.is_fresh(now)).count() + 1
     }
 
-    /// The place of an entry that reports here, or of this one, among all.
+    /// Rank of an entry that reports here, or of this one, among all entries.
     pub(crate) fn place(&self, host: &str, own: Sharer<'_>, now: Duration) -> Option<Place> {
         let inner = self.lock();
         let fresh = inner.reports.iter().filter(|(_, report)| report.is_fresh(now));
@@ -147,7 +148,7 @@
         place_among(host, &seen)
     }
 
-    /// The sums of all reports, this entry's own included.
+    /// Sum of all reports, including this entry's own.
     pub(crate) fn sums(&self, now: Duration) -> Vec<ServerLoad> {
         let inner = self.lock();
         let fresh = inner.reports.values().filter(|report| report.is_fresh(now));
@@ -164,7 +165,8 @@
         busiest(sums.into_values().collect())
     }
 
-    /// Lets the servers' records know what the other entries have there.
+    /// Updates the servers' records with the load of the other entries: the sums minus this entry's
+    /// own load.
     pub(crate) fn apply(&self, sums: &[ServerLoad], fleet: &Fleet, now: Duration) {
         let inner = self.lock();
         let own: HashMap<u32, &ServerLoad> = inner.own.iter().map(|l| (l.server, l)).collect();
--- a/src/router/messages.rs
+++ b/src/router/messages.rs
@@ -1,7 +1,7 @@
-//! What entries say to each other on their links.
+//! Messages between entries.
 //!
-//! An entry on another version of the program passes over fields that it does not know, and takes the default of
-//! those that it misses.
+//! Entries of different program versions can be linked: unknown fields are ignored, and missing
+//! fields take their defaults.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,93 +14,97 @@
     },
 };
 
-/// What an entry says on a link that it opened.
+/// A message from the entry that opened the link.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum PeerRequest {
-    /// It wants to receive what the store says.
+    /// Asks to follow the other entry, that is to receive the rows that it reads from the store.
     Follow {
-        /// Newest rows it has, by the store's count.
+        /// Revision of the newest rows that the follower has.
         version: Revision,
-        /// Era of the store that these are of.
+        /// Era of the store that this revision belongs to.
         #[serde(default)]
         era: Era,
-        /// AvailabilityZone that the other one has to be in; any where there is none. Without it a link that
-        /// is left at once brought all rows first.
+        /// AvailabilityZone that the other entry must be in; none if any will do. Without this
+        /// check, a link that is closed because of the zone would transfer all rows first.
         #[serde(default)]
         only_in: Option<Box<str>>,
-        /// Name of its Host, which it reports under.
+        /// Name of the follower's Host, under which it also reports.
         #[serde(default)]
         host: Box<str>,
     },
-    /// What it has at the servers and has seen of versions; over and over on a link of its own.
+    /// The sender's load, observations and roll-out evidence. Sent repeatedly on a link of its own.
     Report { host: Box<str>, report: Report },
 }
 
-/// What one entry lets the others know.
+/// What one entry reports to the seeds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Report {
     pub(crate) loads: Vec<ServerLoad>,
     pub(crate) evidence: Vec<VersionEvidence>,
-    /// Prompt parts that it sent since its last report.
+    /// Prompt prefixes that it sent to servers since its last report.
     pub(crate) kept: Vec<CachedPrefix>,
-    /// Ends of servers since its last report; absent from entries that report none.
+    /// Server crashes since its last report; absent from entries that report none.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub(crate) ends: Vec<QuarantineUpdate>,
     /// Limits of servers that changed since its last report.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub(crate) limits: Vec<LimitUpdate>,
-    /// Whether it has just started, and does not know its place among all yet.
+    /// Whether it has just started and does not know its rank among the entries yet.
     #[serde(default)]
     pub(crate) is_new: bool,
 }
 
-/// A follower's place among those that share, as a seed reports it.
+/// A follower's rank among the entries that share the servers' limits, as a seed reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ReportedPlace {
     pub(crate) rank: u32,
     pub(crate) entries: u32,
-    /// Whether the seed has been up for long enough to get updates from all.
+    /// Whether the seed has been up for long enough to have received updates from all entries.
     pub(crate) sees_all: bool,
 }
 
-/// What the entry that is followed says, or one that is reported to.
+/// A message from an entry that is followed or reported to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum PeerMessage {
-    /// Its first message.
+    /// The first message to a follower.
     Welcome {
-        /// Its AvailabilityZone.
+        /// AvailabilityZone of the sender.
         zone: Box<str>,
     },
-    /// A heartbeat, and what has come since the last one.
+    /// A heartbeat with all updates since the previous one.
     Beat {
-        /// Whether the store answers it.
+        /// Whether the store answers the sender.
         is_current: bool,
         updates: Vec<CompressedUpdate>,
-        /// How many entries report to it, itself included; 0 from one that does not say.
+        /// Number of entries that report to the sender, including itself; 0 from entries that don't
+        /// send it.
         #[serde(default)]
         entries: usize,
-        /// The follower's place; none where it does not report yet.
+        /// The follower's rank; none if it does not report yet.
         #[serde(default)]
         place: Option<ReportedPlace>,
-        /// What all entries together have at the servers.
+        /// Load that all entries together have on the servers.
         loads: Vec<ServerLoad>,
-        /// Prompt parts that entries sent since the last heartbeat.
+        /// Prompt prefixes that entries sent to servers since the last heartbeat.
         kept: Vec<CachedPrefix>,
-        /// Ends of servers since the last heartbeat, or all that are known in the first one; absent from
-        /// entries that report none.
+        /// Server crashes since the last heartbeat, or all known ones in the first heartbeat;
+        /// absent from entries that report none.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         ends: Vec<QuarantineUpdate>,
-        /// Whether these are all, with what was known before it started; not so with one that does not say.
+        /// Whether the sender has learned what the fleet knew before the sender started; false from
+        /// entries that don't send it.
         #[serde(default)]
         is_informed: bool,
-        /// Limits of servers that changed since the last heartbeat, or all that are known in the first ones.
+        /// Limits of servers that changed since the last heartbeat, or all known limits in the
+        /// first heartbeats.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         limits: Vec<LimitUpdate>,
     },
-    /// Urgent news for an entry that reports here, whatever it receives from the one that it follows: that one may be
-    /// suspended, or cut off, and it takes a second or two to be left for another one.
+    /// Urgent updates for a reporting entry, in addition to the heartbeats of the entry that it
+    /// follows: that one may be suspended or cut off, and switching to another one takes a second
+    /// or two.
     News {
-        /// Ends of servers under requests that several have ended under.
+        /// Crashes of servers during requests that have already crashed several.
         #[serde(default)]
         ends: Vec<QuarantineUpdate>,
         /// Limits of servers that changed.
--- a/src/router/prefix_reports.rs
+++ b/src/router/prefix_reports.rs
@@ -1,8 +1,9 @@
-//! What entries report to each other about the prompt parts that BackendServers keep.
+//! Exchange of cached prompt prefixes between entries.
 //!
-//! Each entry knows which parts it sent where. With many entries most of what a server keeps was sent
-//! there by others, and an entry that has just started knows nothing; so each entry reports to the seeds
-//! what it sent, and the seeds pass it on with their heartbeats (docs/decisions/0011).
+//! Each entry knows which prompt parts it sent to which BackendServer. With many entries, most of
+//! what a server has cached was sent by other entries, and an entry that has just started knows
+//! nothing. So each entry reports what it sent to the seeds, and the seeds pass it on with their
+//! heartbeats (docs/decisions/0011).
 
 use std::{sync::Mutex, time::Duration};
 
@@ -13,22 +14,23 @@
     update_log::{UpdateLog, UpdateLogLimits},
 };
 
-/// Notes kept for links that are behind or new; 40 KB. At 1,000 requests a second, of which one in four
-/// has long shared parts, the seeds take in 300 to 400 in a second.
+/// Prefixes stored for links that are new or behind; 40 KB. At 1,000 requests per second, a quarter
+/// of them with long shared parts, the seeds receive 300 to 400 prefixes per second.
 const MAX_STORED: usize = 2_048;
-/// Notes reported in one message at most, so that a message stays under 10 KB.
+/// Maximum number of prefixes in one message, which keeps messages under 10 KB.
 const MAX_PER_MESSAGE: usize = 512;
-/// Age at which a note is passed on no more: a part that is still in use was reported again by then.
+/// Age after which a prefix is no longer passed on: one that is still in use has been reported
+/// again by then.
 const MAX_AGE: Duration = Duration::from_secs(8);
 
-/// A part of a prompt that a server was sent, as entries report it.
+/// A prompt prefix that was sent to a server, encoded without field names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct CachedPrefix(
     /// Short hash of the server's id.
     pub(crate) u32,
-    /// Hash of the prompt up to the part's end.
+    /// Hash of the prompt up to the end of its last part.
     pub(crate) u32,
-    /// Tokens of the part.
+    /// Number of tokens in the last part.
     pub(crate) u32,
 );
 
@@ -37,12 +39,12 @@
 
 #[derive(Debug)]
 struct Inner {
-    /// Of this entry.
+    /// Prefixes that this entry sent.
     own: UpdateLog<CachedPrefix>,
-    /// Of all entries, where others follow this one.
+    /// Prefixes that any entry sent, for the entries that follow this one.
     all: UpdateLog<CachedPrefix>,
-    /// Notes about servers that are not in view yet, at most [`MOST_REPORTED`]: an entry that starts is informed
-    /// of parts before it has read the list of servers.
+    /// Prefixes for servers that are not in the fleet yet, at most [`MAX_PER_MESSAGE`]. A starting
+    /// entry may receive prefixes before it has read the list of servers.
     unmatched: Vec<CachedPrefix>,
 }
 
@@ -52,7 +54,7 @@
     }
 }
 
-/// The notes of an entry.
+/// Cached prefixes that this entry sent or received.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixReports {
     inner: Mutex<Inner>,
@@ -63,14 +65,14 @@
         self.inner.lock().expect("no panics under the lock")
     }
 
-    /// Notes what this entry sent.
+    /// Records a prefix that this entry sent.
     pub(crate) fn record_own(&self, prefix: CachedPrefix, now: Duration) {
         let mut inner = self.lock();
         inner.own.push(prefix, now);
         inner.all.push(prefix, now);
     }
 
-    /// Takes in what another entry reports that it sent; those that follow this one are informed, too.
+    /// Applies another entry's report and keeps it for the entries that follow this one.
     pub(crate) fn apply_report(&self, prefixes: &[CachedPrefix], fleet: &Fleet, now: Duration) {
         let mut inner = self.lock();
         for prefix in prefixes {
@@ -80,7 +82,8 @@
         self.apply(prefixes, fleet);
     }
 
-    /// Lets the servers' records know what other entries sent them.
+    /// Records in the fleet what other entries sent to its servers, and retries prefixes whose
+    /// server was unknown.
     pub(crate) fn apply(&self, prefixes: &[CachedPrefix], fleet: &Fleet) {
         let mut inner = self.lock();
         let earlier = std::mem::take(&mut inner.unmatched);
@@ -95,18 +98,18 @@
         inner.unmatched.drain(..excess);
     }
 
-    /// What this entry sent since the note with this number, and the number to go on with.
+    /// Prefixes that this entry sent from `position` on, and the position to continue from.
     pub(crate) fn own_since(&self, position: u64, now: Duration) -> (Vec<CachedPrefix>, u64) {
         self.lock().own.since(position, now)
     }
 
-    /// Notes that a link did not get because too many came.
+    /// Number of prefixes that links missed because the log or a message was full.
     pub(crate) fn lost(&self) -> u64 {
         let inner = self.lock();
         inner.own.lost() + inner.all.lost()
     }
 
-    /// The same for all entries.
+    /// Prefixes that any entry sent from `position` on, and the position to continue from.
     pub(crate) fn all_since(&self, position: u64, now: Duration) -> (Vec<CachedPrefix>, u64) {
         self.lock().all.since(position, now)
     }
--- a/src/router/shared_limits.rs
+++ b/src/router/shared_limits.rs
@@ -1,8 +1,10 @@
-//! What entries report to each other about servers that advertise a limit.
+//! Rate limits of servers and their exchange between entries.
 //!
-//! An answer reaches one entry, and the limit is for all of them: a hundred that each learn it by a send of their own
-//! are a hundred sends. So each entry reports to the seeds what it received from a server itself, and the seeds report to all
-//! that follow them: at once where others send too much meanwhile, and with the next heartbeat otherwise.
+//! A server advertises its limit in an answer, which reaches one entry, but the limit applies to
+//! all entries. If each of a hundred entries had to learn it from an answer of its own, that would
+//! take a hundred requests. So each entry reports the limits that it received from servers to the
+//! seeds, and the seeds report them to all their followers: immediately if other entries are
+//! sending too much, and with the next heartbeat otherwise.
 
 use std::{
     collections::HashMap,
@@ -26,13 +28,15 @@
     router::Fleet,
 };
 
-/// Servers reported in one message at most, 1.4 KB; the others follow with the next ones.
+/// Maximum number of limits in one message, 1.4 KB; the others follow in the next messages.
 const MAX_PER_MESSAGE: usize = 64;
-/// Time for which a server that is out of view is remembered: news of it may be under way, or the list be late.
+/// Time after the last update for which the limit of a server outside the fleet is kept: updates
+/// may be in transit, or the server list may be late.
 const RETENTION: Duration = Duration::from_secs(60);
 
-/// A server's limit on its way: its life, the counts of the news, and the rate, none where it has ended. Numbers
-/// without names take 22 bytes instead of 60.
+/// Encoded limit of a server: the hash of its incarnation, the two counters of [`LimitNews`], and
+/// the rate, or none where the limit has ended. Encoded without field names it takes 22 bytes
+/// instead of 60.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct LimitUpdate(LifeHash, u32, u32, Option<Rate>);
 
@@ -51,16 +55,16 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct KnownLimit {
     belief: LimitBelief,
-    /// Number of the last news.
+    /// Sequence number of the last change.
     sequence: u64,
-    /// Whether this entry had them from the server itself.
+    /// Whether the last change came from the server itself, not from another entry.
     is_own: bool,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     servers: HashMap<LifeHash, KnownLimit>,
-    /// Number of the next news.
+    /// Sequence number of the next change.
     next_sequence: u64,
 }
 
@@ -70,7 +74,7 @@
     }
 }
 
-/// A change of what is known of a server's limit.
+/// A change of the rate that a server advertises.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct LimitChange {
     pub(crate) life: LifeHash,
@@ -78,15 +82,15 @@
     pub(crate) rate: Option<Rate>,
 }
 
-/// The limits that an entry knows of.
+/// Limits that this entry knows, shared by its threads.
 #[derive(Debug)]
 pub(crate) struct SharedLimits {
     inner: Mutex<Inner>,
-    /// Servers that advertise a limit now; while there are none, no send locks anything.
+    /// Number of servers with a limit. While it is 0, sends don't take the lock.
     rate_limited: AtomicUsize,
-    /// Counts changes that others have to know at once.
+    /// Number of changes that other entries must learn immediately.
     urgent: watch::Sender<u64>,
-    /// Counts those of them that this entry received from a server itself.
+    /// Number of these changes that this entry received from a server.
     own_urgent: watch::Sender<u64>,
 }
 
@@ -106,27 +110,28 @@
         self.inner.lock().expect("no panics under the lock")
     }
 
-    /// Servers that advertise a limit now.
+    /// Number of servers that currently advertise a limit.
     pub(crate) fn rate_limited(&self) -> usize {
         self.rate_limited.load(Ordering::Acquire)
     }
 
-    /// The limits as they are; none while no server names one.
+    /// Locks the limits for reading; none while no server advertises a limit.
     pub(crate) fn view(&self) -> Option<LimitView<'_>> {
         (self.rate_limited() > 0).then(|| LimitView { inner: self.lock() })
     }
 
-    /// Notifies of each change that others have to know at once, from now on.
+    /// Notifies of every later change that other entries must learn immediately.
     pub(crate) fn urgent_changes(&self) -> watch::Receiver<u64> {
         self.urgent.subscribe()
     }
 
-    /// The same of those that this entry received from a server itself.
+    /// Notifies of every later urgent change that this entry received from a server.
     pub(crate) fn own_urgent_changes(&self) -> watch::Receiver<u64> {
         self.own_urgent.subscribe()
     }
 
-    /// Takes in what a server's answer says to a request that was sent at `sent_at`; what changed by it.
+    /// Records the limit in a server's answer to a request that was sent at `sent_at`. Returns the
+    /// change, if any.
     pub(crate) fn record_answer(
         &self,
         life: LifeHash,
@@ -140,7 +145,7 @@
         self.update(life, true, |belief| belief.note(advertised, sent_at, now))
     }
 
-    /// Takes in what another entry reports; what changed by it.
+    /// Applies another entry's updates. Returns the changes.
     pub(crate) fn apply_updates(
         &self,
         reported: &[LimitUpdate],
@@ -153,7 +158,7 @@
         reported.iter().filter_map(apply).collect()
     }
 
-    /// Lets a belief change, and makes it known if it did.
+    /// Updates what is known of a server's limit and publishes a change.
     fn update(
         &self,
         life: LifeHash,
@@ -165,7 +170,7 @@
         let before = known.belief.rate();
         let change = apply(&mut known.belief);
         let Some(change) = change else {
-            // It may have been received all the same.
+            // The update may have set the time of receipt, also without a change of the limit.
             if let Some(stored) = inner.servers.get_mut(&life) {
                 stored.belief = known.belief;
             }
@@ -186,14 +191,15 @@
         (before != rate).then_some(LimitChange { life, before, rate })
     }
 
-    /// News from a number on that this entry received from servers itself, and the number to go on with. A reader
-    /// that begins, with none, gets all that is known.
+    /// Updates from `sequence` on that this entry received from servers, and the sequence number to
+    /// continue from. A new reader passes none and receives all known limits.
     pub(crate) fn own_since(&self, sequence: Option<u64>) -> (Vec<LimitUpdate>, u64) {
         let is_all = sequence.is_none();
         self.since(sequence.unwrap_or_default(), |known| is_all || known.is_own)
     }
 
-    /// The same of what it received from servers or from other entries.
+    /// Updates from `sequence` on, whether received from servers or from other entries, and the
+    /// sequence number to continue from.
     pub(crate) fn all_since(&self, sequence: u64) -> (Vec<LimitUpdate>, u64) {
         self.since(sequence, |_| true)
     }
@@ -219,7 +225,7 @@
         (news.into_iter().filter_map(reported).collect(), next)
     }
 
-    /// Part of the state dump.
+    /// The limits section of the state dump.
     pub(crate) fn dump(&self, fleet: &Fleet, now: Duration) -> Value {
         let inner = self.lock();
         let describe = |(life, known): (&LifeHash, &KnownLimit)| {
@@ -235,7 +241,8 @@
         Value::Array(inner.servers.iter().filter_map(describe).collect())
     }
 
-    /// Forgets servers that are long out of view.
+    /// Removes limits of servers outside the fleet that were last updated more than [`RETENTION`]
+    /// ago.
     pub(crate) fn forget_departed(&self, fleet: &Fleet, now: Duration) {
         let is_kept = |life: &LifeHash, known: &mut KnownLimit| {
             fleet.by_life(*life).is_some() || now < known.belief.received_at() + RETENTION
@@ -246,14 +253,14 @@
     }
 }
 
-/// The limits as they are while it is held.
+/// Read access to the limits; holds the lock.
 #[derive(Debug)]
 pub(crate) struct LimitView<'a> {
     inner: MutexGuard<'a, Inner>,
 }
 
 impl LimitView<'_> {
-    /// What is known of the limit of one life of a server.
+    /// What is known of the limit of one incarnation of a server.
     pub(crate) fn belief(&self, life: LifeHash) -> LimitBelief {
         self.inner.servers.get(&life).map(|known| known.belief).unwrap_or_default()
     }
--- a/src/router/shared_quarantine.rs
+++ b/src/router/shared_quarantine.rs
@@ -1,8 +1,8 @@
-//! What entries report to each other about requests under which servers ended.
+//! Quarantine state of this entry and its exchange with other entries.
 //!
-//! Each entry knows what it had at a server when that ended, and the same work comes again at any entry.
-//! So each end is reported to every seed at once, and the seeds report to all that follow them
-//! (docs/decisions/0015).
+//! Each entry knows which requests it had running on a server when that server crashed, and the
+//! same request may arrive next at any entry. So each crash is reported to every seed at once, and
+//! the seeds report it to all their followers (docs/decisions/0015).
 
 use std::{
     sync::{
@@ -23,16 +23,18 @@
     telemetry::event,
 };
 
-/// Notes kept for links that are behind: those of a zone's loss, and 0.4 MB at most. A message has 512
-/// at most, 16 KB; what comes later is sent to new links as a whole.
+/// The log holds the records of a zone outage in at most 0.4 MB. A message holds at most 512
+/// records, 16 KB; new links receive the complete state instead of the log.
 const LIMITS: UpdateLogLimits =
     UpdateLogLimits { capacity: 4_096, per_message: 512, max_age: Duration::from_secs(60) };
 
-/// Ends under a request from which on news of it is urgent: one more and it is refused.
+/// Number of crashes from which a request's records are urgent: one more crash and the request is
+/// refused.
 const URGENT_FROM: usize = 2;
 
-/// A note on its way: fingerprint in two halves, the life, and the age in milliseconds, none where the end is
-/// annulled. Four numbers without names take 32 bytes instead of 70.
+/// Encoded [`Note`]: the fingerprint in two halves, the hash of the server's incarnation, and the
+/// age of the crash in milliseconds, or none where the crash is annulled. Encoded without field
+/// names it takes 32 bytes instead of 70.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct QuarantineUpdate(u64, u64, LifeHash, Option<u32>);
 
@@ -61,25 +63,26 @@
 #[derive(Debug)]
 struct Inner {
     quarantine: Quarantine,
-    /// What this entry saw itself.
+    /// Records of crashes that this entry observed.
     own: UpdateLog<Note>,
-    /// What it saw or received.
+    /// Records that this entry observed or received.
     all: UpdateLog<Note>,
 }
 
-/// The notes of an entry.
+/// Quarantined and suspected requests, shared by the threads of this entry.
 #[derive(Debug)]
 pub(crate) struct SharedQuarantine {
     inner: Mutex<Inner>,
-    /// Whether anything is known; without it nothing is hashed and nothing is locked.
+    /// Whether no request is suspected. Requests are then neither hashed nor checked under the
+    /// lock.
     is_idle: AtomicBool,
-    /// Counts changes.
+    /// Number of changes.
     changes: watch::Sender<u64>,
-    /// Counts those that this entry saw itself.
+    /// Number of changes that this entry observed itself.
     own_changes: watch::Sender<u64>,
-    /// Whether it is known what the fleet knew before this process started.
+    /// Whether this entry has learned what the fleet knew before this process started.
     is_informed: AtomicBool,
-    /// Whether the store may still keep a request that this entry let go.
+    /// Whether the store may still list a request that this entry has cleared.
     is_row_stale: AtomicBool,
 }
 
@@ -103,42 +106,43 @@
         self.inner.lock().expect("no panics under the lock")
     }
 
-    /// Whether no request is suspected of anything.
+    /// Whether no request is suspected.
     pub(crate) fn is_idle(&self) -> bool {
         self.is_idle.load(Ordering::Acquire)
     }
 
-    /// What may be done with a request.
+    /// Whether a request may be sent, is suspected or is refused.
     pub(crate) fn standing(&self, fingerprint: &Fingerprint, now: Duration) -> Standing {
         self.lock().quarantine.standing(fingerprint, now)
     }
 
-    /// Notifies of each change from now on.
+    /// Notifies of every later change.
     pub(crate) fn changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Notifies of each change that this entry saw itself, from now on.
+    /// Notifies of every later change that this entry observed itself.
     pub(crate) fn own_changes(&self) -> watch::Receiver<u64> {
         self.own_changes.subscribe()
     }
 
-    /// Notes that a server ended at a time while these requests were at work there, as its address shows; the
-    /// life that ended may be one that the list has not shown yet.
+    /// Records that a server crashed while these requests ran on it, as connections to its address
+    /// show. `listed` is the incarnation in the server list; the one that crashed may be newer.
     pub(crate) fn record_ends(&self, all: &[Fingerprint], listed: LifeHash, at: Duration) {
         let life = self.lock().quarantine.name_of_end(listed, at);
         self.record_listed_ends(all, life, at);
     }
 
-    /// Notes that this life of a server ended at a time while these requests were at work there, as the list
-    /// reports. It is the same life for every entry, whenever each of them saw its own connections break.
+    /// Records that this incarnation of a server crashed while these requests ran on it, as the
+    /// server list shows. All entries record the same incarnation, whenever each of them saw its
+    /// own connections break.
     pub(crate) fn record_listed_ends(&self, all: &[Fingerprint], life: LifeHash, at: Duration) {
         let note = |f: &Fingerprint| Note::End { fingerprint: *f, life, at };
         self.apply(all.iter().map(note), true, at);
     }
 
-    /// Notes that a server answered a request whole, or that an operator lets it go; whether it was
-    /// suspected.
+    /// Clears a request, because a server answered it completely or an operator released it.
+    /// Returns whether it was suspected.
     pub(crate) fn clear(&self, fingerprint: Fingerprint, now: Duration) -> bool {
         let standing = self.standing(&fingerprint, now);
         if standing == Standing::Free {
@@ -153,14 +157,14 @@
         true
     }
 
-    /// Takes in what another entry reports.
+    /// Applies another entry's updates.
     pub(crate) fn apply_updates(&self, reported: &[QuarantineUpdate], now: Duration) {
         if !reported.is_empty() {
             self.apply(reported.iter().map(|note| note.decode(now)), false, now);
         }
     }
 
-    /// Takes in what the store keeps, its times `error` off at most.
+    /// Applies the cases from the store, whose times are accurate to `error`.
     pub(crate) fn apply_cases(&self, cases: &[Case], error: Duration, now: Duration) {
         let mut inner = self.lock();
         let mut is_new = false;
@@ -173,7 +177,7 @@
             for (life, at) in &case.ends {
                 let note = Note::End { fingerprint, life: *life, at: *at };
                 inner.all.push(note, now);
-                // Whoever wrote it may not have informed the others.
+                // The entry that wrote the row may not have informed the others.
                 inner.own.push(note, now);
             }
         }
@@ -219,7 +223,7 @@
         }
     }
 
-    /// Forgets what is too old.
+    /// Removes expired cases.
     pub(crate) fn expire(&self, now: Duration) {
         if self.is_idle() {
             return;
@@ -231,7 +235,7 @@
         }
     }
 
-    /// Notes that a refused request gets its trial; the case to be kept, if it is due.
+    /// Starts the trial of a refused request, if it is due. Returns the case to be stored.
     pub(crate) fn begin_trial(&self, fingerprint: &Fingerprint, now: Duration) -> Option<Case> {
         let mut inner = self.lock();
         let standing = inner.quarantine.standing(fingerprint, now);
@@ -242,13 +246,13 @@
         inner.quarantine.begin_trial(fingerprint, now)
     }
 
-    /// Requests that are refused, or all that are suspected.
+    /// Refused requests or, unless `only_refused`, all suspected requests.
     pub(crate) fn cases(&self, only_refused: bool, now: Duration) -> Vec<Case> {
         self.lock().quarantine.cases(only_refused, now)
     }
 
-    /// What this entry saw since the note with this number, and the number to go on with. A reader that
-    /// begins gets all that is known.
+    /// Updates from `position` on that this entry observed, and the position to continue from. A
+    /// new reader passes none and receives all known records.
     pub(crate) fn own_since(
         &self,
         position: Option<u64>,
@@ -257,7 +261,8 @@
         self.since(position, now, |inner| &mut inner.own)
     }
 
-    /// The same of what this entry saw or received.
+    /// Updates from `position` on that this entry observed or received, and the position to
+    /// continue from.
     pub(crate) fn all_since(
         &self,
         position: Option<u64>,
@@ -266,9 +271,9 @@
         self.since(position, now, |inner| &mut inner.all)
     }
 
-    /// What this entry saw or received since the note with this number, of requests that may be refused next: all
-    /// ends under those that two or more count against. One end alone says little, and a zone's loss brings
-    /// thousands of these.
+    /// Updates from `position` on that concern requests close to refusal, and the position to
+    /// continue from: all crashes of requests with [`URGENT_FROM`] or more. A single crash proves
+    /// little, and a zone outage brings thousands of them.
     pub(crate) fn urgent_since(
         &self,
         position: u64,
@@ -298,28 +303,30 @@
         (notes.iter().map(|note| QuarantineUpdate::encode(note, now)).collect(), next)
     }
 
-    /// Notes that a link did not get because too many came.
+    /// Number of records that links missed because the log or a message was full.
     pub(crate) fn lost(&self) -> u64 {
         let inner = self.lock();
         inner.own.lost() + inner.all.lost()
     }
 
-    /// Whether the store's row has to be looked at because this entry let a refused request go; once.
+    /// Whether the store's row must be read because this entry cleared a refused request; resets
+    /// the flag.
     pub(crate) fn take_stale_row(&self) -> bool {
         self.is_row_stale.swap(false, Ordering::AcqRel)
     }
 
-    /// Notes that it is known what the fleet knew before this process started; whether that is new.
+    /// Marks this entry as informed of what the fleet knew before this process started. Returns
+    /// whether it was not informed before.
     pub(crate) fn mark_informed(&self) -> bool {
         !self.is_informed.swap(true, Ordering::AcqRel)
     }
 
-    /// Whether it is known what the fleet knew before this process started.
+    /// Whether this entry has learned what the fleet knew before this process started.
     pub(crate) fn is_informed(&self) -> bool {
         self.is_informed.load(Ordering::Acquire)
     }
 
-    /// Part of the state dump.
+    /// The quarantine section of the state dump.
     pub(crate) fn dump(&self, now: Duration) -> Value {
         let inner = self.lock();
         let describe = |case: &Case| {
@@ -335,7 +342,7 @@
 }
 
 impl Inner {
-    /// All that is known, as notes; as many as one message holds, those of refused requests first.
+    /// All known crashes that fit into one message, those of refused requests first.
     fn all_notes(&self, now: Duration) -> Vec<Note> {
         let mut cases = self.quarantine.cases(false, now);
         cases.sort_by_key(|case| !is_refused(&self.quarantine, &case.fingerprint, now));
--- a/src/router/update_log.rs
+++ b/src/router/update_log.rs
@@ -1,25 +1,25 @@
-//! Notes that entries send each other, in the order in which they came.
+//! Bounded log of updates that entries send to each other.
 
 use std::{collections::VecDeque, time::Duration};
 
-/// How much is kept and reported.
+/// Limits of an [`UpdateLog`].
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct UpdateLogLimits {
-    /// Notes kept for links that are behind or new.
+    /// Updates kept for links that are new or behind.
     pub(crate) capacity: usize,
-    /// Notes reported in one message.
+    /// Maximum number of updates in one message.
     pub(crate) per_message: usize,
-    /// Age at which a note is passed on no more.
+    /// Age after which an update is no longer passed on.
     pub(crate) max_age: Duration,
 }
 
-/// Notes in the order in which they came; readers keep the number of the next one they want.
+/// Updates in order of arrival. Each reader keeps the position of the next update it needs.
 #[derive(Debug)]
 pub(crate) struct UpdateLog<T> {
     updates: VecDeque<(Duration, T)>,
-    /// Number of the oldest one.
+    /// Position of the oldest update.
     first_position: u64,
-    /// Notes that a reader did not get because too many came.
+    /// Updates that readers missed because the log or a message was full.
     lost: u64,
     limits: UpdateLogLimits,
 }
@@ -37,12 +37,12 @@
         }
     }
 
-    /// Number of the next note that comes.
+    /// Position of the next update to be pushed.
     pub(crate) fn next_position(&self) -> u64 {
         self.first_position + self.updates.len() as u64
     }
 
-    /// The notes from a number on that are not too old, and the number to go on with.
+    /// Updates from `position` on that are not too old, and the position to continue from.
     pub(crate) fn since(&mut self, position: u64, now: Duration) -> (Vec<T>, u64) {
         let skipped =
             usize::try_from(position.saturating_sub(self.first_position)).unwrap_or(usize::MAX);
@@ -50,16 +50,16 @@
         let fresh =
             after.filter(|(at, _)| now < *at + self.limits.max_age).map(|(_, update)| *update);
         let fresh: Vec<T> = fresh.collect();
-        // The newest count: what is left out was reported earlier.
+        // The newest updates are kept; older ones were reported earlier.
         let omitted = fresh.len().saturating_sub(self.limits.per_message);
-        // A reader that begins has nothing to lose.
+        // A reader that starts at 0 has not missed anything.
         if position > 0 {
             self.lost += self.first_position.saturating_sub(position) + omitted as u64;
         }
         (fresh[omitted..].to_vec(), self.next_position())
     }
 
-    /// Notes that readers did not get because too many came.
+    /// Number of updates that readers missed because the log or a message was full.
     pub(crate) fn lost(&self) -> u64 {
         self.lost
     }
--- a/src/router/urgent_updates.rs
+++ b/src/router/urgent_updates.rs
@@ -1,10 +1,10 @@
-//! News that must not wait for the next heartbeat, for the entries that report here.
+//! Updates for reporting entries that must not wait for the next heartbeat.
 
 use tokio::{sync::watch, time::sleep};
 
 use crate::router::{Router, messages::PeerMessage, peers::BATCH_DELAY};
 
-/// Urgent news for one link, as it comes.
+/// Urgent updates for one link.
 pub(super) struct UrgentUpdates<'a> {
     router: &'a Router,
     quarantine_changes: watch::Receiver<u64>,
@@ -19,11 +19,12 @@
     pub(super) fn new(router: &'a Router) -> Self {
         let (quarantine_changes, limits) =
             (router.quarantine.changes(), router.limits.urgent_changes());
-        // What is known already is reported at once.
+        // What is already known is sent immediately.
         Self { router, quarantine_changes, limits, next_end: 0, next_limit: 0, has_changes: true }
     }
 
-    /// Waits for the next urgent news. It may be dropped while it waits, and loses nothing by it.
+    /// Waits for the next urgent updates. It is cancel safe: no update is lost when the future is
+    /// dropped.
     pub(super) async fn next(&mut self) -> PeerMessage {
         loop {
             if !self.has_changes {
