--- a/src/router/compressed_rows.rs
+++ b/src/router/compressed_rows.rs
@@ -1,4 +1,4 @@
-//! Rows of the store as entries pass them on: packed once, however many follow.
+//! Compressed form of table rows on links between entries.
 
 use std::{
     io::{Read, Write},
@@ -16,21 +16,21 @@
     router::table_views::TableUpdate,
 };
 
-/// Largest unpacked size that is taken, bytes: ten times the rows of 2,100 servers.
+/// Maximum size of decompressed rows in bytes: ten times the rows of 2,100 servers.
 const MAX_DECOMPRESSED: u64 = 8 << 20;
 
-/// Rows of one table, packed. After a loss of all entries each seed sends all rows to dozens of others at
-/// once: 60 KB each for 160 servers, and a sixth of it packed.
+/// Rows of one table, compressed. After an outage of all entries each seed sends all rows to dozens
+/// of others at once: 60 KB each for 160 servers, and a sixth of that when compressed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct CompressedUpdate {
     table: Table,
     version: Revision,
     store_now: Duration,
     is_whole: bool,
-    /// Not sent where the store never came back from a copy.
+    /// Omitted while the store has never been restored from an older copy.
     #[serde(default, skip_serializing_if = "is_first")]
     era: Era,
-    /// Whether the store's rows lack some of these.
+    /// Whether rows were added that the store lost.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     is_amended: bool,
     rows: Arc<CompressedBytes>,
@@ -40,7 +40,7 @@
 struct CompressedBytes(#[serde(with = "serde_bytes")] Vec<u8>);
 
 impl CompressedUpdate {
-    /// Packs rows.
+    /// Compresses the rows of an update.
     pub(crate) fn compress(update: &TableUpdate) -> Self {
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
         let rows = encoder.write_all(&encode(&update.rows)).and_then(|()| encoder.finish());
@@ -56,10 +56,10 @@
         }
     }
 
-    /// The rows again.
+    /// Decompresses the update.
     ///
     /// # Errors
-    /// When they were not packed by [`CompressedUpdate::pack`].
+    /// When the rows were not compressed by [`CompressedUpdate::compress`].
     pub(crate) fn decompress(&self) -> Result<TableUpdate> {
         let mut decompressed = Vec::new();
         let mut decoder = DeflateDecoder::new(&self.rows.0[..]).take(MAX_DECOMPRESSED);
--- a/src/router/own_place.rs
+++ b/src/router/own_place.rs
@@ -1,4 +1,5 @@
-//! This entry's place among all, by which entries share what servers take that take few requests.
+//! This entry's rank among all entries, by which they divide the few requests that a limited server
+//! accepts.
 
 use std::{sync::Mutex, time::Duration};
 
@@ -7,33 +8,33 @@
     router::{Router, messages::ReportedPlace},
 };
 
-/// This entry's place among all, as the seeds report it.
+/// This entry's rank as reported by the seeds.
 #[derive(Debug, Default)]
 pub(crate) struct OwnPlace {
     belief: Mutex<PlaceBelief>,
 }
 
 impl OwnPlace {
-    /// Takes in this entry's place among all.
+    /// Records a rank reported by a seed.
     pub(crate) fn record(&self, reported: ReportedPlace, now: Duration) {
         let ReportedPlace { rank, entries, sees_all } = reported;
         let mut belief = self.belief.lock().expect("no panics under the lock");
         belief.note(Place { rank, entries }, sees_all, now);
     }
 
-    /// How many share, as far as it was reported.
+    /// Last reported number of entries that share, also before the rank is settled.
     pub(crate) fn entries(&self) -> Option<u32> {
         self.belief.lock().expect("no panics under the lock").entries()
     }
 
-    /// This entry's place; none until it is settled.
+    /// This entry's rank; none until it is settled.
     fn get(&self, now: Duration) -> Option<Place> {
         self.belief.lock().expect("no panics under the lock").get(now)
     }
 }
 
 impl Router {
-    /// This entry's place among all; that of one that is alone where no other one is named.
+    /// This entry's rank. An entry that is not a seed and has no seeds is alone.
     pub(crate) fn place(&self) -> Option<Place> {
         let settings = self.settings.load();
         let is_alone = settings.seeds.iter().all(|seed| Some(*seed) == settings.peer);
@@ -41,7 +42,7 @@
         place.or_else(|| (is_alone && !self.is_seed()).then_some(Place::ALONE))
     }
 
-    /// The place of an entry that reports to this one, or of this one itself.
+    /// Rank of this entry, or of one that reports to it, as sent to that entry.
     pub(crate) fn place_of(&self, host: &str) -> Option<ReportedPlace> {
         let settings = self.settings.load();
         let own = Sharer { host: &settings.host, is_settled: self.place().is_some() };
--- a/src/router/peer_follower.rs
+++ b/src/router/peer_follower.rs
@@ -16,33 +16,35 @@
     telemetry::event,
 };
 
-/// Time between looks at whether a link is wanted, and between tries to get one.
+/// Interval between checks whether a link is needed, and between attempts to open one.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// The same until there is a configuration: seeds that start at the same time listen a moment later, and
-/// whoever has no link by then asks the store for everything.
+/// The same interval until there is a configuration. Seeds that start at the same time listen a
+/// moment later, and an entry without a link by then reads everything from the store.
 const STARTUP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time an entry stays with a seed that the store does not answer, where the other seeds were no better:
-/// as long as one of them may have been cut off for a moment.
+/// Time for which an entry follows a seed that has lost the store, when it is the last seed to try.
+/// Another seed may have lost the store for only a moment.
 const CUT_OFF_SEED_GRACE: Duration = Duration::from_secs(2);
 
-/// Why an entry that was followed is followed no more.
+/// Why an entry stops following a peer without an error.
 enum LeaveReason {
-    /// It stands in another AvailabilityZone, and there are entries whose zone is not known yet.
+    /// The peer is in another AvailabilityZone, and the zones of some seeds are still unknown.
     OtherZone,
-    /// No link is wanted any more.
+    /// A link is no longer needed.
     Unwanted,
 }
 
-/// The seeds as an entry that follows one knows them.
+/// Order in which the seeds are tried.
 #[derive(Default)]
 struct SeedRotation {
     zones: HashMap<SocketAddr, Box<str>>,
-    /// Seeds given up since one was left for no fault of its own.
+    /// Number of seeds that failed since a link was last given up as not needed; selects the next
+    /// seed.
     next_index: usize,
 }
 
 impl SeedRotation {
-    /// All but this entry: those in this zone first, then those not asked yet.
+    /// The other seeds: first those whose zone is not known yet, then those in this zone, then the
+    /// rest.
     fn by_preference(&self, settings: &HostSettings) -> Vec<SocketAddr> {
         let mut others = other_seeds(settings);
         others.sort_by_key(|seed| match self.zones.get(seed) {
@@ -52,15 +54,16 @@
         others
     }
 
-    /// Whether a seed's zone should be asked before it is followed. One that was left for its zone and comes
-    /// up again is followed: the others may be gone.
+    /// Whether a seed is followed only if it is in this zone: its own zone is unknown, and so is
+    /// another seed's. A seed that was left because of its zone is followed when its turn comes
+    /// again, since the others may be gone.
     fn needs_zone_check(&self, peer: SocketAddr, others: &[SocketAddr]) -> bool {
         let is_new = |seed: &SocketAddr| !self.zones.contains_key(seed);
         is_new(&peer) && others.iter().any(|seed| *seed != peer && is_new(seed))
     }
 }
 
-/// Follows another entry whenever that is wanted.
+/// Follows another entry whenever a link is needed.
 pub(crate) async fn follow_peers(router: &Router) {
     let mut seeds = SeedRotation::default();
     loop {
@@ -72,7 +75,7 @@
     }
 }
 
-/// Follows the next seed; whether the one after it should be tried at once.
+/// Follows the next seed. Returns whether the one after it should be tried immediately.
 async fn follow_next(router: &Router, seeds: &mut SeedRotation) -> bool {
     let others = seeds.by_preference(&router.settings.load());
     let Some(peer) = others.get(seeds.next_index % others.len().max(1)).copied() else {
@@ -99,8 +102,8 @@
     others.len() > 1 && (was_followed || !is_round_complete)
 }
 
-/// Follows one entry as long as it speaks and the link is wanted. One of another zone is left at
-/// once where `wants_zone`, and one that the store does not answer after `stay`.
+/// Follows a peer while it sends heartbeats and a link is needed. A peer in another zone is left
+/// immediately if `requires_own_zone`, and a peer that has lost the store is left after `grace`.
 async fn follow_peer(
     router: &Router,
     peer: SocketAddr,
@@ -117,7 +120,7 @@
     let host = router.settings.load().host.clone();
     send_message(&mut socket, &PeerRequest::Follow { version, era, only_in, host }).await?;
     let PeerMessage::Welcome { zone } = receive_message(&mut socket).await? else {
-        return Err(Error::Broken("no welcome".into()));
+        return Err(Error::Broken("expected a welcome message".into()));
     };
     let is_own_zone = zone == own_zone;
     zones.insert(peer, zone);
@@ -131,7 +134,7 @@
             _ = wakes.changed() => return Err(host_suspended()),
             heartbeat = receive_message(&mut socket) => heartbeat?,
         };
-        // What waited to be read while the Host was suspended is old.
+        // Messages that were waiting while the Host was suspended are outdated.
         if router.notice_suspension() {
             return Err(host_suspended());
         }
@@ -142,17 +145,17 @@
         if is_current {
             current_at = router.now();
         } else if router.now() >= current_at + grace {
-            return Err(Error::Broken("the store does not answer it".into()));
+            return Err(Error::Broken("the peer has lost the store".into()));
         }
     }
     Ok(LeaveReason::Unwanted)
 }
 
 fn host_suspended() -> Error {
-    Error::Broken("the Host was suspended".into())
+    Error::Broken("host was suspended".into())
 }
 
-/// Takes in a heartbeat; whether the store answers the entry that sent it.
+/// Applies a heartbeat. Returns whether the store answers the sender.
 fn apply_heartbeat(router: &Router, message: PeerMessage) -> Result<bool> {
     let PeerMessage::Beat {
         is_current,
@@ -166,11 +169,11 @@
         limits,
     } = message
     else {
-        return Err(Error::Broken("a second welcome".into()));
+        return Err(Error::Broken("expected a heartbeat".into()));
     };
     for update in updates {
         if !router.link.push(update.decompress()?) {
-            return Err(Error::Broken("its updates are not taken".into()));
+            return Err(Error::Broken("update queue is full".into()));
         }
     }
     router.views.record_peer_message(router.now());
--- a/src/router/peer_link.rs
+++ b/src/router/peer_link.rs
@@ -1,4 +1,4 @@
-//! What an entry gets from another entry that it follows.
+//! Updates from the entry that this one follows, queued by table.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -9,8 +9,8 @@
 
 use crate::{platform::store::Table, router::table_views::TableUpdate};
 
-/// Updates that wait for whoever follows a table; more than that means that nobody takes them, and
-/// a new link begins with all rows anyway.
+/// Maximum number of pending updates of a table. A full queue means that its reader has stopped,
+/// and a new link starts with all rows anyway.
 const MAX_PENDING: usize = 256;
 
 #[derive(Debug, Default)]
@@ -19,10 +19,10 @@
     pending: HashMap<Table, VecDeque<TableUpdate>>,
 }
 
-/// The link to another entry, as those who follow a table see it.
+/// The link to the entry that this one follows, as the readers of the tables see it.
 ///
-/// While it is current it stands in for the store: the other entry receives the store's answers and
-/// passes on what they say (docs/decisions/0009).
+/// While the link is current, it replaces the store: the other entry reads the store and forwards
+/// its rows (docs/decisions/0009).
 #[derive(Debug, Default)]
 pub(crate) struct PeerLink {
     inner: Mutex<Inner>,
@@ -34,7 +34,7 @@
         self.inner.lock().expect("no panics under the lock")
     }
 
-    /// Notes whether the other entry is up to date with the store; a change of that is returned.
+    /// Sets whether the other entry is up to date with the store. Returns whether that changed.
     pub(crate) fn set_current(&self, is_current: bool) -> bool {
         let before = std::mem::replace(&mut self.lock().is_current, is_current);
         if before != is_current {
@@ -43,12 +43,12 @@
         before != is_current
     }
 
-    /// Whether the link stands in for the store now.
+    /// Whether the link currently replaces the store.
     pub(crate) fn is_current(&self) -> bool {
         self.lock().is_current
     }
 
-    /// Takes in an update; false when nobody took the ones before it.
+    /// Queues an update. Returns false when the table's queue is full.
     pub(crate) fn push(&self, update: TableUpdate) -> bool {
         let mut inner = self.lock();
         let pending = inner.pending.entry(update.table).or_default();
@@ -64,7 +64,7 @@
         true
     }
 
-    /// Forgets what came over a link that has ended.
+    /// Discards the updates of a link that has ended.
     pub(crate) fn clear(&self) {
         let mut inner = self.lock();
         inner.is_current = false;
@@ -73,12 +73,12 @@
         self.changed.notify_waiters();
     }
 
-    /// Takes the next update about a table, if one waits.
+    /// Removes and returns the next pending update of a table.
     pub(crate) fn take(&self, table: Table) -> Option<TableUpdate> {
         self.lock().pending.get_mut(&table)?.pop_front()
     }
 
-    /// Waits until the link stands in for the store.
+    /// Waits until the link replaces the store.
     pub(crate) async fn wait_until_current(&self) {
         loop {
             let changed = self.changed.notified();
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Waits until there is an update about a table, or the link begins or ceases to stand in.
+    /// Waits until a table has a pending update or [`Self::is_current`] changes.
     pub(crate) async fn wait_for_change(&self, table: Table) {
         let before = self.is_current();
         loop {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Waits for the next update about a table; none once the link is not current.
+    /// Waits for the next update of a table; none once the link is not current.
     pub(crate) async fn next(&self, table: Table) -> Option<TableUpdate> {
         loop {
             let changed = self.changed.notified();
--- a/src/router/peers.rs
+++ b/src/router/peers.rs
@@ -1,12 +1,13 @@
-//! Links between entries: opening them, and serving those that follow or report.
+//! Links between entries: opening them, and serving followers and reporting entries.
 //!
-//! An entry follows another one instead of the store ([`peer_follower`](super::peer_follower)) and reports to the seeds
-//! ([`seed_reporter`](super::seed_reporter)).
+//! An entry can follow another one instead of the store ([`peer_follower`](super::peer_follower)),
+//! and each entry reports to the seeds ([`seed_reporter`](super::seed_reporter)).
 //!
-//! Calls to the store are paid for and limited, so only the entries that the settings name as seeds
-//! follow it while all is well; each other entry follows a seed, in its own AvailabilityZone if
-//! there is one. An entry that the store refuses or does not reach follows another one, too. What is
-//! passed on are rows as the store gave them, taken in by the same code (docs/decisions/0009).
+//! Calls to the store are billed and limited. So normally only the entries that the settings name
+//! as seeds read it, and each other entry follows a seed, in its own AvailabilityZone if there is
+//! one. A seed that cannot reach the store, or is refused by it, follows another entry as well.
+//! Rows are forwarded as the store returned them and applied by the same code
+//! (docs/decisions/0009).
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -33,38 +34,40 @@
     telemetry::event,
 };
 
-/// Time to reach another entry and to get its first answer: a few round trips between regions.
+/// Time limit for connecting to another entry and for its first answer: a few round trips between
+/// regions.
 pub(crate) const OPEN_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time between heartbeats on a link.
+/// Interval between heartbeats on a link.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
-/// Time for which news of a server's end is gathered before it is reported: dozens of entries see one end within
-/// 10 ms, and each message reports the load as well, 3 KB. A request that ends servers may come to any entry
-/// within a tenth of a second.
+/// Time for which changes are collected before they are reported. Dozens of entries observe the
+/// same server crash within 10 ms, and each message also carries the load, 3 KB. A request that
+/// crashes servers may reach any entry within a tenth of a second.
 pub(crate) const BATCH_DELAY: Duration = Duration::from_millis(30);
-/// Silence after which a link is given up: three heartbeats. The store is asked at once after
-/// that, and a new configuration has two seconds to be in force.
+/// Time without a message after which a link is closed: three heartbeats. The store is asked
+/// immediately afterwards, and a new configuration has to be in force within two seconds.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
-/// Pause after a link could not be taken.
+/// Pause after a connection could not be accepted.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// Links that one entry serves: at 360 entries all report to each seed and follow it, when it is the only
-/// one that is left; with 400 the last of them had no link.
+/// Maximum number of links that one entry serves. If only one seed is left, each of 360 entries
+/// opens two links to it, one to report and one to follow; a limit of 400 left the last entries
+/// without a link.
 const MAX_LINKS: usize = 800;
 
 pub(crate) type Socket = WebSocketStream<TcpStream>;
 
 pub(crate) fn timed_out() -> Error {
-    Error::Broken("no word in time".into())
+    Error::Broken("timed out".into())
 }
 
-/// The seeds but for this entry itself.
+/// The seeds, without this entry itself.
 pub(crate) fn other_seeds(settings: &HostSettings) -> Vec<SocketAddr> {
     settings.seeds.iter().copied().filter(|seed| Some(*seed) != settings.peer).collect()
 }
 
-/// Serves the entries that follow this one.
+/// Accepts and serves links from other entries.
 pub(crate) async fn serve_peers(router: Arc<Router>, listener: TcpListener) {
     let permits = Arc::new(Semaphore::new(MAX_LINKS));
-    // Ends the links with the control thread's work.
+    // Dropping the set ends the links together with the control thread's work.
     let mut links = JoinSet::new();
     loop {
         let stream = match listener.accept().await {
@@ -77,7 +80,7 @@
         };
         while links.try_join_next().is_some() {}
         let Ok(permit) = permits.clone().try_acquire_owned() else {
-            event::PEER_FAILED.log(format_args!("cause=\"{MAX_LINKS} links are open\""));
+            event::PEER_FAILED.log(format_args!("cause=\"limit of {MAX_LINKS} links reached\""));
             continue;
         };
         let router = router.clone();
@@ -90,7 +93,7 @@
     }
 }
 
-/// Serves one entry until it leaves.
+/// Serves one link until the other entry closes it.
 async fn serve_link(router: &Router, stream: TcpStream) -> Result<()> {
     stream.set_nodelay(true)?;
     let mut socket =
@@ -104,7 +107,7 @@
     }
 }
 
-/// Forgets what an entry reported over a link when that ends, in whatever way.
+/// Removes the report that an entry sent over a link when the link ends for any reason.
 struct RemoveReportOnDrop<'a> {
     router: &'a Router,
     host: &'a str,
@@ -117,7 +120,7 @@
     }
 }
 
-/// Takes in an entry's reports until it leaves.
+/// Applies an entry's reports and sends it urgent updates until it closes the link.
 async fn take_reports(
     router: &Router,
     mut socket: Socket,
@@ -145,14 +148,14 @@
             match request {
                 PeerRequest::Report { report, .. } => break report,
                 PeerRequest::Follow { .. } => {
-                    return Err(Error::Broken("reports were expected".into()));
+                    return Err(Error::Broken("expected a report".into()));
                 }
             }
         };
     }
 }
 
-/// Passes on to a follower what the store says until it leaves.
+/// Sends heartbeats with the store's updates to a follower until it closes the link.
 async fn serve_follower(
     router: &Router,
     mut socket: Socket,
@@ -224,18 +227,18 @@
     Ok(())
 }
 
-/// Asks the other end to show that it lives. A link that has gone silent for good takes what is written to it, and
-/// what was reported would reach nobody.
+/// Sends a ping. Writes to a dead connection succeed for a while, and without a reply the reports
+/// on it would be lost unnoticed.
 pub(crate) async fn send_ping(socket: &mut Socket) -> Result<()> {
     socket.send(Message::Ping(Bytes::new())).await?;
     Ok(())
 }
 
-/// The next message, unless the link ends or is silent for too long.
+/// The next message; an error when the link is closed or silent for [`SILENCE_TIMEOUT`].
 pub(crate) async fn next_message(socket: &mut Socket) -> Result<Message> {
     let message = timeout(SILENCE_TIMEOUT, socket.next()).await.map_err(|_| timed_out())?;
-    match message.ok_or_else(|| Error::Broken("the link ended".into()))?? {
-        Message::Close(_) => Err(Error::Broken("the link ended".into())),
+    match message.ok_or_else(|| Error::Broken("connection closed".into()))?? {
+        Message::Close(_) => Err(Error::Broken("connection closed".into())),
         message => Ok(message),
     }
 }
--- a/src/router/seed_reporter.rs
+++ b/src/router/seed_reporter.rs
@@ -1,4 +1,4 @@
-//! Reporting to the seeds what this entry has at the servers and has seen of versions.
+//! Reporting of this entry's server load, observations and roll-out evidence to the seeds.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -22,17 +22,17 @@
     telemetry::event,
 };
 
-/// Time between reports of the own load to the seeds; streams last a second or a few.
+/// Interval between load reports to the seeds; streams last one second to a few seconds.
 const REPORT_INTERVAL: Duration = Duration::from_millis(400);
-/// Pause before a seed that could not be reported to is tried again.
+/// Pause before reconnecting to a seed after an error.
 const RECONNECT_PAUSE: Duration = Duration::from_secs(2);
 
-/// Reports the own load to every seed, and lets a seed know the sums itself.
+/// Reports to every seed. A seed also applies the sums of all reports to its own fleet.
 pub(crate) async fn report_to_seeds(router: &Arc<Router>) {
     let mut links: JoinSet<()> = JoinSet::new();
     let mut reported: Vec<SocketAddr> = Vec::new();
     let (reports, _) = watch::channel(Report::default());
-    // A seed passes on what it receives, too: some entries may not reach them.
+    // Seeds also forward what they receive, since some entries may not reach all seeds.
     let (mut quarantine_changes, mut limit_changes) = if router.is_seed() {
         (router.quarantine.changes(), router.limits.urgent_changes())
     } else {
@@ -70,14 +70,15 @@
             }
         };
         let is_urgent = timeout(REPORT_INTERVAL, urgent).await.is_ok();
-        // What an entry saw itself is reported at once: it may be killed next.
+        // Only seeds batch changes. Other entries report what they observed immediately, since they
+        // may be killed next.
         if is_urgent && router.is_seed() {
             sleep(BATCH_DELAY).await;
         }
     }
 }
 
-/// Reports to one seed for ever; a seed that is away is tried again at a pause.
+/// Reports to one seed forever, reconnecting after errors.
 async fn report_with_retries(
     router: Arc<Router>,
     seed: SocketAddr,
@@ -130,17 +131,17 @@
                     Ok(()) => break,
                     Err(_) => return Ok(()),
                 },
-                // The seed has given the link up meanwhile.
+                // The Host was suspended, and the seed has closed the link in the meantime.
                 _ = wakes.changed() => return Err(timed_out()),
             }
         }
     }
 }
 
-/// Takes in urgent news of an entry that is reported to.
+/// Applies urgent updates from a seed.
 fn apply_urgent_updates(router: &Router, message: PeerMessage) -> Result<()> {
     let PeerMessage::News { ends, limits } = message else {
-        return Err(Error::Broken("news were expected".into()));
+        return Err(Error::Broken("expected urgent updates".into()));
     };
     router.quarantine.apply_updates(&ends, router.now());
     router.take_limit_updates(&limits);
--- a/src/router/table_views.rs
+++ b/src/router/table_views.rs
@@ -1,4 +1,4 @@
-//! The rows of the store's tables as they were last seen, for other entries to follow.
+//! Latest known rows of the store's tables, which other entries can subscribe to.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -14,11 +14,11 @@
     router::compressed_rows::CompressedUpdate,
 };
 
-/// Updates kept for a subscriber that reads slowly; one further behind has to begin anew.
+/// Updates buffered for a slow subscriber; one that falls further behind has to reconnect.
 const UPDATE_BUFFER: usize = 64;
 
 impl TableView {
-    /// All rows, packed once for all that begin to follow before something changes.
+    /// All rows, compressed once for all subscribers that arrive before the next change.
     fn compressed(&mut self, table: Table) -> CompressedUpdate {
         let Self { version, store_now, rows, compressed, is_amended, .. } = self;
         let compress = || {
@@ -38,23 +38,23 @@
     }
 }
 
-/// Rows of one table as the store gave them.
+/// Rows of one table as read from the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct TableUpdate {
     pub(crate) table: Table,
-    /// Newest transaction they cover.
+    /// Newest transaction that the rows cover.
     pub(crate) version: StoreVersion,
-    /// The store's clock when it gave them.
+    /// Time on the store's clock when it returned the rows.
     pub(crate) store_now: Duration,
-    /// Whether these are all rows, not only those that changed.
+    /// Whether these are all rows of the table, not only changed ones.
     pub(crate) is_whole: bool,
-    /// Whether rows are among them that the store lost as it came back from a copy.
+    /// Whether rows were added that the store lost when it was restored from an older copy.
     pub(crate) is_amended: bool,
     pub(crate) rows: Vec<Row>,
 }
 
 impl TableUpdate {
-    /// The rows, as if the store had given them.
+    /// The rows in the form in which the store returns them.
     pub(crate) fn into_rows(self) -> Rows {
         Rows { rows: self.rows, version: self.version, now: self.store_now }
     }
@@ -63,22 +63,22 @@
 #[derive(Debug, Default)]
 struct TableView {
     version: StoreVersion,
-    /// Whether it has rows that the store lost, until all rows are read again.
+    /// Whether rows were added that the store lost; reset when all rows are read again.
     is_amended: bool,
     store_now: Duration,
     rows: BTreeMap<Box<str>, Row>,
-    /// All rows packed, until something changes.
+    /// All rows, compressed; none after a change.
     compressed: Option<CompressedUpdate>,
     answered_at: Duration,
     is_lost: bool,
 }
 
-/// What was last seen of each table.
+/// Latest known rows of all tables that this entry reads.
 #[derive(Debug)]
 pub(crate) struct TableViews {
     tables: Mutex<HashMap<Table, TableView>>,
     updates: broadcast::Sender<CompressedUpdate>,
-    /// When an entry that is followed last spoke.
+    /// Time of the last message from the entry that this one follows.
     received_at: Mutex<Duration>,
 }
 
@@ -93,12 +93,12 @@
 }
 
 impl TableViews {
-    /// Takes in what the store or another entry said of a table, and informs the subscribers.
+    /// Applies rows from the store or another entry and sends them to the subscribers.
     pub(crate) fn update(&self, table: Table, rows: &Rows, is_whole: bool) {
         self.update_amended(table, rows, is_whole, false);
     }
 
-    /// The same of rows some of which the store may have lost.
+    /// Like [`Self::update`], for rows to which lost rows may have been added.
     pub(crate) fn update_amended(
         &self,
         table: Table,
@@ -134,14 +134,14 @@
             is_amended,
             rows: rows.rows.clone(),
         };
-        // Under the lock, so that a subscriber's first view and its updates fit together. An error
-        // only says that there are no subscribers any more.
+        // Sent under the lock, so that a subscriber's first rows and its updates leave no gap. An
+        // error only means that the last subscriber has left.
         let _ = self.updates.send(CompressedUpdate::compress(&update));
     }
 
-    /// All rows of the tables of which something newer than this has been seen, and what comes
-    /// after them. Rows about roll-outs are few and always sent: an entry that starts has not read
-    /// them, whatever it has read of orders and servers.
+    /// All rows of the tables that are newer than `version`, and a receiver of later updates. The
+    /// few rows about roll-outs are always included: a starting entry has not read them, whatever
+    /// it has read of orders and servers.
     pub(crate) fn subscribe(
         &self,
         version: StoreVersion,
@@ -156,12 +156,12 @@
         (views, self.updates.subscribe())
     }
 
-    /// Whether another entry follows this one.
+    /// Whether other entries follow this one.
     pub(crate) fn has_subscribers(&self) -> bool {
         self.updates.receiver_count() > 0
     }
 
-    /// Notes that the store answered about a table.
+    /// Records that the store answered a call about a table.
     pub(crate) fn record_answer(&self, table: Table, now: Duration) {
         let mut tables = self.tables.lock().expect("no panics under the lock");
         let view = tables.entry(table).or_default();
@@ -169,53 +169,54 @@
         view.is_lost = false;
     }
 
-    /// Notes that the store gave no answer about a table.
+    /// Records that a call about a table failed.
     pub(crate) fn record_failure(&self, table: Table) {
         let mut tables = self.tables.lock().expect("no panics under the lock");
         tables.entry(table).or_default().is_lost = true;
     }
 
-    /// Whether the store last gave no answer about some table.
+    /// Whether the last call about any table failed.
     pub(crate) fn is_store_lost(&self) -> bool {
         let tables = self.tables.lock().expect("no panics under the lock");
         tables.values().any(|view| view.is_lost)
     }
 
-    /// Notes that an entry that is followed spoke.
+    /// Records a message from the entry that this one follows.
     pub(crate) fn record_peer_message(&self, now: Duration) {
         *self.received_at.lock().expect("no panics under the lock") = now;
     }
 
-    /// When an entry that is followed last spoke.
+    /// Time of the last message from the entry that this one follows.
     pub(crate) fn peer_message_at(&self) -> Duration {
         *self.received_at.lock().expect("no panics under the lock")
     }
 
-    /// When the store last answered about every table that is followed, or another entry spoke.
+    /// Time since which the store has answered for every table, or of the last message from the
+    /// followed entry if that is later.
     pub(crate) fn answered_at(&self) -> Duration {
         self.applied_at().max(self.peer_message_at())
     }
 
-    /// Until when all that was said of every table that is followed has been taken in.
+    /// Time up to which every table is applied: the oldest of the tables' last answers.
     pub(crate) fn applied_at(&self) -> Duration {
         let tables = self.tables.lock().expect("no panics under the lock");
         let answered = tables.values().map(|view| view.answered_at).filter(|at| !at.is_zero());
         answered.min().unwrap_or_default()
     }
 
-    /// Newest transaction seen of the table that is furthest behind.
+    /// Newest transaction applied to the table that is furthest behind.
     pub(crate) fn oldest_version(&self) -> StoreVersion {
         let tables = self.tables.lock().expect("no panics under the lock");
         tables.values().map(|view| view.version).min().unwrap_or_default()
     }
 
-    /// Newest era that is known.
+    /// Newest known era of the store.
     pub(crate) fn era(&self) -> Era {
         let tables = self.tables.lock().expect("no panics under the lock");
         tables.values().map(|view| view.version.era).max().unwrap_or_default()
     }
 
-    /// The rows of a table as they were last seen.
+    /// Latest known rows of a table.
     pub(crate) fn rows(&self, table: Table) -> Vec<Row> {
         let tables = self.tables.lock().expect("no panics under the lock");
         tables.get(&table).map(|view| view.rows.values().cloned().collect()).unwrap_or_default()
