--- a/src/router/quarantine.rs
+++ b/src/router/quarantine.rs
@@ -1,4 +1,4 @@
-//! What an entry does with requests under which servers ended.
+//! Handling of requests during which servers crashed.
 
 use std::time::Duration;
 
@@ -14,18 +14,19 @@
     telemetry::event,
 };
 
-/// Longest wait for the store's answer about a trial: two calls of 5 ms each, ten times over.
+/// Maximum wait for the store's answer about a trial: ten times the duration of two calls of 5 ms.
 const TRIAL_CLAIM_TIMEOUT: Duration = Duration::from_millis(100);
-/// Age at which what another entry said counts no more: four heartbeats.
+/// Time after a peer's last message from which it is considered lost: four heartbeats.
 const PEER_MESSAGE_LIFETIME: Duration = Duration::from_millis(1_200);
 /// `Retry-After` for a request that only an operator can release: as long as it is remembered.
 const PERMANENT_RETRY_AFTER: Duration = Duration::from_secs(24 * 60 * 60);
-/// Least `Retry-After`: where a trial is due and can't be made now, it is under way at another entry, or
-/// the store is away.
+/// Minimum `Retry-After`. If a trial is due but cannot be made now, another entry is making it or
+/// the store is unreachable.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 impl Router {
-    /// What may be done with a request, by the servers that ended under it.
+    /// Whether a request may be sent, is suspected or is refused, based on the servers that crashed
+    /// during it.
     pub(crate) fn standing(&self, job: &Job) -> Standing {
         if self.quarantine.is_idle() {
             return Standing::Free;
@@ -33,13 +34,13 @@
         self.quarantine.standing(&job.fingerprint(), self.now())
     }
 
-    /// Whether a request reaches no more servers because of those that ended under it.
+    /// Whether a request is refused because of the servers that crashed during it.
     pub(crate) fn is_refused(&self, job: &Job) -> bool {
         !job.is_trial && matches!(self.standing(job), Standing::Refused { .. })
     }
 
-    /// Whether a refused request gets its trial now, here and nowhere else; the store is asked only when one
-    /// is due.
+    /// Claims the trial of a refused request, which is made by a single entry. The store is asked
+    /// only if a trial is due.
     pub(crate) async fn claim_trial(&self, job: &Job) -> bool {
         let is_due = self.standing(job) == Standing::Refused { trial_in: Some(Duration::ZERO) };
         if !is_due {
@@ -47,23 +48,23 @@
         }
         let (answer, answered) = oneshot::channel();
         let request = self.trials.0.try_send((job.fingerprint(), answer));
-        // A store that is slow to answer does not hold the caller up.
+        // A slow store must not delay the caller.
         request.is_ok() && matches!(timeout(TRIAL_CLAIM_TIMEOUT, answered).await, Ok(Ok(true)))
     }
 
-    /// Takes the end at which trials are asked for; once.
+    /// The receiver of trial requests for the control thread; none after the first call.
     pub(crate) fn take_trial_requests(&self) -> Option<mpsc::Receiver<TrialRequest>> {
         self.trials.1.lock().expect("no panics under the lock").take()
     }
 
-    /// Whether this entry gets updates from no other one.
+    /// Whether this entry receives updates from no other entry.
     pub(crate) fn is_isolated(&self) -> bool {
         let now = self.now();
         let is_reported = now < self.views.peer_message_at() + PEER_MESSAGE_LIFETIME;
         !is_reported && self.loads.entry_count(now) <= 1
     }
 
-    /// Waits until a request reaches no more servers.
+    /// Waits until a request is refused.
     pub(crate) async fn wait_until_refused(&self, job: &Job) {
         let mut changes = self.quarantine.changes();
         while !self.is_refused(job) {
@@ -73,14 +74,14 @@
         }
     }
 
-    /// Notes that a server answered a request whole: it does not end servers.
+    /// Records that a server answered a request completely, so the request does not crash servers.
     pub(crate) fn record_complete_answer(&self, job: &Job) {
         if self.standing(job) != Standing::Free {
             self.quarantine.clear(job.fingerprint(), self.now());
         }
     }
 
-    /// When the caller of a refused request may come back.
+    /// When the caller of a refused request may retry.
     pub(crate) fn refusal_retry_after(&self, job: &Job) -> Duration {
         match self.standing(job) {
             Standing::Refused { trial_in: Some(trial_in) } => trial_in.max(MIN_RETRY_AFTER),
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Lets a request go by its fingerprint, as the state dump shows it; all other entries are informed.
+    /// Releases a request by its fingerprint as shown in the state dump, on all entries.
     pub fn release(&self, fingerprint: &str) -> Released {
         let Ok(number) = u128::from_str_radix(fingerprint, 16) else {
             return Released::Unreadable;
--- a/src/router/quarantine_row.rs
+++ b/src/router/quarantine_row.rs
@@ -1,8 +1,8 @@
-//! What the store keeps of requests that are refused, so that it outlives all entries.
+//! Storage of quarantined requests, so that they survive a restart of all entries.
 //!
-//! All of them may be killed at once while the caller goes on asking; to learn again would cost three more
-//! servers each time. One row holds all cases: it is read as an entry starts, and written under a condition,
-//! so that no entry's update is lost (docs/decisions/0015).
+//! All entries may be killed at once while the caller keeps retrying; learning again would cost
+//! another three servers each time. A single row holds all cases. It is read when an entry starts
+//! and written conditionally, so no entry's update is lost (docs/decisions/0015).
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,35 +21,35 @@
     telemetry::event,
 };
 
-/// Key of the row in the system's own table.
+/// Key of the row in this system's own table.
 const ROW_KEY: &str = "quarantine";
-/// Cases in the row, at most: 50 KB, and a row holds 64.
+/// Maximum number of cases in the row: 50 KB of the 64 KB that a row can hold.
 const MAX_CASES: usize = 256;
-/// Ends written of each case: what refuses it, and no more.
+/// Maximum number of crashes stored per case: enough to refuse it.
 const MAX_ENDS: usize = 4;
-/// Time an entry waits for another one to report what is refused, before it reads the row: a link to a
-/// running seed takes a few round trips, and callers wait half a second at most.
+/// Time that a starting entry waits for another one to report refused requests before it reads the
+/// row. A link to a running seed takes a few round trips, and callers wait at most half a second.
 const FIRST_LINK_WAIT: Duration = Duration::from_millis(250);
-/// Pause after a call that failed, and between looks of an entry that gets updates from no other while something is
+/// Pause after a failed call, and the poll interval of an isolated entry while a request is
 /// suspected.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// Time between looks of an entry that gets updates from no other while nothing is suspected: what the others find
-/// has to be known within 3 s.
+/// Poll interval of an isolated entry while no request is suspected: what other entries find must
+/// be known within 3 s.
 const ISOLATED_POLL_INTERVAL: Duration = Duration::from_millis(2_000);
-/// Time between looks at whether something has to be written.
+/// Interval between checks whether the row has to be written.
 const CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Time that an entry leaves to each seed named before it for writing a case: a call takes 10 ms, and
-/// its news a heartbeat.
+/// Time that an entry leaves to each seed listed before it for writing a case. A call takes 10 ms,
+/// and the resulting update arrives with the next heartbeat.
 const WRITE_STAGGER: Duration = Duration::from_millis(400);
-/// Writes that meet a newer row in a row before an entry rests.
+/// Number of consecutive write conflicts after which an entry pauses.
 const MAX_CONFLICTS: u32 = 8;
 
-/// A case as the row has it; times are on the store's clock.
+/// Stored form of a case; times are on the store's clock.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct CaseDoc {
     /// Hexadecimal.
     fingerprint: Box<str>,
-    /// Lives, hexadecimal, and when each ended, milliseconds.
+    /// Incarnations that crashed, as hexadecimal hashes, and when, in milliseconds.
     ends: Vec<(Box<str>, u64)>,
     #[serde(default)]
     trials: u32,
@@ -63,35 +63,35 @@
     cases: Vec<CaseDoc>,
 }
 
-/// Asks for a refused request's trial; answered with whether it may be made.
+/// Request for the trial of a refused request; the reply tells whether it was granted.
 pub(crate) type TrialRequest = (Fingerprint, oneshot::Sender<bool>);
 
-/// The row as it was last seen.
+/// The row as last read or written.
 struct StoredRow {
     version: Revision,
-    /// Era of the store that it was read in.
+    /// Era of the store in which it was read.
     era: Era,
     cases: Vec<Case>,
     clocks: ClockPair,
 }
 
-/// The store's clock and this entry's in one moment.
+/// The same moment on the store's clock and on this entry's clock.
 #[derive(Clone, Copy)]
 struct ClockPair {
     store: Duration,
     own: Duration,
-    /// Time that the call took by which they were compared.
+    /// Duration of the call that compared them, which bounds the error.
     error: Duration,
 }
 
 impl StoredRow {
-    /// This entry's time of a moment on the store's clock.
+    /// Converts milliseconds on the store's clock to this entry's clock.
     fn to_own(&self, ms: u64) -> Duration {
         let ClockPair { store, own, .. } = self.clocks;
         (own + Duration::from_millis(ms)).saturating_sub(store)
     }
 
-    /// The store's time of a moment on this entry's clock.
+    /// Converts a time on this entry's clock to milliseconds on the store's clock.
     fn to_store(&self, at: Duration) -> u64 {
         let ClockPair { store, own, .. } = self.clocks;
         (store + at).saturating_sub(own).as_millis() as u64
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Whether the row says all that is known of a case.
+    /// Whether the row has everything that is known of a case.
     fn covers(&self, case: &Case) -> bool {
         let of_same = self.cases.iter().find(|stored| stored.fingerprint == case.fingerprint);
         of_same.is_some_and(|stored| {
@@ -131,13 +131,13 @@
         })
     }
 
-    /// Whether it holds a case that has been cleared since.
+    /// Whether the row has a case that was cleared since.
     fn has_cleared(&self, router: &Router) -> bool {
         let standing = |case: &Case| router.quarantine.standing(&case.fingerprint, router.now());
         self.cases.iter().any(|case| standing(case) == Standing::Free)
     }
 
-    /// Takes in the row as the store has it.
+    /// Applies the row as the store returned it.
     fn load(&mut self, router: &Router, row: Option<&Row>) {
         self.version = row.map_or(0, |row| row.version);
         let doc = match row.map(|row| serde_json::from_slice::<RowDoc>(&row.value)) {
@@ -153,7 +153,7 @@
     }
 }
 
-/// Keeps the store's row and this entry's cases the same, for ever.
+/// Keeps the store's row and this entry's quarantine in sync, forever.
 pub(crate) async fn sync_row(
     router: &Arc<Router>,
     store: &StoreClient,
@@ -166,7 +166,8 @@
         let is_restored =
             stored.as_ref().is_some_and(|stored: &StoredRow| stored.era < router.views.era());
         if is_restored {
-            // The row may lack what was refused since the copy; who is named first writes it again.
+            // The restored row may lack requests that were refused since the copy; the first listed
+            // seed writes them again.
             stored = None;
             sleep(write_delay(router)).await;
         }
@@ -196,22 +197,22 @@
             }
             Some((fingerprint, answer)) = trials.recv() => {
                 let may = claim_trial(router, store, &mut stored, &fingerprint).await;
-                // A caller that has left needs no answer.
+                // The caller may have left in the meantime.
                 let _ = answer.send(may);
             }
         }
     }
 }
 
-/// Waits a moment for another entry to report what is refused.
+/// Waits briefly for another entry to report refused requests.
 async fn wait_for_link(router: &Router) {
     if router.may_follow() {
         let _ = timeout(FIRST_LINK_WAIT, router.link.wait_until_current()).await;
     }
 }
 
-/// Entries other than the first seed leave the writing to those named before them, and write what these
-/// have not.
+/// Delay before writing. Entries other than the first seed leave the write to the seeds listed
+/// before them, and only write what those have not written.
 fn write_delay(router: &Router) -> Duration {
     let settings = router.settings.load();
     let rank = settings.seeds.iter().position(|seed| Some(*seed) == settings.peer);
@@ -219,7 +220,7 @@
     WRITE_STAGGER * u32::try_from(before).unwrap_or(u32::MAX).min(8)
 }
 
-/// Reads the row.
+/// Reads and applies the row.
 async fn read_row(
     router: &Router,
     store: &StoreClient,
@@ -234,7 +235,7 @@
     let Rows { rows, now, version } = rows?;
     let clocks =
         ClockPair { store: now, own: router.now(), error: router.now().saturating_sub(asked) };
-    // A call that took long compares the clocks badly; the one before is as good.
+    // A slow call compares the clocks inaccurately, so a faster earlier comparison is kept.
     let before = stored.as_ref().map(|stored| stored.clocks);
     let clocks = before.filter(|before| before.error < clocks.error).unwrap_or(clocks);
     let row = rows.iter().find(|row| &*row.key == ROW_KEY && !row.is_removed);
@@ -247,8 +248,8 @@
     Ok(())
 }
 
-/// Writes what the row does not say yet: what is refused, and all that is suspected where nobody else learns of
-/// it.
+/// Writes what the row lacks: refused requests, and on an isolated entry also suspected ones, which
+/// no other entry would learn of otherwise.
 async fn write_changes(
     router: &Router,
     store: &StoreClient,
@@ -267,7 +268,7 @@
         if has_none() || stored.as_ref().is_some_and(is_current) {
             return Ok(());
         }
-        // Another entry may have written it meanwhile.
+        // Another entry may have written the row in the meantime.
         read_row(router, store, stored).await?;
         if stored.as_ref().is_some_and(is_current) || write_row(router, store, stored).await? {
             return Ok(());
@@ -276,7 +277,7 @@
     Ok(())
 }
 
-/// Writes all cases over the row as it was last read; false when it has changed since.
+/// Replaces the row with all known cases. Returns false if it has changed since it was read.
 async fn write_row(
     router: &Router,
     store: &StoreClient,
@@ -288,7 +289,7 @@
     let mut cases = router.quarantine.cases(!router.is_isolated(), router.now());
     cases.truncate(MAX_CASES);
     let doc = RowDoc { cases: cases.iter().map(|case| stored.encode(case)).collect() };
-    let value = serde_json::to_vec(&doc).expect("a document of texts and numbers can be written");
+    let value = serde_json::to_vec(&doc).expect("strings and numbers serialize to JSON");
     let put = Put { table: Table::Own, key: ROW_KEY.into(), expected: stored.version, value };
     router.metrics.count_store_call("quarantine");
     let outcome = store.write(&[put], stored.era).await;
@@ -306,8 +307,8 @@
     }
 }
 
-/// Takes a refused request's trial for this entry, if it is due and no other one has taken it. The row is read
-/// first and written under a condition, so one trial is made over all entries.
+/// Claims the trial of a refused request for this entry if it is due and not yet claimed. The row
+/// is read first and written conditionally, so only one entry makes the trial.
 async fn claim_trial(
     router: &Router,
     store: &StoreClient,
--- a/src/router/roll_out.rs
+++ b/src/router/roll_out.rs
@@ -1,8 +1,8 @@
-//! Roll-outs: which version a request runs on, the evidence on a new version, and the verdict.
+//! Roll-outs: which version runs a request, the evidence on a new version, and the verdict.
 //!
-//! Every entry judges by its own evidence and keeps a bad version from its own requests at once.
-//! The verdict is written to the store under a condition, so that it is given once, whoever
-//! writes it; no lease is needed (docs/decisions/0008).
+//! Every entry evaluates its own evidence and immediately stops sending its requests to a bad
+//! version. The verdict is a conditional write to the store, so it is given once, whichever entry
+//! writes it, and no lease is needed (docs/decisions/0008).
 
 use std::{
     collections::HashMap,
@@ -24,33 +24,34 @@
     telemetry::{Metrics, event, metrics::EvidenceLabels},
 };
 
-/// Time in which the silences of one server count once: one long prompt may hold up many streams.
+/// Time in which several timeouts of one server count once: one long prompt may delay many streams.
 const TIMEOUT_DEDUP_WINDOW: Duration = Duration::from_secs(2);
-/// Servers whose silence is remembered before old ones are forgotten.
+/// Number of servers with recorded timeouts from which expired ones are removed.
 const MAX_TIMEOUTS: usize = 4_096;
 
-/// What became of a run, as evidence on its version. Failures and slowness are tested apart:
-/// healthy servers are slow now and then beside long prompts, and seldom fail.
+/// Outcome of an attempt that ran, as evidence on its version. Failures and slowness are tested
+/// separately: healthy servers are occasionally slow next to long prompts, but rarely fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunOutcome {
-    /// Whole and not slow.
+    /// Complete and not slow.
     Good,
-    /// It failed or broke off.
+    /// Failed or interrupted.
     Failed,
-    /// It took several times longer than such runs do.
+    /// Several times slower than usual.
     Slow,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     roll_outs: HashMap<Box<str>, RollOut>,
-    /// Orders that were withdrawn, by service: a store that comes back from a copy may still have them.
+    /// Withdrawn orders by service. A store that is restored from an older copy may still have
+    /// them.
     withdrawn: HashMap<Box<str>, RollOutOrder>,
-    /// When a server's silence was last counted.
+    /// When a timeout of each server was last counted.
     timeouts: HashMap<Box<str>, Duration>,
 }
 
-/// All roll-outs; shared by both threads.
+/// All roll-outs, shared by the control and the traffic thread.
 #[derive(Debug)]
 pub struct RollOuts {
     inner: Arc<Mutex<Inner>>,
@@ -59,7 +60,7 @@
 }
 
 impl RollOuts {
-    /// No roll-outs yet; their shares will grow by these terms.
+    /// No roll-outs; `terms` set how the share of a new version grows.
     pub fn new(terms: ExposureTerms) -> Self {
         Self { inner: Arc::default(), terms, order_found: Notify::new() }
     }
@@ -68,8 +69,8 @@
         self.inner.lock().expect("no panics under the lock")
     }
 
-    /// Takes in an order, which an entry that starts may have found; one already known keeps its
-    /// evidence. Whether it is new.
+    /// Adds an order and returns whether it is new. `is_found` marks one that was there when the
+    /// entry started. A known order keeps its evidence.
     pub(crate) fn add_order(&self, order: RollOutOrder, now: Duration, is_found: bool) -> bool {
         let mut inner = self.lock();
         if let Some(known) = inner.roll_outs.get_mut(&order.service) {
@@ -89,30 +90,30 @@
         true
     }
 
-    /// Waits until an order is found whose state has to be learned.
+    /// Waits until an order is found whose progress has to be read.
     pub(crate) async fn wait_until_found(&self) {
         self.order_found.notified().await;
     }
 
-    /// Whether an order was found after this time and nothing is known yet of how far it got.
+    /// Whether an order was found after `found_after` and its progress is still unknown.
     pub(crate) fn has_unknown(&self, found_after: Duration) -> bool {
         let is_new = |r: &RollOut| r.found_at.is_some_and(|at| at > found_after);
         self.lock().roll_outs.values().any(|r| r.is_unknown() && is_new(r))
     }
 
-    /// Whether this order was found and nothing is known yet of how far its roll-out got.
+    /// Whether this order was found when the entry started and its progress is still unknown.
     pub(crate) fn is_unknown(&self, order: &RollOutOrder) -> bool {
         self.lock().roll_outs.get(&order.service).is_some_and(RollOut::is_unknown)
     }
 
-    /// Notes that it is known how far an order's roll-out got.
+    /// Marks the progress of a found order as known.
     pub(crate) fn mark_known(&self, order: &RollOutOrder) {
         if let Some(roll_out) = self.lock().roll_outs.get_mut(&order.service) {
             roll_out.found_at = None;
         }
     }
 
-    /// Forgets the roll-out of a service.
+    /// Removes the roll-out of a service.
     pub(crate) fn withdraw(&self, service: &str) {
         let mut inner = self.lock();
         if let Some(roll_out) = inner.roll_outs.remove(service) {
@@ -120,27 +121,28 @@
         }
     }
 
-    /// Whether this order is one that was withdrawn in an earlier era.
+    /// Whether this order is the same as one that was withdrawn before the store was restored from
+    /// an older copy.
     pub(crate) fn was_withdrawn(&self, order: &RollOutOrder) -> bool {
         let inner = self.lock();
         inner.withdrawn.get(&order.service).is_some_and(|known| order.is_again(known))
     }
 
-    /// Roll-outs that have ended, and how.
+    /// Orders of roll-outs that have ended, and their progress.
     pub(crate) fn ended(&self) -> Vec<(RollOutOrder, Progress)> {
         let inner = self.lock();
         let ended = inner.roll_outs.values().filter(|r| r.progress != Progress::Running);
         ended.map(|r| (r.order.clone(), r.progress)).collect()
     }
 
-    /// Time since a roll-out began, where the store reported when.
+    /// Time since the roll-out began; none if the store has not reported when it began.
     pub(crate) fn reported_age(&self, order: &RollOutOrder, now: Duration) -> Option<Duration> {
         let inner = self.lock();
         let roll_out = inner.roll_outs.get(&order.service).filter(|r| r.is_start_reported)?;
         Some(roll_out.age(now))
     }
 
-    /// Takes in what the store says about an order: when it began and how far it got.
+    /// Applies what the store has about an order: when it began and its progress.
     pub(crate) fn apply_store_state(
         &self,
         service: &str,
@@ -163,26 +165,26 @@
         }
     }
 
-    /// All orders known.
+    /// All known orders.
     pub(crate) fn orders(&self) -> Vec<RollOutOrder> {
         self.lock().roll_outs.values().map(|r| r.order.clone()).collect()
     }
 
-    /// Time since a roll-out began, as far as this entry knows.
+    /// Time since the roll-out began, as far as this entry knows.
     pub(crate) fn age(&self, order: &RollOutOrder, now: Duration) -> Duration {
         let inner = self.lock();
         let roll_out = inner.roll_outs.get(&order.service);
         roll_out.map(|r| r.age(now)).unwrap_or_default()
     }
 
-    /// Orders that are still under way.
+    /// Orders of roll-outs in progress.
     pub(crate) fn running(&self) -> Vec<RollOutOrder> {
         let inner = self.lock();
         let running = inner.roll_outs.values().filter(|r| r.progress == Progress::Running);
         running.map(|r| r.order.clone()).collect()
     }
 
-    /// Which versions may run a request now.
+    /// Rule for the versions that may run a request now.
     pub(crate) fn version_rule(
         &self,
         service: &str,
@@ -194,8 +196,8 @@
         roll_out.map_or(VersionRule::Any, |roll_out| roll_out.version_rule(head, now, &self.terms))
     }
 
-    /// Logs a session's request that is sent to a version on trial, so that the lines of all
-    /// entries show when a session came to it.
+    /// Logs a request of a session that is sent to a version on trial. The logs of all entries then
+    /// show when the session first reached that version.
     pub(crate) fn log_trial_session(
         &self,
         server: &BackendServer,
@@ -219,7 +221,7 @@
         ));
     }
 
-    /// Notes what became of an attempt that ran.
+    /// Records the outcome of an attempt that ran.
     pub(crate) fn record_outcome(&self, server: &BackendServer, outcome: RunOutcome) {
         let mut inner = self.lock();
         let Some(roll_out) = inner.roll_outs.get_mut(&server.service) else {
@@ -234,8 +236,8 @@
         roll_out.evaluate();
     }
 
-    /// Notes that a server did not answer in time. All that wait for a server time out together,
-    /// so such failures of one server count once in a while.
+    /// Records that a server did not answer in time. All requests that wait for a server time out
+    /// together, so its timeouts within [`TIMEOUT_DEDUP_WINDOW`] count as one failure.
     pub(crate) fn record_timeout(&self, server: &BackendServer, now: Duration) {
         {
             let mut inner = self.lock();
@@ -253,14 +255,14 @@
         self.record_outcome(server, RunOutcome::Failed);
     }
 
-    /// What this entry has seen of the roll-outs under way, to be reported.
+    /// This entry's evidence on the roll-outs in progress, for its next report.
     pub(crate) fn evidence(&self) -> Vec<VersionEvidence> {
         let inner = self.lock();
         let running = inner.roll_outs.values().filter(|r| r.progress == Progress::Running);
         running.map(RollOut::evidence).collect()
     }
 
-    /// Takes in what another entry has seen, and judges by all of it.
+    /// Stores another entry's evidence and evaluates the evidence of all entries.
     pub(crate) fn apply_evidence(&self, host: &str, all: Vec<VersionEvidence>) {
         let mut inner = self.lock();
         for evidence in all {
@@ -281,14 +283,14 @@
         roll_out.is_some_and(|r| r.progress == Progress::Running && r.order.to == server.version)
     }
 
-    /// Notes that servers of a version are in view.
+    /// Records that the fleet has servers of a version.
     pub(crate) fn record_servers(&self, service: &str, version: &str) {
         if let Some(roll_out) = self.lock().roll_outs.get_mut(service) {
             roll_out.has_servers |= *roll_out.order.to == *version;
         }
     }
 
-    /// Shows the evidence as metrics.
+    /// Updates the metrics of the evidence.
     pub(crate) fn update_metrics(&self, metrics: &Metrics) {
         let inner = self.lock();
         for roll_out in inner.roll_outs.values() {
@@ -311,7 +313,7 @@
         }
     }
 
-    /// Part of the state dump.
+    /// The roll-outs section of the state dump.
     pub(crate) fn dump(&self) -> Value {
         let inner = self.lock();
         let describe = |r: &RollOut| {
--- a/src/router/roll_out_driver.rs
+++ b/src/router/roll_out_driver.rs
@@ -1,4 +1,5 @@
-//! Driving roll-outs in the store: their begin, their end, and what other entries said of them.
+//! Driver of roll-outs in the store: writes their start and verdict, and reads those of other
+//! entries.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -17,37 +18,37 @@
     telemetry::event,
 };
 
-/// Time between looks at what this entry can say about roll-outs.
+/// Interval between checks for new orders and verdicts.
 const DRIVE_INTERVAL: Duration = Duration::from_millis(200);
-/// Rest after a verdict or an end that could not be written: each call is paid for, and this entry already
-/// keeps to it.
+/// Pause after a verdict or an end could not be written. Each call is billed, and this entry
+/// already acts on the verdict.
 const WRITE_RETRY_PAUSE: Duration = Duration::from_secs(1);
-/// Such looks between reads of what other entries said: a bad version may get requests for 5 s
-/// after its fiftieth bad answer, and each entry finds it on its own, too.
+/// Number of checks between reads of other entries' verdicts. A bad version may receive requests
+/// for 5 s after its fiftieth bad answer, and each entry also detects it on its own.
 const DRIVES_PER_READ: u32 = 8;
 
-/// Time that an entry which follows another one leaves to those that follow the store for noting the
-/// begin of a roll-out: they look each [`DRIVE_EVERY`], and a process starts in under a second.
+/// Time that a follower leaves to the entries that read the store for writing the start of a
+/// roll-out. Those check every [`DRIVE_INTERVAL`], and a process starts in less than a second.
 const FOLLOWER_START_DELAY: Duration = Duration::from_secs(2);
 
-/// Our own row about a roll-out.
+/// Row with the start of a roll-out in this system's own table.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct RollOutRow {
-    /// Order it is about.
+    /// Revision of the roll-out's order.
     revision: Revision,
-    /// Era of that order.
+    /// Era of the order.
     #[serde(default)]
     era: Era,
-    /// When it began, on the store's clock.
+    /// When it began, in milliseconds on the store's clock.
     began_ms: u64,
 }
 
-/// What is known of the store's rows about roll-outs.
+/// Known rows of the store about roll-outs.
 #[derive(Debug, Default)]
 struct KnownRows {
-    /// Era that all of this is of: versions are given out again in the next one.
+    /// Era of the rows. The next era reuses their versions.
     era: Era,
-    /// Versions of the rows, 0 where there is none.
+    /// Rows by service, each with its version, which is 0 if there is no row.
     status: HashMap<Box<str>, (Revision, RollOutStatus)>,
     own: HashMap<Box<str>, (Revision, RollOutRow)>,
 }
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Progress that the store has of an order; none when it has not been begun.
+    /// Progress of an order in the store and when it began; none if it has not been started.
     fn progress(&self, order: &RollOutOrder) -> Option<(Progress, u64)> {
         let (_, own) = self.own.get(&order.service)?;
         if (StoreVersion { era: own.era, revision: own.revision }) != order.revision {
@@ -87,7 +88,7 @@
         Some((status.progress, own.began_ms))
     }
 
-    /// Forgets all where the store came back from an older copy; whether it did.
+    /// Moves to a newer era and discards all rows of the old one. Returns whether the era is newer.
     fn enter_era(&mut self, era: Era) -> bool {
         let is_new = era > self.era;
         if is_new {
@@ -105,7 +106,7 @@
     }
 }
 
-/// Drives roll-outs: notes their begin in the store, gives verdicts and learns of others'.
+/// Drives roll-outs: writes their start to the store, gives verdicts and reads those of others.
 pub(crate) async fn drive_roll_outs(router: &Router, store: &StoreClient) {
     let mut known = KnownRows::default();
     let mut started: HashMap<Box<str>, StoreVersion> = HashMap::new();
@@ -114,7 +115,8 @@
     let mut drives = 0;
     let (mut verdict_pause_until, mut ends_pause_until) = (Duration::ZERO, Duration::ZERO);
     loop {
-        // What an entry that starts finds has to be known before requests are answered by it.
+        // The progress of an order that a starting entry finds must be known before the entry
+        // answers requests, so finding one ends the wait early.
         let _ = timeout(DRIVE_INTERVAL, router.roll_outs.wait_until_found()).await;
         drives += 1;
         apply_link_updates(router, &mut known);
@@ -137,7 +139,7 @@
         if router.now() < verdict_pause_until {
             continue;
         }
-        // A verdict by what was seen before a suspension may be overtaken.
+        // Evidence from before a suspension may be outdated.
         if !router.is_view_fresh() {
             continue;
         }
@@ -151,8 +153,8 @@
     }
 }
 
-/// Sees to it that the begin of each order is in the store, and learns how far those got that this
-/// entry found as it started.
+/// Ensures that the start of each order is in the store, and reads the progress of the orders that
+/// this entry found when it started.
 async fn ensure_started(
     router: &Router,
     store: &StoreClient,
@@ -170,8 +172,9 @@
         let progress = known.progress(&order).map(|(progress, _)| progress);
         let (is_reported, has_ended) =
             (progress.is_some(), progress.is_some_and(|p| p != Progress::Running));
-        // What another entry reports may be older than the end, so an entry that starts asks the store
-        // unless it is informed of the end, and makes do with what is reported only where the store is away.
+        // The row that another entry forwards may be older than the end of the roll-out. So a
+        // starting entry asks the store, unless the forwarded row has the end, and uses the
+        // forwarded progress only if the store is unreachable.
         let is_known = is_reported && (has_ended || !is_unknown);
         let is_started = is_known || try_start(router, store, known, &order).await;
         if is_started {
@@ -184,7 +187,8 @@
     }
 }
 
-/// Whether the store answered about the begin of an order; it is asked again at the next look.
+/// Ensures that an order is started. Returns whether the store answered; otherwise the next check
+/// retries.
 async fn try_start(
     router: &Router,
     store: &StoreClient,
@@ -193,13 +197,13 @@
 ) -> bool {
     let outcome = start_order(router, store, known, order).await;
     if outcome.is_err() {
-        // The feeds log that the store is away.
+        // The feeds log that the store is unreachable.
         router.metrics.count_store_error("roll_out");
     }
     outcome.is_ok()
 }
 
-/// Learns what the entry that is followed passed on about roll-outs.
+/// Applies rows about roll-outs that the followed entry forwarded.
 fn apply_link_updates(router: &Router, known: &mut KnownRows) {
     for table in [Table::Own, Table::Status] {
         while let Some(update) = router.link.take(table) {
@@ -216,7 +220,7 @@
     }
 }
 
-/// Learns what other entries said about the roll-outs that are under way.
+/// Reads other entries' verdicts on the roll-outs in progress.
 async fn read_verdicts(
     router: &Router,
     store: &StoreClient,
@@ -236,12 +240,12 @@
             router.views.update(Table::Status, &rows, true);
             running.iter().for_each(|order| apply_known(router, known, order, rows.now));
         }
-        // The feeds report a store that is away; the next look comes soon.
+        // The feeds log that the store is unreachable, and the next check follows soon.
         Err(_) => router.metrics.count_store_error("status"),
     }
 }
 
-/// Reads what the store has about roll-outs and, if nothing about this one, writes its begin.
+/// Reads the store's rows and writes the start of an order if it is missing.
 async fn start_order(
     router: &Router,
     store: &StoreClient,
@@ -257,9 +261,9 @@
     Ok(())
 }
 
-/// Writes how far the roll-outs got that have ended, where the store lost that as it came back from a copy: an
-/// entry that starts would take them as under way. Whether the store has all of them; not where another write came
-/// first, which may have said something else.
+/// Writes the state of ended roll-outs that the store lost when it was restored from an older copy:
+/// a starting entry would consider them in progress. Returns whether the store has all of them now;
+/// false if another entry wrote first, since its row may differ.
 async fn rewrite_ends(
     router: &Router,
     store: &StoreClient,
@@ -279,7 +283,8 @@
     Ok(are_all_written)
 }
 
-/// Writes when a roll-out began and how far it got, unless another entry did; whether it was written.
+/// Writes the start and progress of a roll-out, unless another entry has. Returns whether it was
+/// written.
 async fn write_state(
     router: &Router,
     store: &StoreClient,
@@ -288,7 +293,7 @@
     store_now: Duration,
     progress: Progress,
 ) -> crate::platform::Result<bool> {
-    // One that is known to have begun before goes on where it was.
+    // A roll-out that is known to have begun earlier keeps its start.
     let age = router.roll_outs.reported_age(order, router.now()).unwrap_or_default();
     let StoreVersion { era, revision } = order.revision;
     let began_ms = store_now.saturating_sub(age).as_millis() as u64;
@@ -300,7 +305,7 @@
             table: Table::Own,
             key: key.clone(),
             expected: known.own_version(&order.service),
-            value: serde_json::to_vec(&row).expect("a row of numbers can be written"),
+            value: serde_json::to_vec(&row).expect("numbers serialize to JSON"),
         },
         Put {
             table: Table::Status,
@@ -315,7 +320,7 @@
     Ok(is_written)
 }
 
-/// Reads what the store has about roll-outs; its clock.
+/// Reads all rows about roll-outs; returns the time on the store's clock.
 async fn read_rows(
     router: &Router,
     store: &StoreClient,
@@ -325,12 +330,12 @@
     let own = store.read(Table::Own).await?;
     let status = store.read(Table::Status).await?;
     if known.era > own.version.era.min(status.version.era) {
-        return Err(Error::Unreadable("the store came back from a copy".into()));
+        return Err(Error::Unreadable("the store was restored from an older copy".into()));
     }
     known.enter_era(own.version.era);
     if known.enter_era(status.version.era) {
-        // Read in two eras: what was read first holds no more.
-        return Err(Error::Unreadable("the store came back from a copy".into()));
+        // The two tables were read in different eras, so the first result is outdated.
+        return Err(Error::Unreadable("the store was restored from an older copy".into()));
     }
     own.rows.iter().chain(&status.rows).for_each(|row| known.record(row));
     router.views.update(Table::Own, &own, true);
@@ -338,7 +343,7 @@
     Ok(status.now)
 }
 
-/// Takes over what the store has of an order.
+/// Applies the store's state of an order.
 fn apply_known(router: &Router, known: &KnownRows, order: &RollOutOrder, store_now: Duration) {
     let Some((progress, began_ms)) = known.progress(order) else {
         return;
@@ -348,7 +353,7 @@
     router.roll_outs.apply_store_state(&order.service, order.revision, Some(began), progress);
 }
 
-/// Writes a verdict, unless another entry has given one.
+/// Writes a verdict, unless another entry has written one.
 async fn write_verdict(
     router: &Router,
     store: &StoreClient,
@@ -373,7 +378,7 @@
             let progress = verdict.status.progress;
             router.roll_outs.apply_store_state(&order.service, order.revision, None, progress);
             if router.is_seed() || router.views.has_subscribers() {
-                // Those that follow this entry, now or later, learn of the verdict.
+                // Forwards the verdict to current and future followers.
                 read_rows(router, store, known).await?;
             }
         }
--- a/src/router/roll_out_state.rs
+++ b/src/router/roll_out_state.rs
@@ -1,4 +1,5 @@
-//! One roll-out as an entry sees it: whom its version serves, what speaks against it, and how it ends.
+//! State of one roll-out on an entry: which requests the new version runs, the evidence, and the
+//! verdict.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -20,21 +21,21 @@
     telemetry::event,
 };
 
-/// Rise of the failure rate that makes a version bad, and the chance of a false verdict. Bad
-/// versions fail a third of their requests and more. A good version taken back costs a roll-out,
-/// a bad one found late breaks a promise, so the chance is not made small.
+/// Rise of the failure rate that makes a version bad, and the probability of a false verdict. Bad
+/// versions fail a third of their requests or more. Rolling back a good version costs a roll-out,
+/// while finding a bad one late breaks a service promise, so the probability is not set very low.
 const GUARD: Guard = Guard { step_samples: 1, tolerated_rise: 0.15, false_hold: 0.1 };
-/// Answers of the new version, to all entries together, without which a roll-out is not completed. An
-/// entry that waits for so many of its own completes a good version a second or two late.
+/// Answers of the new version, over all entries, that are required to complete a roll-out. Waiting
+/// for that many answers on a single entry completed good versions one or two seconds late.
 const MIN_ANSWERS: u64 = 20;
 
-/// What one entry has seen of a roll-out's two versions.
+/// Evidence of one entry on both versions of a roll-out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct VersionEvidence {
     pub(super) service: Box<str>,
-    /// Order it is about.
+    /// Revision of the roll-out's order.
     pub(super) revision: Revision,
-    /// Era of the order; not reported where the store never came back from a copy.
+    /// Era of the order; omitted while the store has never been restored from an older copy.
     #[serde(default, skip_serializing_if = "is_first")]
     pub(super) era: Era,
     pub(super) old: Evidence,
@@ -42,45 +43,45 @@
 }
 
 impl VersionEvidence {
-    /// The order it is about.
+    /// Version of the roll-out's order.
     pub(super) fn order(&self) -> StoreVersion {
         StoreVersion { era: self.era, revision: self.revision }
     }
 }
 
-/// What the driver should write to the store.
+/// A verdict to be written to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Verdict {
     pub(crate) order: RollOutOrder,
     pub(crate) status: RollOutStatus,
 }
 
-/// One roll-out as this entry sees it.
+/// State of one roll-out.
 #[derive(Debug)]
 pub(super) struct RollOut {
     pub(super) order: RollOutOrder,
-    /// When it began, on the entry's clock.
+    /// When it began, on this entry's clock.
     pub(super) began: Duration,
     /// Whether the store reported when it began.
     pub(super) is_start_reported: bool,
-    /// When this entry found it as it started, until it has learned how far it got.
+    /// When this entry found the order while starting; none once the progress is known.
     pub(super) found_at: Option<Duration>,
     pub(super) progress: Progress,
-    /// Whether the evidence, our own or that of all entries, says that the version is bad.
+    /// Whether the evidence of this entry or of all entries shows that the version is bad.
     pub(super) is_held: bool,
     pub(super) old: Evidence,
     pub(super) new: Evidence,
     pub(super) test: VersionTest,
-    /// The test on the evidence of all entries, where this one is informed of it.
+    /// Test on the evidence of all entries, as far as it was reported to this one.
     pub(super) pooled_test: VersionTest,
-    /// Evidence of the other entries, by Host.
+    /// Evidence of other entries by Host.
     pub(super) others: HashMap<Box<str>, VersionEvidence>,
-    /// Whether servers of the new version were seen.
+    /// Whether the fleet has had servers of the new version.
     pub(super) has_servers: bool,
 }
 
 impl RollOut {
-    /// An order that has just been seen, or found by an entry that starts.
+    /// A roll-out that begins now. `is_found` marks an order that was there when the entry started.
     pub(super) fn new(order: RollOutOrder, now: Duration, is_found: bool) -> Self {
         Self {
             order,
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Which versions may run a request now.
+    /// Rule for the versions that may run a request now.
     pub(super) fn version_rule(
         &self,
         head: &RequestHead,
@@ -121,7 +122,7 @@
         if takes_new(head.session_key(), &self.order.to, share) { new } else { old }
     }
 
-    /// Whether it is not known yet how far it got; an end that is known stands.
+    /// Whether the progress is still unknown; a known end is final.
     pub(super) fn is_unknown(&self) -> bool {
         self.found_at.is_some() && self.progress == Progress::Running
     }
@@ -131,7 +132,8 @@
         now.saturating_sub(self.began)
     }
 
-    /// Whether only a trial's share of the requests runs on the new version.
+    /// Whether it is in the trial phase, in which only a small share of the requests runs on the
+    /// new version.
     pub(super) fn is_on_trial(&self, now: Duration, terms: &ExposureTerms) -> bool {
         let is_running = self.progress == Progress::Running;
         is_running && !is_beyond_trial(self.age(now), self.order.within, terms)
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Evidence of all entries on the old and the new version, as far as it is known here.
+    /// Evidence of all entries on the old and on the new version, as far as it was reported here.
     pub(super) fn pooled(&self) -> (Evidence, Evidence) {
         let sum = |(old, new): (Evidence, Evidence), other: &VersionEvidence| {
             (old.plus(other.old), new.plus(other.new))
@@ -160,7 +162,7 @@
         }
     }
 
-    /// Keeps the version from requests, by the evidence of so many entries.
+    /// Stops sending requests to the new version, based on the evidence of this number of entries.
     fn hold(&mut self, entries: usize, old: Evidence, new: Evidence) {
         if std::mem::replace(&mut self.is_held, true) {
             return;
@@ -188,7 +190,7 @@
         }
     }
 
-    /// Whether the version may be called good.
+    /// Whether there is enough evidence that the version is good.
     fn is_proven_good(&self) -> bool {
         let tests = [&self.test, &self.pooled_test];
         let (_, new) = self.pooled();
