--- a/src/router/load_reports.rs
+++ b/src/router/load_reports.rs
@@ -144,8 +144,8 @@
         let inner = self.lock();
         let fresh = inner.reports.iter().filter(|(_, report)| report.is_fresh(now));
         let others = fresh.map(|(host, report)| Sharer { host, is_settled: report.is_settled });
-        let seen: Vec<_> = others.chain([own]).collect();
-        place_among(host, &seen)
+        let sharers: Vec<_> = others.chain([own]).collect();
+        place_among(host, &sharers)
     }
 
     /// Sum of all reports, including this entry's own.
--- a/src/router/orders.rs
+++ b/src/router/orders.rs
@@ -83,10 +83,10 @@
     match change {
         OperatorChange::Configuration(table) => apply_configuration(router, *table),
         OperatorChange::RollOut(order) => {
-            let reported =
+            let details =
                 format!("service={} to={} within={:?}", order.service, order.to, order.within);
             if router.roll_outs.add_order(order, router.now(), is_start) {
-                event::ROLL_OUT_ORDERED.log(format_args!("{reported}"));
+                event::ROLL_OUT_ORDERED.log(format_args!("{details}"));
                 note_versions(router);
             }
         }
--- a/src/router/peer_follower.rs
+++ b/src/router/peer_follower.rs
@@ -58,8 +58,8 @@
     /// another seed's. A seed that was left because of its zone is followed when its turn comes
     /// again, since the others may be gone.
     fn needs_zone_check(&self, peer: SocketAddr, others: &[SocketAddr]) -> bool {
-        let is_new = |seed: &SocketAddr| !self.zones.contains_key(seed);
-        is_new(&peer) && others.iter().any(|seed| *seed != peer && is_new(seed))
+        let is_unknown = |seed: &SocketAddr| !self.zones.contains_key(seed);
+        is_unknown(&peer) && others.iter().any(|seed| *seed != peer && is_unknown(seed))
     }
 }
 
@@ -112,8 +112,8 @@
     grace: Duration,
 ) -> Result<LeaveReason> {
     let mut wakes = router.clock.wakes();
-    let opening = Instant::now() + OPEN_TIMEOUT;
-    let mut socket = timeout_at(opening, connect(peer)).await.map_err(|_| timed_out())??;
+    let deadline = Instant::now() + OPEN_TIMEOUT;
+    let mut socket = timeout_at(deadline, connect(peer)).await.map_err(|_| timed_out())??;
     let StoreVersion { era, revision: version } = router.views.oldest_version();
     let own_zone = router.settings.load().zone.clone();
     let only_in = requires_own_zone.then(|| own_zone.clone());
--- a/src/router/peers.rs
+++ b/src/router/peers.rs
@@ -103,7 +103,7 @@
             let version = StoreVersion { era, revision: version };
             serve_follower(router, socket, version, only_in.as_deref(), &host).await
         }
-        PeerRequest::Report { host, report } => take_reports(router, socket, &host, report).await,
+        PeerRequest::Report { host, report } => serve_reporter(router, socket, &host, report).await,
     }
 }
 
@@ -121,7 +121,7 @@
 }
 
 /// Applies an entry's reports and sends it urgent updates until it closes the link.
-async fn take_reports(
+async fn serve_reporter(
     router: &Router,
     mut socket: Socket,
     host: &str,
@@ -164,9 +164,9 @@
     host: &str,
 ) -> Result<()> {
     let zone = router.settings.load().zone.clone();
-    let is_wanted = only_in.is_none_or(|wanted| *wanted == *zone);
+    let is_zone_accepted = only_in.is_none_or(|wanted| *wanted == *zone);
     send_message(&mut socket, &PeerMessage::Welcome { zone }).await?;
-    if !is_wanted {
+    if !is_zone_accepted {
         return Ok(());
     }
     let (mut updates, mut changes) = router.views.subscribe(version);
@@ -187,7 +187,7 @@
         let entries = router.loads.entry_count(router.now());
         let place = router.place_of(host);
         let is_informed = router.quarantine.is_informed();
-        let beat = PeerMessage::Beat {
+        let heartbeat = PeerMessage::Beat {
             is_current,
             updates,
             entries,
@@ -198,7 +198,7 @@
             is_informed,
             limits,
         };
-        send_message(&mut socket, &beat).await?;
+        send_message(&mut socket, &heartbeat).await?;
         updates = tokio::select! {
             update = changes.recv() => match update {
                 Ok(update) => vec![update],
--- a/src/router/quarantine_row.rs
+++ b/src/router/quarantine_row.rs
@@ -98,12 +98,12 @@
     }
 
     fn decode(&self, doc: &CaseDoc) -> Option<Case> {
-        let end = |(life, ms): &(Box<str>, u64)| {
+        let parse_end = |(life, ms): &(Box<str>, u64)| {
             Some((LifeHash::from_str_radix(life, 16).ok()?, self.to_own(*ms)))
         };
         Some(Case {
             fingerprint: Fingerprint(u128::from_str_radix(&doc.fingerprint, 16).ok()?),
-            ends: doc.ends.iter().filter_map(end).collect(),
+            ends: doc.ends.iter().filter_map(parse_end).collect(),
             trials: doc.trials,
             tried_at: if doc.trials > 0 { self.to_own(doc.tried_ms) } else { Duration::ZERO },
         })
@@ -122,8 +122,8 @@
 
     /// Whether the row has everything that is known of a case.
     fn covers(&self, case: &Case) -> bool {
-        let of_same = self.cases.iter().find(|stored| stored.fingerprint == case.fingerprint);
-        of_same.is_some_and(|stored| {
+        let same_case = self.cases.iter().find(|stored| stored.fingerprint == case.fingerprint);
+        same_case.is_some_and(|stored| {
             let is_stored = |life: &LifeHash| stored.ends.iter().any(|(known, _)| known == life);
             let is_enough = stored.ends.len() >= MAX_ENDS;
             stored.trials >= case.trials
@@ -196,9 +196,9 @@
                 }
             }
             Some((fingerprint, answer)) = trials.recv() => {
-                let may = claim_trial(router, store, &mut stored, &fingerprint).await;
+                let is_granted = claim_trial(router, store, &mut stored, &fingerprint).await;
                 // The caller may have left in the meantime.
-                let _ = answer.send(may);
+                let _ = answer.send(is_granted);
             }
         }
     }
@@ -227,14 +227,14 @@
     stored: &mut Option<StoredRow>,
 ) -> crate::platform::Result<()> {
     router.metrics.count_store_call("quarantine");
-    let asked = router.now();
+    let asked_at = router.now();
     let rows = store.read(Table::Own).await;
     if rows.is_err() {
         router.metrics.count_store_error("quarantine");
     }
     let Rows { rows, now, version } = rows?;
     let clocks =
-        ClockPair { store: now, own: router.now(), error: router.now().saturating_sub(asked) };
+        ClockPair { store: now, own: router.now(), error: router.now().saturating_sub(asked_at) };
     // A slow call compares the clocks inaccurately, so a faster earlier comparison is kept.
     let before = stored.as_ref().map(|stored| stored.clocks);
     let clocks = before.filter(|before| before.error < clocks.error).unwrap_or(clocks);
--- a/src/router/roll_out.rs
+++ b/src/router/roll_out.rs
@@ -97,8 +97,8 @@
 
     /// Whether an order was found after `found_after` and its progress is still unknown.
     pub(crate) fn has_unknown(&self, found_after: Duration) -> bool {
-        let is_new = |r: &RollOut| r.found_at.is_some_and(|at| at > found_after);
-        self.lock().roll_outs.values().any(|r| r.is_unknown() && is_new(r))
+        let is_recent = |r: &RollOut| r.found_at.is_some_and(|at| at > found_after);
+        self.lock().roll_outs.values().any(|r| r.is_unknown() && is_recent(r))
     }
 
     /// Whether this order was found when the entry started and its progress is still unknown.
--- a/src/router/roll_out_driver.rs
+++ b/src/router/roll_out_driver.rs
@@ -19,13 +19,13 @@
 };
 
 /// Interval between checks for new orders and verdicts.
-const DRIVE_INTERVAL: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Pause after a verdict or an end could not be written. Each call is billed, and this entry
 /// already acts on the verdict.
 const WRITE_RETRY_PAUSE: Duration = Duration::from_secs(1);
 /// Number of checks between reads of other entries' verdicts. A bad version may receive requests
 /// for 5 s after its fiftieth bad answer, and each entry also detects it on its own.
-const DRIVES_PER_READ: u32 = 8;
+const CHECKS_PER_READ: u32 = 8;
 
 /// Time that a follower leaves to the entries that read the store for writing the start of a
 /// roll-out. Those check every [`DRIVE_INTERVAL`], and a process starts in less than a second.
@@ -112,13 +112,13 @@
     let mut started: HashMap<Box<str>, StoreVersion> = HashMap::new();
     let mut era = Era::default();
     let mut must_rewrite_ends = false;
-    let mut drives = 0;
+    let mut checks = 0;
     let (mut verdict_pause_until, mut ends_pause_until) = (Duration::ZERO, Duration::ZERO);
     loop {
         // The progress of an order that a starting entry finds must be known before the entry
         // answers requests, so finding one ends the wait early.
-        let _ = timeout(DRIVE_INTERVAL, router.roll_outs.wait_until_found()).await;
-        drives += 1;
+        let _ = timeout(CHECK_INTERVAL, router.roll_outs.wait_until_found()).await;
+        checks += 1;
         apply_link_updates(router, &mut known);
         let now_era = known.era.max(router.views.era());
         if now_era > era {
@@ -132,7 +132,7 @@
             ends_pause_until = router.now() + WRITE_RETRY_PAUSE;
         }
         let follows = router.follows_link();
-        if drives % DRIVES_PER_READ == 0 && !follows {
+        if checks % CHECKS_PER_READ == 0 && !follows {
             read_verdicts(router, store, &mut known, &started).await;
         }
         ensure_started(router, store, &mut known, &mut started).await;
--- a/src/router/seed_reporter.rs
+++ b/src/router/seed_reporter.rs
@@ -30,7 +30,7 @@
 /// Reports to every seed. A seed also applies the sums of all reports to its own fleet.
 pub(crate) async fn report_to_seeds(router: &Arc<Router>) {
     let mut links: JoinSet<()> = JoinSet::new();
-    let mut reported: Vec<SocketAddr> = Vec::new();
+    let mut linked_seeds: Vec<SocketAddr> = Vec::new();
     let (reports, _) = watch::channel(Report::default());
     // Seeds also forward what they receive, since some entries may not reach all seeds.
     let (mut quarantine_changes, mut limit_changes) = if router.is_seed() {
@@ -41,13 +41,13 @@
     loop {
         let settings = router.settings.load_full();
         let others = other_seeds(&settings);
-        if others != reported {
+        if others != linked_seeds {
             links.abort_all();
             for seed in &others {
                 let host = settings.host.clone();
                 links.spawn(report_with_retries(router.clone(), *seed, host, reports.subscribe()));
             }
-            reported = others;
+            linked_seeds = others;
         }
         let fleet = router.fleet.load();
         let evidence = router.roll_outs.evidence();
--- a/src/router/shared_limits.rs
+++ b/src/router/shared_limits.rs
@@ -213,16 +213,16 @@
         if sequence >= inner.next_sequence {
             return (Vec::new(), inner.next_sequence);
         }
-        let news = inner.servers.iter().filter(|(_, known)| known.sequence >= sequence);
-        let mut news: Vec<_> = news.filter(|(_, known)| is_reported(known)).collect();
-        news.sort_unstable_by_key(|(_, known)| known.sequence);
+        let changed = inner.servers.iter().filter(|(_, known)| known.sequence >= sequence);
+        let mut changed: Vec<_> = changed.filter(|(_, known)| is_reported(known)).collect();
+        changed.sort_unstable_by_key(|(_, known)| known.sequence);
         let next =
-            news.get(MAX_PER_MESSAGE).map_or(inner.next_sequence, |(_, known)| known.sequence);
-        news.truncate(MAX_PER_MESSAGE);
+            changed.get(MAX_PER_MESSAGE).map_or(inner.next_sequence, |(_, known)| known.sequence);
+        changed.truncate(MAX_PER_MESSAGE);
         let reported = |(life, known): (&LifeHash, &KnownLimit)| {
             Some(LimitUpdate::encode(*life, known.belief.news()?))
         };
-        (news.into_iter().filter_map(reported).collect(), next)
+        (changed.into_iter().filter_map(reported).collect(), next)
     }
 
     /// The limits section of the state dump.
--- a/src/router/table_views.rs
+++ b/src/router/table_views.rs
@@ -79,7 +79,7 @@
     tables: Mutex<HashMap<Table, TableView>>,
     updates: broadcast::Sender<CompressedUpdate>,
     /// Time of the last message from the entry that this one follows.
-    received_at: Mutex<Duration>,
+    peer_message_at: Mutex<Duration>,
 }
 
 impl Default for TableViews {
@@ -87,7 +87,7 @@
         Self {
             tables: Mutex::default(),
             updates: broadcast::Sender::new(UPDATE_BUFFER),
-            received_at: Mutex::default(),
+            peer_message_at: Mutex::default(),
         }
     }
 }
@@ -122,8 +122,8 @@
                 view.rows.insert(row.key.clone(), row.clone());
             }
         }
-        let has_news = is_whole || !rows.rows.is_empty();
-        if !has_news || !self.has_subscribers() {
+        let has_changes = is_whole || !rows.rows.is_empty();
+        if !has_changes || !self.has_subscribers() {
             return;
         }
         let update = TableUpdate {
@@ -183,12 +183,12 @@
 
     /// Records a message from the entry that this one follows.
     pub(crate) fn record_peer_message(&self, now: Duration) {
-        *self.received_at.lock().expect("no panics under the lock") = now;
+        *self.peer_message_at.lock().expect("no panics under the lock") = now;
     }
 
     /// Time of the last message from the entry that this one follows.
     pub(crate) fn peer_message_at(&self) -> Duration {
-        *self.received_at.lock().expect("no panics under the lock")
+        *self.peer_message_at.lock().expect("no panics under the lock")
     }
 
     /// Time since which the store has answered for every table, or of the last message from the
--- a/src/router/urgent_updates.rs
+++ b/src/router/urgent_updates.rs
@@ -8,7 +8,7 @@
 pub(super) struct UrgentUpdates<'a> {
     router: &'a Router,
     quarantine_changes: watch::Receiver<u64>,
-    limits: watch::Receiver<u64>,
+    limit_changes: watch::Receiver<u64>,
     next_end: u64,
     next_limit: u64,
     /// Whether there was a change since the last message.
@@ -17,10 +17,17 @@
 
 impl<'a> UrgentUpdates<'a> {
     pub(super) fn new(router: &'a Router) -> Self {
-        let (quarantine_changes, limits) =
+        let (quarantine_changes, limit_changes) =
             (router.quarantine.changes(), router.limits.urgent_changes());
         // What is already known is sent immediately.
-        Self { router, quarantine_changes, limits, next_end: 0, next_limit: 0, has_changes: true }
+        Self {
+            router,
+            quarantine_changes,
+            limit_changes,
+            next_end: 0,
+            next_limit: 0,
+            has_changes: true,
+        }
     }
 
     /// Waits for the next urgent updates. It is cancel safe: no update is lost when the future is
@@ -30,7 +37,7 @@
             if !self.has_changes {
                 tokio::select! {
                     _ = self.quarantine_changes.changed() => {}
-                    _ = self.limits.changed() => {}
+                    _ = self.limit_changes.changed() => {}
                 }
                 self.has_changes = true;
             }
