--- a/src/router/advertised_limits.rs
+++ b/src/router/advertised_limits.rs
@@ -8,7 +8,7 @@
     policy::rate_limit::AdvertisedLimit,
     router::{
         Member, Router,
-        shared_limits::{LimitChange, LimitUpdate},
+        shared_limits::{LimitUpdate, RateChange},
     },
     routing::{AnswerHead, AnswerKind},
     telemetry::event,
@@ -55,8 +55,8 @@
         self.limits.dump(&self.fleet.load(), self.now())
     }
 
-    fn log_limit(&self, changed: LimitChange, source: Source) {
-        let LimitChange { life, before, rate } = changed;
+    fn log_limit(&self, changed: RateChange, source: Source) {
+        let RateChange { life, before, rate } = changed;
         let fleet = self.fleet.load();
         let server = fleet.by_life(life).map_or("not in view", |member| &member.server.id);
         let Some(rate) = rate else {
--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -18,7 +18,7 @@
         Member, Router,
         connection::{self, Checkout, ConnectError, Connection},
         job::Job,
-        prefix_reports::CachedPrefix,
+        prefix_reports::ReportedPrefix,
         silence::{Wait, wait_for_answer},
     },
     routing::{AnswerHead, AnswerKind, Request},
@@ -202,7 +202,7 @@
     drop(record);
     if let Some(mark) = to_report {
         let tokens = u32::try_from(mark.tokens).unwrap_or(u32::MAX);
-        router.kept.record_own(CachedPrefix(plan.member.short_hash(), mark.hash, tokens), now);
+        router.kept.record_own(ReportedPrefix(plan.member.short_hash(), mark.hash, tokens), now);
     }
 }
 
--- a/src/router/messages.rs
+++ b/src/router/messages.rs
@@ -8,9 +8,9 @@
 use crate::{
     ids::{Era, Revision},
     router::{
-        compressed_rows::CompressedUpdate, load_reports::ServerLoad, prefix_reports::CachedPrefix,
-        roll_out_state::VersionEvidence, shared_limits::LimitUpdate,
-        shared_quarantine::QuarantineUpdate,
+        compressed_rows::CompressedUpdate, load_reports::ServerLoad,
+        prefix_reports::ReportedPrefix, roll_out_state::VersionEvidence,
+        shared_limits::LimitUpdate, shared_quarantine::QuarantineUpdate,
     },
 };
 
@@ -42,7 +42,7 @@
     pub(crate) loads: Vec<ServerLoad>,
     pub(crate) evidence: Vec<VersionEvidence>,
     /// Prompt prefixes that it sent to servers since its last report.
-    pub(crate) kept: Vec<CachedPrefix>,
+    pub(crate) kept: Vec<ReportedPrefix>,
     /// Server crashes since its last report; absent from entries that report none.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub(crate) ends: Vec<QuarantineUpdate>,
@@ -86,7 +86,7 @@
         /// Load that all entries together have on the servers.
         loads: Vec<ServerLoad>,
         /// Prompt prefixes that entries sent to servers since the last heartbeat.
-        kept: Vec<CachedPrefix>,
+        kept: Vec<ReportedPrefix>,
         /// Server crashes since the last heartbeat, or all known ones in the first heartbeat;
         /// absent from entries that report none.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
--- a/src/router/prefix_reports.rs
+++ b/src/router/prefix_reports.rs
@@ -25,7 +25,7 @@
 
 /// A prompt prefix that was sent to a server, encoded without field names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct CachedPrefix(
+pub(crate) struct ReportedPrefix(
     /// Short hash of the server's id.
     pub(crate) u32,
     /// Hash of the prompt up to the end of its last part.
@@ -40,12 +40,12 @@
 #[derive(Debug)]
 struct Inner {
     /// Prefixes that this entry sent.
-    own: UpdateLog<CachedPrefix>,
+    own: UpdateLog<ReportedPrefix>,
     /// Prefixes that any entry sent, for the entries that follow this one.
-    all: UpdateLog<CachedPrefix>,
+    all: UpdateLog<ReportedPrefix>,
     /// Prefixes for servers that are not in the fleet yet, at most [`MAX_PER_MESSAGE`]. A starting
     /// entry may receive prefixes before it has read the list of servers.
-    unmatched: Vec<CachedPrefix>,
+    unmatched: Vec<ReportedPrefix>,
 }
 
 impl Default for Inner {
@@ -66,14 +66,14 @@
     }
 
     /// Records a prefix that this entry sent.
-    pub(crate) fn record_own(&self, prefix: CachedPrefix, now: Duration) {
+    pub(crate) fn record_own(&self, prefix: ReportedPrefix, now: Duration) {
         let mut inner = self.lock();
         inner.own.push(prefix, now);
         inner.all.push(prefix, now);
     }
 
     /// Applies another entry's report and keeps it for the entries that follow this one.
-    pub(crate) fn apply_report(&self, prefixes: &[CachedPrefix], fleet: &Fleet, now: Duration) {
+    pub(crate) fn apply_report(&self, prefixes: &[ReportedPrefix], fleet: &Fleet, now: Duration) {
         let mut inner = self.lock();
         for prefix in prefixes {
             inner.all.push(*prefix, now);
@@ -84,11 +84,11 @@
 
     /// Records in the fleet what other entries sent to its servers, and retries prefixes whose
     /// server was unknown.
-    pub(crate) fn apply(&self, prefixes: &[CachedPrefix], fleet: &Fleet) {
+    pub(crate) fn apply(&self, prefixes: &[ReportedPrefix], fleet: &Fleet) {
         let mut inner = self.lock();
         let earlier = std::mem::take(&mut inner.unmatched);
         for prefix in earlier.iter().chain(prefixes) {
-            let CachedPrefix(server, hash, tokens) = *prefix;
+            let ReportedPrefix(server, hash, tokens) = *prefix;
             match fleet.by_short_hash(server) {
                 Some(member) => member.record().kept.note_reported(hash, u64::from(tokens)),
                 None => inner.unmatched.push(*prefix),
@@ -99,7 +99,7 @@
     }
 
     /// Prefixes that this entry sent from `position` on, and the position to continue from.
-    pub(crate) fn own_since(&self, position: u64, now: Duration) -> (Vec<CachedPrefix>, u64) {
+    pub(crate) fn own_since(&self, position: u64, now: Duration) -> (Vec<ReportedPrefix>, u64) {
         self.lock().own.since(position, now)
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// Prefixes that any entry sent from `position` on, and the position to continue from.
-    pub(crate) fn all_since(&self, position: u64, now: Duration) -> (Vec<CachedPrefix>, u64) {
+    pub(crate) fn all_since(&self, position: u64, now: Duration) -> (Vec<ReportedPrefix>, u64) {
         self.lock().all.since(position, now)
     }
 }
--- a/src/router/shared_limits.rs
+++ b/src/router/shared_limits.rs
@@ -53,7 +53,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct KnownLimit {
+struct ServerLimit {
     belief: LimitBelief,
     /// Sequence number of the last change.
     sequence: u64,
@@ -63,7 +63,7 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    servers: HashMap<LifeHash, KnownLimit>,
+    servers: HashMap<LifeHash, ServerLimit>,
     /// Sequence number of the next change.
     next_sequence: u64,
 }
@@ -76,7 +76,7 @@
 
 /// A change of the rate that a server advertises.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct LimitChange {
+pub(crate) struct RateChange {
     pub(crate) life: LifeHash,
     pub(crate) before: Option<Rate>,
     pub(crate) rate: Option<Rate>,
@@ -138,7 +138,7 @@
         advertised: AdvertisedLimit,
         sent_at: Duration,
         now: Duration,
-    ) -> Option<LimitChange> {
+    ) -> Option<RateChange> {
         if self.rate_limited() == 0 && !matches!(advertised, AdvertisedLimit::Rate(_)) {
             return None;
         }
@@ -146,11 +146,7 @@
     }
 
     /// Applies another entry's updates. Returns the changes.
-    pub(crate) fn apply_updates(
-        &self,
-        reported: &[LimitUpdate],
-        now: Duration,
-    ) -> Vec<LimitChange> {
+    pub(crate) fn apply_updates(&self, reported: &[LimitUpdate], now: Duration) -> Vec<RateChange> {
         let apply = |reported: &LimitUpdate| {
             let (life, news) = reported.decode();
             self.update(life, false, |belief| belief.take_update(news, now))
@@ -164,7 +160,7 @@
         life: LifeHash,
         is_own: bool,
         apply: impl FnOnce(&mut LimitBelief) -> Option<Change>,
-    ) -> Option<LimitChange> {
+    ) -> Option<RateChange> {
         let mut inner = self.lock();
         let mut known = inner.servers.get(&life).copied().unwrap_or_default();
         let before = known.belief.rate();
@@ -188,7 +184,7 @@
                 self.own_urgent.send_modify(|changes| *changes += 1);
             }
         }
-        (before != rate).then_some(LimitChange { life, before, rate })
+        (before != rate).then_some(RateChange { life, before, rate })
     }
 
     /// Updates from `sequence` on that this entry received from servers, and the sequence number to
@@ -207,7 +203,7 @@
     fn since(
         &self,
         sequence: u64,
-        is_reported: impl Fn(&KnownLimit) -> bool,
+        is_reported: impl Fn(&ServerLimit) -> bool,
     ) -> (Vec<LimitUpdate>, u64) {
         let inner = self.lock();
         if sequence >= inner.next_sequence {
@@ -219,7 +215,7 @@
         let next =
             changed.get(MAX_PER_MESSAGE).map_or(inner.next_sequence, |(_, known)| known.sequence);
         changed.truncate(MAX_PER_MESSAGE);
-        let reported = |(life, known): (&LifeHash, &KnownLimit)| {
+        let reported = |(life, known): (&LifeHash, &ServerLimit)| {
             Some(LimitUpdate::encode(*life, known.belief.news()?))
         };
         (changed.into_iter().filter_map(reported).collect(), next)
@@ -228,7 +224,7 @@
     /// The limits section of the state dump.
     pub(crate) fn dump(&self, fleet: &Fleet, now: Duration) -> Value {
         let inner = self.lock();
-        let describe = |(life, known): (&LifeHash, &KnownLimit)| {
+        let describe = |(life, known): (&LifeHash, &ServerLimit)| {
             let member = fleet.by_life(*life)?;
             let received_ms = now.saturating_sub(known.belief.received_at()).as_millis() as u64;
             Some(json!({
@@ -244,7 +240,7 @@
     /// Removes limits of servers outside the fleet that were last updated more than [`RETENTION`]
     /// ago.
     pub(crate) fn forget_departed(&self, fleet: &Fleet, now: Duration) {
-        let is_kept = |life: &LifeHash, known: &mut KnownLimit| {
+        let is_kept = |life: &LifeHash, known: &mut ServerLimit| {
             fleet.by_life(*life).is_some() || now < known.belief.received_at() + RETENTION
         };
         let mut inner = self.lock();
