--- a/src/router/compressed_rows.rs
+++ b/src/router/compressed_rows.rs
@@ -27,7 +27,7 @@
     version: Revision,
     store_now: Duration,
     is_whole: bool,
-    /// Omitted while the store has never been restored from an older copy.
+    /// Omitted while the store has never been restored from a backup.
     #[serde(default, skip_serializing_if = "is_first")]
     era: Era,
     /// Whether rows were added that the store lost.
--- a/src/router/load_reports.rs
+++ b/src/router/load_reports.rs
@@ -49,6 +49,7 @@
     at: Duration,
     /// Id of the link that delivered it.
     link: u64,
+    /// Whether the entry knows its rank.
     is_settled: bool,
     loads: Vec<ServerLoad>,
 }
@@ -75,6 +76,7 @@
     inner: Mutex<Inner>,
 }
 
+/// The busiest servers, at most [`MAX_REPORTED_SERVERS`].
 fn busiest(mut loads: Vec<ServerLoad>) -> Vec<ServerLoad> {
     if loads.len() > MAX_REPORTED_SERVERS {
         loads.sort_by_key(|load| std::cmp::Reverse((load.backlog_ms, load.requests)));
@@ -85,7 +87,7 @@
 
 impl LoadReports {
     fn lock(&self) -> std::sync::MutexGuard<'_, Inner> {
-        self.inner.lock().expect("no panics under the lock")
+        self.inner.lock().expect("no code panics while holding this lock")
     }
 
     /// Collects and stores the load that this entry has on the servers, for its next report.
--- a/src/router/own_place.rs
+++ b/src/router/own_place.rs
@@ -18,23 +18,23 @@
     /// Records a rank reported by a seed.
     pub(crate) fn record(&self, reported: ReportedPlace, now: Duration) {
         let ReportedPlace { rank, entries, sees_all } = reported;
-        let mut belief = self.belief.lock().expect("no panics under the lock");
+        let mut belief = self.belief.lock().expect("no code panics while holding this lock");
         belief.note(Place { rank, entries }, sees_all, now);
     }
 
     /// Last reported number of entries that share, also before the rank is settled.
     pub(crate) fn entries(&self) -> Option<u32> {
-        self.belief.lock().expect("no panics under the lock").entries()
+        self.belief.lock().expect("no code panics while holding this lock").entries()
     }
 
     /// This entry's rank; none until it is settled.
     fn get(&self, now: Duration) -> Option<Place> {
-        self.belief.lock().expect("no panics under the lock").get(now)
+        self.belief.lock().expect("no code panics while holding this lock").get(now)
     }
 }
 
 impl Router {
-    /// This entry's rank. An entry that is not a seed and has no seeds is alone.
+    /// This entry's rank. Without other seeds, an entry that is not a seed ranks as the only one.
     pub(crate) fn place(&self) -> Option<Place> {
         let settings = self.settings.load();
         let is_alone = settings.seeds.iter().all(|seed| Some(*seed) == settings.peer);
--- a/src/router/peer_link.rs
+++ b/src/router/peer_link.rs
@@ -31,7 +31,7 @@
 
 impl PeerLink {
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("no panics under the lock")
+        self.inner.lock().expect("no code panics while holding this lock")
     }
 
     /// Sets whether the other entry is up to date with the store. Returns whether that changed.
--- a/src/router/prefix_reports.rs
+++ b/src/router/prefix_reports.rs
@@ -62,7 +62,7 @@
 
 impl PrefixReports {
     fn lock(&self) -> std::sync::MutexGuard<'_, Inner> {
-        self.inner.lock().expect("no panics under the lock")
+        self.inner.lock().expect("no code panics while holding this lock")
     }
 
     /// Records a prefix that this entry sent.
@@ -98,7 +98,8 @@
         inner.unmatched.drain(..excess);
     }
 
-    /// Prefixes that this entry sent from `position` on, and the position to continue from.
+    /// Prefixes sent by this entry, starting at `position` of the log, and the position to continue
+    /// from.
     pub(crate) fn own_since(&self, position: u64, now: Duration) -> (Vec<ReportedPrefix>, u64) {
         self.lock().own.since(position, now)
     }
@@ -109,7 +110,8 @@
         inner.own.lost() + inner.all.lost()
     }
 
-    /// Prefixes that any entry sent from `position` on, and the position to continue from.
+    /// Prefixes sent by any entry, starting at `position` of the log, and the position to continue
+    /// from.
     pub(crate) fn all_since(&self, position: u64, now: Duration) -> (Vec<ReportedPrefix>, u64) {
         self.lock().all.since(position, now)
     }
--- a/src/router/shared_limits.rs
+++ b/src/router/shared_limits.rs
@@ -107,7 +107,7 @@
 
 impl SharedLimits {
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("no panics under the lock")
+        self.inner.lock().expect("no code panics while holding this lock")
     }
 
     /// Number of servers that currently advertise a limit.
@@ -187,15 +187,16 @@
         (before != rate).then_some(RateChange { life, before, rate })
     }
 
-    /// Updates from `sequence` on that this entry received from servers, and the sequence number to
-    /// continue from. A new reader passes none and receives all known limits.
+    /// Limits that this entry received from servers and that changed at `sequence` or later, and
+    /// the sequence number to continue from. A new reader passes none and receives all known
+    /// limits.
     pub(crate) fn own_since(&self, sequence: Option<u64>) -> (Vec<LimitUpdate>, u64) {
         let is_all = sequence.is_none();
         self.since(sequence.unwrap_or_default(), |known| is_all || known.is_own)
     }
 
-    /// Updates from `sequence` on, whether received from servers or from other entries, and the
-    /// sequence number to continue from.
+    /// Limits from servers or other entries that changed at `sequence` or later, and the sequence
+    /// number to continue from.
     pub(crate) fn all_since(&self, sequence: u64) -> (Vec<LimitUpdate>, u64) {
         self.since(sequence, |_| true)
     }
--- a/src/router/shared_quarantine.rs
+++ b/src/router/shared_quarantine.rs
@@ -103,7 +103,7 @@
 
 impl SharedQuarantine {
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("no panics under the lock")
+        self.inner.lock().expect("no code panics while holding this lock")
     }
 
     /// Whether no request is suspected.
@@ -186,6 +186,7 @@
         self.publish_own(is_new);
     }
 
+    /// Applies records, logs newly refused requests and notifies the readers.
     fn apply(&self, notes: impl Iterator<Item = Note>, is_own: bool, now: Duration) {
         let mut inner = self.lock();
         let mut is_new = false;
@@ -251,8 +252,8 @@
         self.lock().quarantine.cases(only_refused, now)
     }
 
-    /// Updates from `position` on that this entry observed, and the position to continue from. A
-    /// new reader passes none and receives all known records.
+    /// Records of crashes that this entry observed, starting at `position` of the log, and the
+    /// position to continue from. A new reader passes none and receives all known records.
     pub(crate) fn own_since(
         &self,
         position: Option<u64>,
@@ -261,8 +262,7 @@
         self.since(position, now, |inner| &mut inner.own)
     }
 
-    /// Updates from `position` on that this entry observed or received, and the position to
-    /// continue from.
+    /// Like [`Self::own_since`], including the records received from other entries.
     pub(crate) fn all_since(
         &self,
         position: Option<u64>,
@@ -271,9 +271,9 @@
         self.since(position, now, |inner| &mut inner.all)
     }
 
-    /// Updates from `position` on that concern requests close to refusal, and the position to
-    /// continue from: all crashes of requests with [`URGENT_FROM`] or more. A single crash proves
-    /// little, and a zone outage brings thousands of them.
+    /// Records of requests that are close to refusal and were updated at `position` of the log or
+    /// later, and the position to continue from: all crashes of requests with [`URGENT_FROM`] or
+    /// more. A single crash proves little, and a zone outage brings thousands of them.
     pub(crate) fn urgent_since(
         &self,
         position: u64,
--- a/src/router/speed_estimates.rs
+++ b/src/router/speed_estimates.rs
@@ -16,7 +16,7 @@
 
 impl SpeedEstimates {
     fn lock(&self) -> MutexGuard<'_, HashMap<Box<str>, ReadingBelief>> {
-        self.by_key.lock().expect("no panics under the lock")
+        self.by_key.lock().expect("no code panics while holding this lock")
     }
 
     /// The current estimate, or the initial one if nothing was learned.
--- a/src/router/update_log.rs
+++ b/src/router/update_log.rs
@@ -42,7 +42,8 @@
         self.first_position + self.updates.len() as u64
     }
 
-    /// Updates from `position` on that are not too old, and the position to continue from.
+    /// Updates starting at `position`, except those that are too old, and the position to continue
+    /// from.
     pub(crate) fn since(&mut self, position: u64, now: Duration) -> (Vec<T>, u64) {
         let skipped =
             usize::try_from(position.saturating_sub(self.first_position)).unwrap_or(usize::MAX);
