--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -19,7 +19,7 @@
     router::{
         Member, Router,
         connection::{self, Checkout, ConnectError, Connection},
-        prefix_reports::CachedPrefix,
+        prefix_reports::ReportedPrefix,
         request_context::RequestContext,
         response_wait::{ResponseWait, wait_for_response},
     },
@@ -207,7 +207,7 @@
     drop(state);
     if let Some(prefix) = to_report {
         let tokens = u32::try_from(prefix.tokens).unwrap_or(u32::MAX);
-        router.kept.record_own(CachedPrefix(plan.member.short_hash(), prefix.hash, tokens), now);
+        router.kept.record_own(ReportedPrefix(plan.member.short_hash(), prefix.hash, tokens), now);
     }
 }
 
--- a/src/router/departed_servers.rs
+++ b/src/router/departed_servers.rs
@@ -1,53 +1,54 @@
-//! Lives of servers whose rows are gone, for rows that return.
+//! State of servers whose rows have disappeared, kept for rows that return.
 //!
-//! A row lapses while the store is away, or while its server can't reach the store, and returns for the same life. What
-//! the server announced, its failures and what was sent to it are as true as before.
+//! A row expires while the store is unreachable, or while its server cannot reach the store, and
+//! returns for the same incarnation of the server. What the server announced, its failures and the
+//! prefixes sent to it are then still valid.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use crate::{policy::retry_after::MAX_PAUSE, router::Member};
 
-/// Time for which a life is remembered: what it announced may hold for as long.
-const REMEMBERED: Duration = MAX_PAUSE;
-/// Lives remembered at most, under half a kilobyte each.
-const MOST: usize = 256;
+/// Time for which a departed server is kept: its announcements may be valid for that long.
+const RETENTION: Duration = MAX_PAUSE;
+/// Maximum number of servers kept, each under half a kilobyte.
+const MAX_SERVERS: usize = 256;
 
-/// Lives out of view, by id, and when each went.
+/// Servers that left the fleet, by id, and when each left.
 #[derive(Debug, Default)]
 pub(super) struct DepartedServers {
-    lives: HashMap<Box<str>, (Arc<Member>, Duration)>,
+    servers: HashMap<Box<str>, (Arc<Member>, Duration)>,
 }
 
 impl DepartedServers {
-    /// The last life that was in view under an id.
+    /// The last known incarnation of the server with this id.
     pub(super) fn get(&self, id: &str) -> Option<&Arc<Member>> {
-        self.lives.get(id).map(|(member, _)| member)
+        self.servers.get(id).map(|(member, _)| member)
     }
 
-    /// Takes over what another one remembers, but for ids that are in view again.
+    /// Copies the servers that `other` keeps, without those that are in the fleet again.
     pub(super) fn inherit(
         &mut self,
         other: &Self,
         is_in_view: impl Fn(&str) -> bool,
         now: Duration,
     ) {
-        for (id, (member, at)) in &other.lives {
-            if now < *at + REMEMBERED && !is_in_view(id) {
-                self.lives.insert(id.clone(), (member.clone(), *at));
+        for (id, (member, at)) in &other.servers {
+            if now < *at + RETENTION && !is_in_view(id) {
+                self.servers.insert(id.clone(), (member.clone(), *at));
             }
         }
     }
 
-    /// Remembers a life that went out of view; the longest gone makes room for it.
-    pub(super) fn add(&mut self, member: &Arc<Member>, now: Duration) {
+    /// Keeps a server that left the fleet; drops the oldest one if there are too many.
+    pub(super) fn insert(&mut self, member: &Arc<Member>, now: Duration) {
         member.release_memory();
-        self.lives.insert(member.server.id.clone(), (member.clone(), now));
-        if self.lives.len() <= MOST {
+        self.servers.insert(member.server.id.clone(), (member.clone(), now));
+        if self.servers.len() <= MAX_SERVERS {
             return;
         }
-        let longest_gone = self.lives.iter().min_by_key(|(_, (_, at))| *at);
-        if let Some(id) = longest_gone.map(|(id, _)| id.clone()) {
-            self.lives.remove(&id);
+        let oldest = self.servers.iter().min_by_key(|(_, (_, at))| *at);
+        if let Some(id) = oldest.map(|(id, _)| id.clone()) {
+            self.servers.remove(&id);
         }
     }
 }
--- a/src/router/orders.rs
+++ b/src/router/orders.rs
@@ -1,4 +1,4 @@
-//! The operator's orders as the store has them: the configuration, roll-outs and evacuations.
+//! The operator's orders in the store: configuration, roll-outs and evacuations.
 
 use std::collections::BTreeSet;
 
@@ -16,21 +16,22 @@
     telemetry::event,
 };
 
-/// Most kinds of orders that nothing reads and that are logged.
-const MOST_UNREAD: usize = 32;
+/// Maximum number of unknown kinds of orders that are logged.
+const MAX_UNKNOWN_KINDS: usize = 32;
 
-/// Follows the operator's orders.
+/// Follows the table of orders and applies changes.
 pub(crate) async fn follow_orders(router: &Router, store: &StoreClient) {
-    let mut unread = BTreeSet::new();
+    let mut logged = BTreeSet::new();
     follow_table(router, store, Table::Orders, |rows, extent, _| {
-        note_unread_kinds(&rows, &mut unread);
+        log_unknown_kinds(&rows, &mut logged);
         if extent.is_whole() {
             withdraw_missing(router, &rows);
         }
         let is_start = router.table.load().is_none();
-        // The first configuration lets requests in: whatever bars servers is in force before.
+        // The first configuration admits requests, so orders that exclude servers are applied
+        // before it.
         let (configuration, others): (Vec<_>, Vec<_>) =
-            read_changes(&rows).partition(|c| matches!(c, OperatorChange::Configuration(_)));
+            parse_changes(&rows).partition(|c| matches!(c, OperatorChange::Configuration(_)));
         for change in others.into_iter().chain(configuration) {
             if extent == Extent::Restored && is_withdrawn(router, &change) {
                 continue;
@@ -41,21 +42,22 @@
     .await;
 }
 
-/// Logs each kind of orders once that nothing here reads.
-fn note_unread_kinds(rows: &Rows, logged: &mut BTreeSet<Box<str>>) {
+/// Logs each unknown kind of order once.
+fn log_unknown_kinds(rows: &Rows, logged: &mut BTreeSet<Box<str>>) {
     for kind in rows.rows.iter().filter_map(|row| unknown_row_kind(&row.key)) {
-        if logged.len() < MOST_UNREAD && logged.insert(kind.into()) {
+        if logged.len() < MAX_UNKNOWN_KINDS && logged.insert(kind.into()) {
             event::ORDER_UNREAD.log(format_args!("kind={kind}"));
         }
     }
 }
 
-/// Whether a change is a roll-out that was withdrawn before the store came back from a copy that still has it.
+/// Whether a change is a roll-out that was withdrawn, but is back because the store was restored
+/// from a backup.
 fn is_withdrawn(router: &Router, change: &OperatorChange) -> bool {
     matches!(change, OperatorChange::RollOut(order) if router.roll_outs.was_withdrawn(order))
 }
 
-fn read_changes(rows: &Rows) -> impl Iterator<Item = OperatorChange> {
+fn parse_changes(rows: &Rows) -> impl Iterator<Item = OperatorChange> {
     rows.rows.iter().filter_map(|row| match parse_operator_row(row) {
         Ok(change) => change,
         Err(e) => {
@@ -65,7 +67,7 @@
     })
 }
 
-/// Withdraws the orders that are not among all rows.
+/// Ends the evacuations and roll-outs that are missing from the complete list of rows.
 fn withdraw_missing(router: &Router, rows: &Rows) {
     for zone in router.evacuations.zones() {
         if !rows.rows.iter().any(|row| evacuated_zone(&row.key) == Some(&zone)) {
@@ -84,10 +86,10 @@
     match change {
         OperatorChange::Configuration(table) => apply_configuration(router, *table),
         OperatorChange::RollOut(order) => {
-            let reported =
+            let details =
                 format!("service={} to={} within={:?}", order.service, order.to, order.duration);
             if router.roll_outs.add_order(order, router.now(), is_start) {
-                event::ROLL_OUT_ORDERED.log(format_args!("{reported}"));
+                event::ROLL_OUT_ORDERED.log(format_args!("{details}"));
                 record_versions(router);
             }
         }
@@ -97,7 +99,7 @@
     }
 }
 
-/// Puts a configuration in force if it is newer than the one that is.
+/// Applies a configuration if it is newer than the current one.
 pub(crate) fn apply_configuration(router: &Router, table: RoutingTable) {
     let current = router.table.load().as_ref().as_ref().map_or(0, |t| t.version);
     let version = table.version;
--- a/src/router/peer_link.rs
+++ b/src/router/peer_link.rs
@@ -1,4 +1,4 @@
-//! What an entry gets from another entry that it follows.
+//! Updates from the entry that this one follows, queued by table.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -9,110 +9,110 @@
 
 use crate::{platform::store::Table, router::table_views::TableUpdate};
 
-/// Updates that wait for whoever follows a table; more than that means that nobody takes them, and
-/// a new link begins with all rows anyway.
-const MOST_WAITING: usize = 256;
+/// Maximum number of pending updates of a table. A full queue means that its reader has stopped,
+/// and a new link starts with all rows anyway.
+const MAX_PENDING: usize = 256;
 
 #[derive(Debug, Default)]
 struct Inner {
     is_current: bool,
-    waiting: HashMap<Table, VecDeque<TableUpdate>>,
+    pending: HashMap<Table, VecDeque<TableUpdate>>,
 }
 
-/// The link to another entry, as those who follow a table see it.
+/// The link to the entry that this one follows, as the readers of the tables see it.
 ///
-/// While it is current it stands in for the store: the other entry receives the store's answers and
-/// passes on what they say (docs/decisions/0009).
+/// While the link is current, it replaces the store: the other entry reads the store and forwards
+/// its rows (docs/decisions/0009).
 #[derive(Debug, Default)]
 pub(crate) struct PeerLink {
     inner: Mutex<Inner>,
-    news: Notify,
+    changed: Notify,
 }
 
 impl PeerLink {
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("no panics under the lock")
+        self.inner.lock().expect("no code panics while holding this lock")
     }
 
-    /// Notes whether the other entry is up to date with the store; a change of that is returned.
+    /// Sets whether the other entry is up to date with the store. Returns whether that changed.
     pub(crate) fn set_current(&self, is_current: bool) -> bool {
         let before = std::mem::replace(&mut self.lock().is_current, is_current);
         if before != is_current {
-            self.news.notify_waiters();
+            self.changed.notify_waiters();
         }
         before != is_current
     }
 
-    /// Whether the link stands in for the store now.
+    /// Whether the link currently replaces the store.
     pub(crate) fn is_current(&self) -> bool {
         self.lock().is_current
     }
 
-    /// Takes in an update; false when nobody took the ones before it.
+    /// Queues an update. Returns false when the table's queue is full.
     pub(crate) fn push(&self, update: TableUpdate) -> bool {
         let mut inner = self.lock();
-        let waiting = inner.waiting.entry(update.table).or_default();
+        let pending = inner.pending.entry(update.table).or_default();
         if update.is_whole {
-            waiting.clear();
+            pending.clear();
         }
-        if waiting.len() >= MOST_WAITING {
+        if pending.len() >= MAX_PENDING {
             return false;
         }
-        waiting.push_back(update);
+        pending.push_back(update);
         drop(inner);
-        self.news.notify_waiters();
+        self.changed.notify_waiters();
         true
     }
 
-    /// Forgets what came over a link that has ended.
-    pub(crate) fn reset(&self) {
+    /// Discards the updates of a link that has ended.
+    pub(crate) fn clear(&self) {
         let mut inner = self.lock();
         inner.is_current = false;
-        inner.waiting.clear();
+        inner.pending.clear();
         drop(inner);
-        self.news.notify_waiters();
+        self.changed.notify_waiters();
     }
 
-    /// Takes the next update about a table, if one waits.
+    /// Removes and returns the next pending update of a table.
     pub(crate) fn take(&self, table: Table) -> Option<TableUpdate> {
-        self.lock().waiting.get_mut(&table)?.pop_front()
+        self.lock().pending.get_mut(&table)?.pop_front()
     }
 
-    /// Waits until the link stands in for the store.
+    /// Waits until the link replaces the store.
     pub(crate) async fn wait_until_current(&self) {
         loop {
-            let news = self.news.notified();
+            let changed = self.changed.notified();
             if self.is_current() {
                 return;
             }
-            news.await;
+            changed.await;
         }
     }
 
-    /// Waits until there is an update about a table, or the link begins or ceases to stand in.
+    /// Waits until a table has a pending update or [`Self::is_current`] changes.
     pub(crate) async fn wait_for_change(&self, table: Table) {
         let before = self.is_current();
         loop {
-            let news = self.news.notified();
-            let waits = self.lock().waiting.get(&table).is_some_and(|all| !all.is_empty());
-            if waits || self.is_current() != before {
+            let changed = self.changed.notified();
+            let has_update = self.lock().pending.get(&table).is_some_and(|all| !all.is_empty());
+            if has_update || self.is_current() != before {
                 return;
             }
-            news.await;
+            changed.await;
         }
     }
 
-    /// Waits for the next update about a table; none once the link is not current.
+    /// Waits for the next update of a table; none once the link is not current.
     pub(crate) async fn next(&self, table: Table) -> Option<TableUpdate> {
         loop {
-            let news = self.news.notified();
+            let changed = self.changed.notified();
             if let Some(update) = self.take(table) {
                 return Some(update);
             }
             if !self.is_current() {
                 return None;
             }
-            news.await;
+            changed.await;
         }
     }
 }
--- a/src/router/prefix_reports.rs
+++ b/src/router/prefix_reports.rs
@@ -1,8 +1,9 @@
-//! What entries report to each other about the prompt parts that BackendServers keep.
+//! Exchange of cached prompt prefixes between entries.
 //!
-//! Each entry knows which parts it sent where. With many entries most of what a server keeps was sent
-//! there by others, and an entry that has just started knows nothing; so each entry reports to the seeds
-//! what it sent, and the seeds pass it on with their heartbeats (docs/decisions/0011).
+//! Each entry knows which prompt parts it sent to which BackendServer. With many entries, most of
+//! what a server has cached was sent by other entries, and an entry that has just started knows
+//! nothing. So each entry reports what it sent to the seeds, and the seeds pass it on with their
+//! heartbeats (docs/decisions/0011).
 
 use std::{sync::Mutex, time::Duration};
 
@@ -13,46 +14,47 @@
     update_log::{UpdateLog, UpdateLogLimits},
 };
 
-/// Notes kept for links that are behind or new; 40 KB. At 1,000 requests a second, of which one in four
-/// has long shared parts, the seeds take in 300 to 400 in a second.
-const MOST_NOTES: usize = 2_048;
-/// Notes reported in one message at most, so that a message stays under 10 KB.
-const MOST_REPORTED: usize = 512;
-/// Age at which a note is passed on no more: a part that is still in use was reported again by then.
-const REPORTED_FOR: Duration = Duration::from_secs(8);
+/// Prefixes stored for links that are new or behind; 40 KB. At 1,000 requests per second, a quarter
+/// of them with long shared parts, the seeds receive 300 to 400 prefixes per second.
+const MAX_STORED: usize = 2_048;
+/// Maximum number of prefixes in one message, which keeps messages under 10 KB.
+const MAX_PER_MESSAGE: usize = 512;
+/// Age after which a prefix is no longer passed on: one that is still in use has been reported
+/// again by then.
+const MAX_AGE: Duration = Duration::from_secs(8);
 
-/// A part of a prompt that a server was sent, as entries report it.
+/// A prompt prefix that was sent to a server, encoded without field names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct CachedPrefix(
+pub(crate) struct ReportedPrefix(
     /// Short hash of the server's id.
     pub(crate) u32,
-    /// Hash of the prompt up to the part's end.
+    /// Hash of the prompt up to the end of its last part.
     pub(crate) u32,
-    /// Tokens of the part.
+    /// Number of tokens in the last part.
     pub(crate) u32,
 );
 
 const LIMITS: UpdateLogLimits =
-    UpdateLogLimits { kept: MOST_NOTES, reported: MOST_REPORTED, reported_for: REPORTED_FOR };
+    UpdateLogLimits { capacity: MAX_STORED, per_message: MAX_PER_MESSAGE, max_age: MAX_AGE };
 
 #[derive(Debug)]
 struct Inner {
-    /// Of this entry.
-    own: UpdateLog<CachedPrefix>,
-    /// Of all entries, where others follow this one.
-    all: UpdateLog<CachedPrefix>,
-    /// Notes about servers that are not in view yet, at most [`MOST_REPORTED`]: an entry that starts is informed
-    /// of parts before it has read the list of servers.
-    unplaced: Vec<CachedPrefix>,
+    /// Prefixes that this entry sent.
+    own: UpdateLog<ReportedPrefix>,
+    /// Prefixes that any entry sent, for the entries that follow this one.
+    all: UpdateLog<ReportedPrefix>,
+    /// Prefixes for servers that are not in the fleet yet, at most [`MAX_PER_MESSAGE`]. A starting
+    /// entry may receive prefixes before it has read the list of servers.
+    unmatched: Vec<ReportedPrefix>,
 }
 
 impl Default for Inner {
     fn default() -> Self {
-        Self { own: UpdateLog::new(LIMITS), all: UpdateLog::new(LIMITS), unplaced: Vec::new() }
+        Self { own: UpdateLog::new(LIMITS), all: UpdateLog::new(LIMITS), unmatched: Vec::new() }
     }
 }
 
-/// The notes of an entry.
+/// Cached prefixes that this entry sent or received.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixReports {
     inner: Mutex<Inner>,
@@ -60,54 +62,57 @@
 
 impl PrefixReports {
     fn lock(&self) -> std::sync::MutexGuard<'_, Inner> {
-        self.inner.lock().expect("no panics under the lock")
+        self.inner.lock().expect("no code panics while holding this lock")
     }
 
-    /// Notes what this entry sent.
-    pub(crate) fn record_own(&self, note: CachedPrefix, now: Duration) {
+    /// Records a prefix that this entry sent.
+    pub(crate) fn record_own(&self, prefix: ReportedPrefix, now: Duration) {
         let mut inner = self.lock();
-        inner.own.push(note, now);
-        inner.all.push(note, now);
+        inner.own.push(prefix, now);
+        inner.all.push(prefix, now);
     }
 
-    /// Takes in what another entry reports that it sent; those that follow this one are informed, too.
-    pub(crate) fn apply_report(&self, notes: &[CachedPrefix], fleet: &Fleet, now: Duration) {
+    /// Applies another entry's report and keeps it for the entries that follow this one.
+    pub(crate) fn apply_report(&self, prefixes: &[ReportedPrefix], fleet: &Fleet, now: Duration) {
         let mut inner = self.lock();
-        for note in notes {
-            inner.all.push(*note, now);
+        for prefix in prefixes {
+            inner.all.push(*prefix, now);
         }
         drop(inner);
-        self.apply(notes, fleet);
+        self.apply(prefixes, fleet);
     }
 
-    /// Lets the servers' records know what other entries sent them.
-    pub(crate) fn apply(&self, notes: &[CachedPrefix], fleet: &Fleet) {
+    /// Records in the fleet what other entries sent to its servers, and retries prefixes whose
+    /// server was unknown.
+    pub(crate) fn apply(&self, prefixes: &[ReportedPrefix], fleet: &Fleet) {
         let mut inner = self.lock();
-        let earlier = std::mem::take(&mut inner.unplaced);
-        for note in earlier.iter().chain(notes) {
-            let CachedPrefix(server, hash, tokens) = *note;
+        let earlier = std::mem::take(&mut inner.unmatched);
+        for prefix in earlier.iter().chain(prefixes) {
+            let ReportedPrefix(server, hash, tokens) = *prefix;
             match fleet.by_short_hash(server) {
                 Some(member) => member.state().prefixes.record_peer_report(hash, u64::from(tokens)),
-                None => inner.unplaced.push(*note),
+                None => inner.unmatched.push(*prefix),
             }
         }
-        let too_many = inner.unplaced.len().saturating_sub(MOST_REPORTED);
-        inner.unplaced.drain(..too_many);
+        let excess = inner.unmatched.len().saturating_sub(MAX_PER_MESSAGE);
+        inner.unmatched.drain(..excess);
     }
 
-    /// What this entry sent since the note with this number, and the number to go on with.
-    pub(crate) fn own_since(&self, number: u64, now: Duration) -> (Vec<CachedPrefix>, u64) {
-        self.lock().own.from(number, now)
+    /// Prefixes sent by this entry, starting at `position` of the log, and the position to continue
+    /// from.
+    pub(crate) fn own_since(&self, position: u64, now: Duration) -> (Vec<ReportedPrefix>, u64) {
+        self.lock().own.since(position, now)
     }
 
-    /// Notes that a link did not get because too many came.
+    /// Number of prefixes that links missed because the log or a message was full.
     pub(crate) fn lost(&self) -> u64 {
         let inner = self.lock();
         inner.own.lost() + inner.all.lost()
     }
 
-    /// The same for all entries.
-    pub(crate) fn all_since(&self, number: u64, now: Duration) -> (Vec<CachedPrefix>, u64) {
-        self.lock().all.from(number, now)
+    /// Prefixes sent by any entry, starting at `position` of the log, and the position to continue
+    /// from.
+    pub(crate) fn all_since(&self, position: u64, now: Duration) -> (Vec<ReportedPrefix>, u64) {
+        self.lock().all.since(position, now)
     }
 }
--- a/src/router/restore.rs
+++ b/src/router/restore.rs
@@ -1,8 +1,8 @@
-//! What is kept of orders when the store comes back from an older copy.
+//! Handling of orders when the store is restored from a backup.
 //!
-//! What the operator wrote since the copy is written again, but not at once. Until then the newest that is known
-//! here holds, and is passed on to entries that start: an older configuration would bring back keys that were
-//! taken away.
+//! The operator writes the lost orders again, but not immediately. Until then this entry keeps the
+//! newest orders it knows and forwards them to starting entries. An older configuration would make
+//! revoked keys valid again.
 
 use crate::{
     platform::{
@@ -12,57 +12,58 @@
     router::Router,
 };
 
-/// How much of a table was read.
+/// Which rows of a table were read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Extent {
-    /// What changed.
+    /// Rows that changed.
     Changes,
     /// All rows.
     Whole,
-    /// All rows, the first since the store came back from an older copy.
+    /// All rows, for the first time since the store was restored from a backup.
     Restored,
 }
 
 impl Extent {
-    /// Whether these are all rows.
+    /// Whether all rows were read.
     pub(crate) fn is_whole(self) -> bool {
         self != Self::Changes
     }
 }
 
-/// Puts the operator's rows that the store lost back among all that it has; whether there were any.
-pub(crate) fn amend(router: &Router, table: Table, rows: &mut Rows) -> bool {
+/// Adds the operator's rows that the store lost to the rows that it returned. Returns whether there
+/// were any.
+pub(crate) fn restore_lost_rows(router: &Router, table: Table, rows: &mut Rows) -> bool {
     if table != Table::Orders {
         return false;
     }
     let mut is_amended = false;
     for known in router.views.rows(table) {
-        let shown = rows.rows.iter().position(|row| row.key == known.key);
-        let is_lost = match shown {
-            Some(shown) => is_older_configuration(&rows.rows[shown], &known),
+        let stored = rows.rows.iter().position(|row| row.key == known.key);
+        let is_lost = match stored {
+            Some(stored) => is_older_configuration(&rows.rows[stored], &known),
             None => true,
         };
         if !is_lost {
             continue;
         }
         is_amended = true;
-        match shown {
-            Some(shown) => rows.rows[shown] = known,
+        match stored {
+            Some(stored) => rows.rows[stored] = known,
             None => rows.rows.push(known),
         }
     }
     is_amended
 }
 
-/// Whether a row holds an older configuration than another one.
-fn is_older_configuration(shown: &Row, known: &Row) -> bool {
-    is_config_key(&shown.key) && configuration_version(shown) < configuration_version(known)
+/// Whether a row of the store holds an older configuration than the known row.
+fn is_older_configuration(stored: &Row, known: &Row) -> bool {
+    is_config_key(&stored.key) && configuration_version(stored) < configuration_version(known)
 }
 
 fn configuration_version(row: &Row) -> Option<u64> {
     match parse_operator_row(row) {
         Ok(Some(OperatorChange::Configuration(table))) => Some(table.version),
-        // One that can't be read is logged where it is applied.
+        // Unreadable rows are logged where they are applied.
         _ => None,
     }
 }
--- a/src/router/roll_out_driver.rs
+++ b/src/router/roll_out_driver.rs
@@ -1,4 +1,5 @@
-//! Driving roll-outs in the store: their begin, their end, and what other entries said of them.
+//! Driver of roll-outs in the store: writes their start and verdict, and reads those of other
+//! entries.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -17,43 +18,43 @@
     telemetry::event,
 };
 
-/// Time between looks at what this entry can say about roll-outs.
-const DRIVE_EVERY: Duration = Duration::from_millis(200);
-/// Rest after a verdict or an end that could not be written: each call is paid for, and this entry already
-/// keeps to it.
-const VERDICT_REST: Duration = Duration::from_secs(1);
-/// Such looks between reads of what other entries said: a bad version may get requests for 5 s
-/// after its fiftieth bad answer, and each entry finds it on its own, too.
-const DRIVES_PER_LOOK: u32 = 8;
+/// Interval between checks for new orders and verdicts.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Pause after a verdict or an end could not be written. Each call is billed, and this entry
+/// already acts on the verdict.
+const WRITE_RETRY_PAUSE: Duration = Duration::from_secs(1);
+/// Number of checks per read of other entries' verdicts. A bad version may receive requests
+/// for 5 s after its fiftieth bad answer, and each entry also detects it on its own.
+const CHECKS_PER_READ: u32 = 8;
 
-/// Time that an entry which follows another one leaves to those that follow the store for noting the
-/// begin of a roll-out: they look each [`DRIVE_EVERY`], and a process starts in under a second.
-const OTHERS_BEGIN: Duration = Duration::from_secs(2);
+/// Time that a follower leaves to the entries that read the store for writing the start of a
+/// roll-out. Those check every [`CHECK_INTERVAL`], and a process starts in less than a second.
+const FOLLOWER_START_DELAY: Duration = Duration::from_secs(2);
 
-/// Our own row about a roll-out.
+/// Row with the start of a roll-out in this system's own table.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct RollOutRow {
-    /// Order it is about.
+    /// Revision of the roll-out's order.
     revision: Revision,
-    /// Era of that order.
+    /// Era of the order.
     #[serde(default)]
     era: Era,
-    /// When it began, on the store's clock.
+    /// When it began, in milliseconds on the store's clock.
     began_ms: u64,
 }
 
-/// What is known of the store's rows about roll-outs.
+/// Known rows of the store about roll-outs.
 #[derive(Debug, Default)]
 struct KnownRows {
-    /// Era that all of this is of: versions are given out again in the next one.
+    /// Era of the rows. The next era reuses their versions.
     era: Era,
-    /// Versions of the rows, 0 where there is none.
+    /// Rows by service, each with its version, which is 0 if there is no row.
     status: HashMap<Box<str>, (Revision, RollOutStatus)>,
     own: HashMap<Box<str>, (Revision, RollOutRow)>,
 }
 
 impl KnownRows {
-    fn note(&mut self, row: &Row) {
+    fn record(&mut self, row: &Row) {
         let Some(service) = service_of_status_key(&row.key) else {
             return;
         };
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Progress that the store has of an order; none when it has not been begun.
+    /// Progress of an order in the store and when it began; none if it has not been started.
     fn progress(&self, order: &RollOutOrder) -> Option<(RollOutProgress, u64)> {
         let (_, own) = self.own.get(&order.service)?;
         if (StoreVersion { era: own.era, revision: own.revision }) != order.written_at {
@@ -87,8 +88,8 @@
         Some((status.progress, own.began_ms))
     }
 
-    /// Forgets all where the store came back from an older copy; whether it did.
-    fn enter(&mut self, era: Era) -> bool {
+    /// Moves to a newer era and discards all rows of the old one. Returns whether the era is newer.
+    fn enter_era(&mut self, era: Era) -> bool {
         let is_new = era > self.era;
         if is_new {
             *self = Self { era, ..Self::default() };
@@ -105,45 +106,46 @@
     }
 }
 
-/// Drives roll-outs: notes their begin in the store, gives verdicts and learns of others'.
+/// Drives roll-outs: writes their start to the store, gives verdicts and reads those of others.
 pub(crate) async fn drive_roll_outs(router: &Router, store: &StoreClient) {
     let mut known = KnownRows::default();
-    let mut seen: HashMap<Box<str>, StoreVersion> = HashMap::new();
+    let mut started: HashMap<Box<str>, StoreVersion> = HashMap::new();
     let mut era = Era::default();
-    let mut are_ends_lost = false;
-    let mut drives = 0;
-    let (mut rest_until, mut ends_rest_until) = (Duration::ZERO, Duration::ZERO);
+    let mut must_rewrite_ends = false;
+    let mut checks = 0;
+    let (mut verdict_pause_until, mut ends_pause_until) = (Duration::ZERO, Duration::ZERO);
     loop {
-        // What an entry that starts finds has to be known before requests are answered by it.
-        let _ = timeout(DRIVE_EVERY, router.roll_outs.wait_until_found()).await;
-        drives += 1;
-        take_from_link(router, &mut known);
+        // The progress of an order that a starting entry finds must be known before the entry
+        // answers requests, so finding one ends the wait early.
+        let _ = timeout(CHECK_INTERVAL, router.roll_outs.wait_until_found()).await;
+        checks += 1;
+        apply_link_updates(router, &mut known);
         let now_era = known.era.max(router.views.era());
         if now_era > era {
             era = now_era;
-            known.enter(era);
-            seen.clear();
-            (are_ends_lost, ends_rest_until) = (true, Duration::ZERO);
+            known.enter_era(era);
+            started.clear();
+            (must_rewrite_ends, ends_pause_until) = (true, Duration::ZERO);
         }
-        if are_ends_lost && router.now() >= ends_rest_until {
-            are_ends_lost = !report_ends_again(router, store, &mut known).await.unwrap_or(false);
-            ends_rest_until = router.now() + VERDICT_REST;
+        if must_rewrite_ends && router.now() >= ends_pause_until {
+            must_rewrite_ends = !rewrite_ends(router, store, &mut known).await.unwrap_or(false);
+            ends_pause_until = router.now() + WRITE_RETRY_PAUSE;
         }
         let follows = router.follows_link();
-        if drives % DRIVES_PER_LOOK == 0 && !follows {
-            learn_verdicts(router, store, &mut known, &seen).await;
+        if checks % CHECKS_PER_READ == 0 && !follows {
+            read_verdicts(router, store, &mut known, &started).await;
         }
-        settle_begins(router, store, &mut known, &mut seen).await;
-        if router.now() < rest_until {
+        ensure_started(router, store, &mut known, &mut started).await;
+        if router.now() < verdict_pause_until {
             continue;
         }
-        // A verdict by what was seen before a suspension may be overtaken.
+        // Evidence from before a suspension may be outdated.
         if !router.is_view_fresh() {
             continue;
         }
         for verdict in router.roll_outs.verdicts(router.now()) {
-            if let Err(e) = give(router, store, &mut known, &verdict).await {
-                rest_until = router.now() + VERDICT_REST;
+            if let Err(e) = write_verdict(router, store, &mut known, &verdict).await {
+                verdict_pause_until = router.now() + WRITE_RETRY_PAUSE;
                 event::VERDICT_WAITS
                     .log(format_args!("service={} cause=\"{e}\"", verdict.order.service));
             }
@@ -151,116 +153,118 @@
     }
 }
 
-/// Sees to it that the begin of each order is in the store, and learns how far those got that this
-/// entry found as it started.
-async fn settle_begins(
+/// Ensures that the start of each order is in the store, and reads the progress of the orders that
+/// this entry found when it started.
+async fn ensure_started(
     router: &Router,
     store: &StoreClient,
     known: &mut KnownRows,
-    seen: &mut HashMap<Box<str>, StoreVersion>,
+    started: &mut HashMap<Box<str>, StoreVersion>,
 ) {
     let follows = router.follows_link();
     for order in router.roll_outs.running() {
         let is_unknown = router.roll_outs.is_unknown(&order);
-        let is_young = router.roll_outs.age(&order, router.now()) < OTHERS_BEGIN;
-        let waits = follows && is_young && !is_unknown;
-        if seen.get(&order.service) == Some(&order.written_at) || waits {
+        let is_recent = router.roll_outs.age(&order, router.now()) < FOLLOWER_START_DELAY;
+        let waits = follows && is_recent && !is_unknown;
+        if started.get(&order.service) == Some(&order.written_at) || waits {
             continue;
         }
         let progress = known.progress(&order).map(|(progress, _)| progress);
         let (is_reported, has_ended) =
             (progress.is_some(), progress.is_some_and(|p| p != RollOutProgress::Running));
-        // What another entry reports may be older than the end, so an entry that starts asks the store
-        // unless it is informed of the end, and makes do with what is reported only where the store is away.
+        // The row that another entry forwards may be older than the end of the roll-out. So a
+        // starting entry asks the store, unless the forwarded row has the end, and uses the
+        // forwarded progress only if the store is unreachable.
         let is_known = is_reported && (has_ended || !is_unknown);
-        let is_settled = is_known || try_begin(router, store, known, &order).await;
-        if is_settled {
-            seen.insert(order.service.clone(), order.written_at);
+        let is_started = is_known || try_start(router, store, known, &order).await;
+        if is_started {
+            started.insert(order.service.clone(), order.written_at);
         }
-        if is_unknown && (is_settled || is_reported) {
+        if is_unknown && (is_started || is_reported) {
             router.roll_outs.mark_known(&order);
             router.wake_waiters();
         }
     }
 }
 
-/// Whether the store answered about the begin of an order; it is asked again at the next look.
-async fn try_begin(
+/// Ensures that an order is started. Returns whether the store answered; otherwise the next check
+/// retries.
+async fn try_start(
     router: &Router,
     store: &StoreClient,
     known: &mut KnownRows,
     order: &RollOutOrder,
 ) -> bool {
-    let begun = begin(router, store, known, order).await;
-    if begun.is_err() {
-        // The feeds log that the store is away.
+    let outcome = start_order(router, store, known, order).await;
+    if outcome.is_err() {
+        // The feeds log that the store is unreachable.
         router.metrics.count_store_error("roll_out");
     }
-    begun.is_ok()
+    outcome.is_ok()
 }
 
-/// Learns what the entry that is followed passed on about roll-outs.
-fn take_from_link(router: &Router, known: &mut KnownRows) {
+/// Applies rows about roll-outs that the followed entry forwarded.
+fn apply_link_updates(router: &Router, known: &mut KnownRows) {
     for table in [Table::Own, Table::Status] {
         while let Some(update) = router.link.take(table) {
             if update.version.era < router.views.era() {
                 continue;
             }
             let rows = update.into_rows();
-            known.enter(rows.version.era);
-            rows.rows.iter().for_each(|row| known.note(row));
+            known.enter_era(rows.version.era);
+            rows.rows.iter().for_each(|row| known.record(row));
             router.views.update(table, &rows, true);
             let running = router.roll_outs.running();
-            running.iter().for_each(|order| take_over(router, known, order, rows.now));
+            running.iter().for_each(|order| apply_known(router, known, order, rows.now));
         }
     }
 }
 
-/// Learns what other entries said about the roll-outs that are under way.
-async fn learn_verdicts(
+/// Reads other entries' verdicts on the roll-outs in progress.
+async fn read_verdicts(
     router: &Router,
     store: &StoreClient,
     known: &mut KnownRows,
-    seen: &HashMap<Box<str>, StoreVersion>,
+    started: &HashMap<Box<str>, StoreVersion>,
 ) {
     let mut running = router.roll_outs.running();
-    running.retain(|order| seen.get(&order.service) == Some(&order.written_at));
+    running.retain(|order| started.get(&order.service) == Some(&order.written_at));
     if running.is_empty() {
         return;
     }
     router.metrics.count_store_call("status");
     match store.read_table(Table::Status).await {
         Ok(rows) => {
-            known.enter(rows.version.era);
-            rows.rows.iter().for_each(|row| known.note(row));
+            known.enter_era(rows.version.era);
+            rows.rows.iter().for_each(|row| known.record(row));
             router.views.update(Table::Status, &rows, true);
-            running.iter().for_each(|order| take_over(router, known, order, rows.now));
+            running.iter().for_each(|order| apply_known(router, known, order, rows.now));
         }
-        // The feeds report a store that is away; the next look comes soon.
+        // The feeds log that the store is unreachable, and the next check follows soon.
         Err(_) => router.metrics.count_store_error("status"),
     }
 }
 
-/// Reads what the store has about roll-outs and, if nothing about this one, writes its begin.
-async fn begin(
+/// Reads the store's rows and writes the start of an order if it is missing.
+async fn start_order(
     router: &Router,
     store: &StoreClient,
     known: &mut KnownRows,
     order: &RollOutOrder,
 ) -> crate::platform::Result<()> {
-    let now = look(router, store, known).await?;
+    let now = read_rows(router, store, known).await?;
     if known.progress(order).is_none() {
-        write_begin(router, store, known, order, now, RollOutProgress::Running).await?;
-        look(router, store, known).await?;
+        write_state(router, store, known, order, now, RollOutProgress::Running).await?;
+        read_rows(router, store, known).await?;
     }
-    take_over(router, known, order, now);
+    apply_known(router, known, order, now);
     Ok(())
 }
 
-/// Writes how far the roll-outs got that have ended, where the store lost that as it came back from a copy: an
-/// entry that starts would take them as under way. Whether the store has all of them; not where another write came
-/// first, which may have said something else.
-async fn report_ends_again(
+/// Writes the state of ended roll-outs that the store lost when it was restored from a backup: a
+/// starting entry would consider them in progress. Returns whether the store has all of them now;
+/// false if another entry wrote first, since its row may differ.
+async fn rewrite_ends(
     router: &Router,
     store: &StoreClient,
     known: &mut KnownRows,
@@ -269,18 +273,19 @@
     if ended.is_empty() {
         return Ok(true);
     }
-    let now = look(router, store, known).await?;
-    let mut are_all_reported = true;
+    let now = read_rows(router, store, known).await?;
+    let mut are_all_written = true;
     for (order, progress) in ended {
         if known.progress(&order).map(|(progress, _)| progress) != Some(progress) {
-            are_all_reported &= write_begin(router, store, known, &order, now, progress).await?;
+            are_all_written &= write_state(router, store, known, &order, now, progress).await?;
         }
     }
-    Ok(are_all_reported)
+    Ok(are_all_written)
 }
 
-/// Writes when a roll-out began and how far it got, unless another entry did; whether it was written.
-async fn write_begin(
+/// Writes the start and progress of a roll-out, unless another entry has. Returns whether it was
+/// written.
+async fn write_state(
     router: &Router,
     store: &StoreClient,
     known: &KnownRows,
@@ -288,7 +293,7 @@
     store_now: Duration,
     progress: RollOutProgress,
 ) -> crate::platform::Result<bool> {
-    // One that is known to have begun before goes on where it was.
+    // A roll-out that is known to have begun earlier keeps its start.
     let age = router.roll_outs.reported_age(order, router.now()).unwrap_or_default();
     let StoreVersion { era, revision } = order.written_at;
     let began_ms = store_now.saturating_sub(age).as_millis() as u64;
@@ -300,7 +305,7 @@
             table: Table::Own,
             key: key.clone(),
             expected: known.own_version(&order.service),
-            value: serde_json::to_vec(&row).expect("a row of numbers can be written"),
+            value: serde_json::to_vec(&row).expect("numbers serialize to JSON"),
         },
         Put {
             table: Table::Status,
@@ -315,8 +320,8 @@
     Ok(is_written)
 }
 
-/// Reads what the store has about roll-outs; its clock.
-async fn look(
+/// Reads all rows about roll-outs; returns the time on the store's clock.
+async fn read_rows(
     router: &Router,
     store: &StoreClient,
     known: &mut KnownRows,
@@ -325,21 +330,21 @@
     let own = store.read_table(Table::Own).await?;
     let status = store.read_table(Table::Status).await?;
     if known.era > own.version.era.min(status.version.era) {
-        return Err(Error::Unreadable("the store came back from a copy".into()));
+        return Err(Error::Unreadable("the store was restored from a backup".into()));
     }
-    known.enter(own.version.era);
-    if known.enter(status.version.era) {
-        // Read in two eras: what was read first holds no more.
-        return Err(Error::Unreadable("the store came back from a copy".into()));
+    known.enter_era(own.version.era);
+    if known.enter_era(status.version.era) {
+        // The two tables were read in different eras, so the first result is outdated.
+        return Err(Error::Unreadable("the store was restored from a backup".into()));
     }
-    own.rows.iter().chain(&status.rows).for_each(|row| known.note(row));
+    own.rows.iter().chain(&status.rows).for_each(|row| known.record(row));
     router.views.update(Table::Own, &own, true);
     router.views.update(Table::Status, &status, true);
     Ok(status.now)
 }
 
-/// Takes over what the store has of an order.
-fn take_over(router: &Router, known: &KnownRows, order: &RollOutOrder, store_now: Duration) {
+/// Applies the store's state of an order.
+fn apply_known(router: &Router, known: &KnownRows, order: &RollOutOrder, store_now: Duration) {
     let Some((progress, began_ms)) = known.progress(order) else {
         return;
     };
@@ -348,8 +353,8 @@
     router.roll_outs.apply_store_state(&order.service, order.written_at, Some(began), progress);
 }
 
-/// Writes a verdict, unless another entry has given one.
-async fn give(
+/// Writes a verdict, unless another entry has written one.
+async fn write_verdict(
     router: &Router,
     store: &StoreClient,
     known: &mut KnownRows,
@@ -373,13 +378,13 @@
             let progress = verdict.status.progress;
             router.roll_outs.apply_store_state(&order.service, order.written_at, None, progress);
             if router.is_seed() || router.views.has_subscribers() {
-                // Those that follow this entry, now or later, learn of the verdict.
-                look(router, store, known).await?;
+                // Forwards the verdict to current and future followers.
+                read_rows(router, store, known).await?;
             }
         }
         WriteOutcome::Conflict | WriteOutcome::EraMismatch => {
-            let now = look(router, store, known).await?;
-            take_over(router, known, order, now);
+            let now = read_rows(router, store, known).await?;
+            apply_known(router, known, order, now);
         }
     }
     Ok(())
--- a/src/router/shared_limits.rs
+++ b/src/router/shared_limits.rs
@@ -1,8 +1,10 @@
-//! What entries report to each other about servers that advertise a limit.
+//! Rate limits of servers and their exchange between entries.
 //!
-//! An answer reaches one entry, and the limit is for all of them: a hundred that each learn it by a send of their own
-//! are a hundred sends. So each entry reports to the seeds what it received from a server itself, and the seeds report to all
-//! that follow them: at once where others send too much meanwhile, and with the next heartbeat otherwise.
+//! A server advertises its limit in an answer, which reaches one entry, but the limit applies to
+//! all entries. If each of a hundred entries had to learn it from an answer of its own, that would
+//! take a hundred requests. So each entry reports the limits that it received from servers to the
+//! seeds, and the seeds report them to all their followers: immediately if other entries are
+//! sending too much, and with the next heartbeat otherwise.
 
 use std::{
     collections::HashMap,
@@ -26,22 +28,24 @@
     router::Fleet,
 };
 
-/// Servers reported in one message at most, 1.4 KB; the others follow with the next ones.
-const MOST_REPORTED: usize = 64;
-/// Time for which a server that is out of view is remembered: news of it may be under way, or the list be late.
-const REMEMBERED: Duration = Duration::from_secs(60);
+/// Maximum number of limits in one message, 1.4 KB; the others follow in the next messages.
+const MAX_PER_MESSAGE: usize = 64;
+/// Time after the last update for which the limit of a server outside the fleet is kept: updates
+/// may be in transit, or the server list may be late.
+const RETENTION: Duration = Duration::from_secs(60);
 
-/// A server's limit on its way: its life, the counts of the news, and the rate, none where it has ended. Numbers
-/// without names take 22 bytes instead of 60.
+/// Encoded limit of a server: the hash of its incarnation, the two counters of [`LimitNews`], and
+/// the rate, or none where the limit has ended. Encoded without field names it takes 22 bytes
+/// instead of 60.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct LimitUpdate(IncarnationHash, u32, u32, Option<Rate>);
 
 impl LimitUpdate {
-    fn new(life: IncarnationHash, news: LimitReport) -> Self {
+    fn encode(life: IncarnationHash, news: LimitReport) -> Self {
         Self(life, news.changes, news.repeats, news.rate)
     }
 
-    fn read(self) -> (IncarnationHash, LimitReport) {
+    fn decode(self) -> (IncarnationHash, LimitReport) {
         let Self(life, change, again, rate) = self;
         let rate = rate.filter(|rate| rate.is_finite() && *rate > 0.0);
         (life, LimitReport { changes: change, repeats: again, rate })
@@ -51,17 +55,17 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct ServerLimit {
     belief: KnownLimit,
-    /// Number of the last news.
-    number: u64,
-    /// Whether this entry had them from the server itself.
+    /// Sequence number of the last change.
+    sequence: u64,
+    /// Whether the last change came from the server itself, not from another entry.
     is_own: bool,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     servers: HashMap<IncarnationHash, ServerLimit>,
-    /// Number of the next news.
-    next: u64,
+    /// Sequence number of the next change.
+    next_sequence: u64,
 }
 
 impl Inner {
@@ -70,7 +74,7 @@
     }
 }
 
-/// A change of what is known of a server's limit.
+/// A change of the rate that a server advertises.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RateChange {
     pub(crate) life: IncarnationHash,
@@ -78,15 +82,15 @@
     pub(crate) rate: Option<Rate>,
 }
 
-/// The limits that an entry knows of.
+/// Limits that this entry knows, shared by its threads.
 #[derive(Debug)]
 pub(crate) struct SharedLimits {
     inner: Mutex<Inner>,
-    /// Servers that advertise a limit now; while there are none, no send locks anything.
+    /// Number of servers with a limit. While it is 0, sends don't take the lock.
     rate_limited: AtomicUsize,
-    /// Counts changes that others have to know at once.
+    /// Number of changes that other entries must learn immediately.
     urgent: watch::Sender<u64>,
-    /// Counts those of them that this entry received from a server itself.
+    /// Number of these changes that this entry received from a server.
     own_urgent: watch::Sender<u64>,
 }
 
@@ -103,73 +107,74 @@
 
 impl SharedLimits {
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("no panics under the lock")
+        self.inner.lock().expect("no code panics while holding this lock")
     }
 
-    /// Servers that advertise a limit now.
+    /// Number of servers that currently advertise a limit.
     pub(crate) fn rate_limited(&self) -> usize {
         self.rate_limited.load(Ordering::Acquire)
     }
 
-    /// The limits as they are; none while no server names one.
+    /// Locks the limits for reading; none while no server advertises a limit.
     pub(crate) fn view(&self) -> Option<LimitView<'_>> {
         (self.rate_limited() > 0).then(|| LimitView { inner: self.lock() })
     }
 
-    /// Notifies of each change that others have to know at once, from now on.
+    /// Notifies of every later change that other entries must learn immediately.
     pub(crate) fn urgent_changes(&self) -> watch::Receiver<u64> {
         self.urgent.subscribe()
     }
 
-    /// The same of those that this entry received from a server itself.
+    /// Notifies of every later urgent change that this entry received from a server.
     pub(crate) fn own_urgent_changes(&self) -> watch::Receiver<u64> {
         self.own_urgent.subscribe()
     }
 
-    /// Takes in what a server's answer says to a request that was sent at `sent_at`; what changed by it.
+    /// Records the limit in a server's answer to a request that was sent at `sent_at`. Returns the
+    /// change, if any.
     pub(crate) fn record_answer(
         &self,
         life: IncarnationHash,
-        said: AdvertisedLimit,
+        advertised: AdvertisedLimit,
         sent_at: Duration,
         now: Duration,
     ) -> Option<RateChange> {
-        if self.rate_limited() == 0 && !matches!(said, AdvertisedLimit::Rate(_)) {
+        if self.rate_limited() == 0 && !matches!(advertised, AdvertisedLimit::Rate(_)) {
             return None;
         }
-        self.update(life, true, |belief| belief.record_answer(said, sent_at, now))
+        self.update(life, true, |belief| belief.record_answer(advertised, sent_at, now))
     }
 
-    /// Takes in what another entry reports; what changed by it.
+    /// Applies another entry's updates. Returns the changes.
     pub(crate) fn apply_updates(&self, reported: &[LimitUpdate], now: Duration) -> Vec<RateChange> {
-        let take = |reported: &LimitUpdate| {
-            let (life, news) = reported.read();
+        let apply = |reported: &LimitUpdate| {
+            let (life, news) = reported.decode();
             self.update(life, false, |belief| belief.merge(news, now))
         };
-        reported.iter().filter_map(take).collect()
+        reported.iter().filter_map(apply).collect()
     }
 
-    /// Lets a belief change, and makes it known if it did.
+    /// Updates what is known of a server's limit and publishes a change.
     fn update(
         &self,
         life: IncarnationHash,
         is_own: bool,
-        take_in: impl FnOnce(&mut KnownLimit) -> Option<LimitChange>,
+        apply: impl FnOnce(&mut KnownLimit) -> Option<LimitChange>,
     ) -> Option<RateChange> {
         let mut inner = self.lock();
         let mut known = inner.servers.get(&life).copied().unwrap_or_default();
         let before = known.belief.rate();
-        let change = take_in(&mut known.belief);
+        let change = apply(&mut known.belief);
         let Some(change) = change else {
-            // It may have been received all the same.
-            if let Some(kept) = inner.servers.get_mut(&life) {
-                kept.belief = known.belief;
+            // The update may have set the time of receipt, also without a change of the limit.
+            if let Some(stored) = inner.servers.get_mut(&life) {
+                stored.belief = known.belief;
             }
             return None;
         };
         let rate = known.belief.rate();
-        (known.number, known.is_own) = (inner.next, is_own);
-        inner.next += 1;
+        (known.sequence, known.is_own) = (inner.next_sequence, is_own);
+        inner.next_sequence += 1;
         inner.servers.insert(life, known);
         self.rate_limited.store(inner.rate_limited(), Ordering::Release);
         drop(inner);
@@ -182,42 +187,45 @@
         (before != rate).then_some(RateChange { life, before, rate })
     }
 
-    /// News from a number on that this entry received from servers itself, and the number to go on with. A reader
-    /// that begins, with none, gets all that is known.
-    pub(crate) fn own_since(&self, number: Option<u64>) -> (Vec<LimitUpdate>, u64) {
-        let is_all = number.is_none();
-        self.since(number.unwrap_or_default(), |known| is_all || known.is_own)
+    /// Limits that this entry received from servers and that changed at `sequence` or later, and
+    /// the sequence number to continue from. A new reader passes none and receives all known
+    /// limits.
+    pub(crate) fn own_since(&self, sequence: Option<u64>) -> (Vec<LimitUpdate>, u64) {
+        let is_all = sequence.is_none();
+        self.since(sequence.unwrap_or_default(), |known| is_all || known.is_own)
     }
 
-    /// The same of what it received from servers or from other entries.
-    pub(crate) fn all_since(&self, number: u64) -> (Vec<LimitUpdate>, u64) {
-        self.since(number, |_| true)
+    /// Limits from servers or other entries that changed at `sequence` or later, and the sequence
+    /// number to continue from.
+    pub(crate) fn all_since(&self, sequence: u64) -> (Vec<LimitUpdate>, u64) {
+        self.since(sequence, |_| true)
     }
 
     fn since(
         &self,
-        number: u64,
+        sequence: u64,
         is_reported: impl Fn(&ServerLimit) -> bool,
     ) -> (Vec<LimitUpdate>, u64) {
         let inner = self.lock();
-        if number >= inner.next {
-            return (Vec::new(), inner.next);
+        if sequence >= inner.next_sequence {
+            return (Vec::new(), inner.next_sequence);
         }
-        let news = inner.servers.iter().filter(|(_, known)| known.number >= number);
-        let mut news: Vec<_> = news.filter(|(_, known)| is_reported(known)).collect();
-        news.sort_unstable_by_key(|(_, known)| known.number);
-        let next = news.get(MOST_REPORTED).map_or(inner.next, |(_, known)| known.number);
-        news.truncate(MOST_REPORTED);
+        let changed = inner.servers.iter().filter(|(_, known)| known.sequence >= sequence);
+        let mut changed: Vec<_> = changed.filter(|(_, known)| is_reported(known)).collect();
+        changed.sort_unstable_by_key(|(_, known)| known.sequence);
+        let next =
+            changed.get(MAX_PER_MESSAGE).map_or(inner.next_sequence, |(_, known)| known.sequence);
+        changed.truncate(MAX_PER_MESSAGE);
         let reported = |(life, known): (&IncarnationHash, &ServerLimit)| {
-            Some(LimitUpdate::new(*life, known.belief.report()?))
+            Some(LimitUpdate::encode(*life, known.belief.report()?))
         };
-        (news.into_iter().filter_map(reported).collect(), next)
+        (changed.into_iter().filter_map(reported).collect(), next)
     }
 
-    /// Part of the state dump.
+    /// The limits section of the state dump.
     pub(crate) fn dump(&self, fleet: &Fleet, now: Duration) -> Value {
         let inner = self.lock();
-        let one = |(life, known): (&IncarnationHash, &ServerLimit)| {
+        let describe = |(life, known): (&IncarnationHash, &ServerLimit)| {
             let member = fleet.by_incarnation(*life)?;
             let received_ms = now.saturating_sub(known.belief.received_at()).as_millis() as u64;
             Some(json!({
@@ -227,13 +235,14 @@
                 "received_here": known.is_own,
             }))
         };
-        Value::Array(inner.servers.iter().filter_map(one).collect())
+        Value::Array(inner.servers.iter().filter_map(describe).collect())
     }
 
-    /// Forgets servers that are long out of view.
+    /// Removes limits of servers outside the fleet that were last updated more than [`RETENTION`]
+    /// ago.
     pub(crate) fn forget_departed(&self, fleet: &Fleet, now: Duration) {
         let is_kept = |life: &IncarnationHash, known: &mut ServerLimit| {
-            fleet.by_incarnation(*life).is_some() || now < known.belief.received_at() + REMEMBERED
+            fleet.by_incarnation(*life).is_some() || now < known.belief.received_at() + RETENTION
         };
         let mut inner = self.lock();
         inner.servers.retain(is_kept);
@@ -241,14 +250,14 @@
     }
 }
 
-/// The limits as they are while it is held.
+/// Read access to the limits; holds the lock.
 #[derive(Debug)]
 pub(crate) struct LimitView<'a> {
     inner: MutexGuard<'a, Inner>,
 }
 
 impl LimitView<'_> {
-    /// What is known of the limit of one life of a server.
+    /// What is known of the limit of one incarnation of a server.
     pub(crate) fn belief(&self, life: IncarnationHash) -> KnownLimit {
         self.inner.servers.get(&life).map(|known| known.belief).unwrap_or_default()
     }
--- a/src/router/shared_quarantine.rs
+++ b/src/router/shared_quarantine.rs
@@ -1,8 +1,8 @@
-//! What entries report to each other about requests under which servers ended.
+//! Quarantine state of this entry and its exchange with other entries.
 //!
-//! Each entry knows what it had at a server when that ended, and the same work comes again at any entry.
-//! So each end is reported to every seed at once, and the seeds report to all that follow them
-//! (docs/decisions/0015).
+//! Each entry knows which requests it had running on a server when that server crashed, and the
+//! same request may arrive next at any entry. So each crash is reported to every seed at once, and
+//! the seeds report it to all their followers (docs/decisions/0015).
 
 use std::{
     sync::{
@@ -23,21 +23,23 @@
     telemetry::event,
 };
 
-/// Notes kept for links that are behind: those of a zone's loss, and 0.4 MB at most. A message has 512
-/// at most, 16 KB; what comes later is sent to new links as a whole.
+/// The log holds the records of a zone outage in at most 0.4 MB. A message holds at most 512
+/// records, 16 KB; new links receive the complete state instead of the log.
 const LIMITS: UpdateLogLimits =
-    UpdateLogLimits { kept: 4_096, reported: 512, reported_for: Duration::from_secs(60) };
+    UpdateLogLimits { capacity: 4_096, per_message: 512, max_age: Duration::from_secs(60) };
 
-/// Ends under a request from which on news of it is urgent: one more and it is refused.
-const GRAVE_FROM: usize = 2;
+/// Number of crashes from which a request's records are urgent: one more crash and the request is
+/// refused.
+const URGENT_FROM: usize = 2;
 
-/// A note on its way: fingerprint in two halves, the life, and the age in milliseconds, none where the end is
-/// annulled. Four numbers without names take 32 bytes instead of 70.
+/// Encoded [`Note`]: the fingerprint in two halves, the hash of the server's incarnation, and the
+/// age of the crash in milliseconds, or none where the crash is annulled. Encoded without field
+/// names it takes 32 bytes instead of 70.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct QuarantineUpdate(u64, u64, IncarnationHash, Option<u32>);
 
 impl QuarantineUpdate {
-    fn new(note: &Note, now: Duration) -> Self {
+    fn encode(note: &Note, now: Duration) -> Self {
         let age_ms =
             |at: &Duration| u32::try_from(now.saturating_sub(*at).as_millis()).unwrap_or(u32::MAX);
         let Fingerprint(fingerprint) = note.fingerprint();
@@ -48,7 +50,7 @@
         Self((fingerprint >> 64) as u64, fingerprint as u64, life, age_ms)
     }
 
-    fn read(self, now: Duration) -> Note {
+    fn decode(self, now: Duration) -> Note {
         let Self(high, low, life, age_ms) = self;
         let fingerprint = Fingerprint(u128::from(high) << 64 | u128::from(low));
         match age_ms.map(u64::from).map(Duration::from_millis) {
@@ -61,25 +63,26 @@
 #[derive(Debug)]
 struct Inner {
     quarantine: Quarantine,
-    /// What this entry saw itself.
+    /// Records of crashes that this entry observed.
     own: UpdateLog<Note>,
-    /// What it saw or received.
+    /// Records that this entry observed or received.
     all: UpdateLog<Note>,
 }
 
-/// The notes of an entry.
+/// Quarantined and suspected requests, shared by the threads of this entry.
 #[derive(Debug)]
 pub(crate) struct SharedQuarantine {
     inner: Mutex<Inner>,
-    /// Whether anything is known; without it nothing is hashed and nothing is locked.
+    /// Whether no request is suspected. Requests are then neither hashed nor checked under the
+    /// lock.
     is_idle: AtomicBool,
-    /// Counts changes.
+    /// Number of changes.
     changes: watch::Sender<u64>,
-    /// Counts those that this entry saw itself.
+    /// Number of changes that this entry observed itself.
     own_changes: watch::Sender<u64>,
-    /// Whether it is known what the fleet knew before this process started.
+    /// Whether this entry has learned what the fleet knew before this process started.
     is_informed: AtomicBool,
-    /// Whether the store may still keep a request that this entry let go.
+    /// Whether the store may still list a request that this entry has cleared.
     is_row_stale: AtomicBool,
 }
 
@@ -100,38 +103,39 @@
 
 impl SharedQuarantine {
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().expect("no panics under the lock")
+        self.inner.lock().expect("no code panics while holding this lock")
     }
 
-    /// Whether no request is suspected of anything.
+    /// Whether no request is suspected.
     pub(crate) fn is_idle(&self) -> bool {
         self.is_idle.load(Ordering::Acquire)
     }
 
-    /// What may be done with a request.
+    /// Whether a request may be sent, is suspected or is refused.
     pub(crate) fn standing(&self, fingerprint: &Fingerprint, now: Duration) -> QuarantineStatus {
         self.lock().quarantine.status(fingerprint, now)
     }
 
-    /// Notifies of each change from now on.
+    /// Notifies of every later change.
     pub(crate) fn changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Notifies of each change that this entry saw itself, from now on.
+    /// Notifies of every later change that this entry observed itself.
     pub(crate) fn own_changes(&self) -> watch::Receiver<u64> {
         self.own_changes.subscribe()
     }
 
-    /// Notes that a server ended at a time while these requests were at work there, as its address shows; the
-    /// life that ended may be one that the list has not shown yet.
+    /// Records that a server crashed while these requests ran on it, as connections to its address
+    /// show. `listed` is the incarnation in the server list; the one that crashed may be newer.
     pub(crate) fn record_ends(&self, all: &[Fingerprint], listed: IncarnationHash, at: Duration) {
         let life = self.lock().quarantine.incarnation_of_end(listed, at);
         self.record_listed_ends(all, life, at);
     }
 
-    /// Notes that this life of a server ended at a time while these requests were at work there, as the list
-    /// reports. It is the same life for every entry, whenever each of them saw its own connections break.
+    /// Records that this incarnation of a server crashed while these requests ran on it, as the
+    /// server list shows. All entries record the same incarnation, whenever each of them saw its
+    /// own connections break.
     pub(crate) fn record_listed_ends(
         &self,
         all: &[Fingerprint],
@@ -142,8 +146,8 @@
         self.apply(all.iter().map(note), true, at);
     }
 
-    /// Notes that a server answered a request whole, or that an operator lets it go; whether it was
-    /// suspected.
+    /// Clears a request, because a server answered it completely or an operator released it.
+    /// Returns whether it was suspected.
     pub(crate) fn clear(&self, fingerprint: Fingerprint, now: Duration) -> bool {
         let standing = self.standing(&fingerprint, now);
         if standing == QuarantineStatus::Free {
@@ -158,14 +162,14 @@
         true
     }
 
-    /// Takes in what another entry reports.
+    /// Applies another entry's updates.
     pub(crate) fn apply_updates(&self, reported: &[QuarantineUpdate], now: Duration) {
         if !reported.is_empty() {
-            self.apply(reported.iter().map(|note| note.read(now)), false, now);
+            self.apply(reported.iter().map(|note| note.decode(now)), false, now);
         }
     }
 
-    /// Takes in what the store keeps, its times `error` off at most.
+    /// Applies the cases from the store, whose times are accurate to `error`.
     pub(crate) fn apply_cases(&self, cases: &[Case], error: Duration, now: Duration) {
         let mut inner = self.lock();
         let mut is_new = false;
@@ -178,7 +182,7 @@
             for (life, at) in &case.ends {
                 let note = Note::End { fingerprint, incarnation: *life, at: *at };
                 inner.all.push(note, now);
-                // Whoever wrote it may not have informed the others.
+                // The entry that wrote the row may not have informed the others.
                 inner.own.push(note, now);
             }
         }
@@ -187,6 +191,7 @@
         self.publish_own(is_new);
     }
 
+    /// Applies records, logs newly refused requests and notifies the readers.
     fn apply(&self, notes: impl Iterator<Item = Note>, is_own: bool, now: Duration) {
         let mut inner = self.lock();
         let mut is_new = false;
@@ -224,7 +229,7 @@
         }
     }
 
-    /// Forgets what is too old.
+    /// Removes expired cases.
     pub(crate) fn expire(&self, now: Duration) {
         if self.is_idle() {
             return;
@@ -236,7 +241,7 @@
         }
     }
 
-    /// Notes that a refused request gets its trial; the case to be kept, if it is due.
+    /// Starts the trial of a refused request, if it is due. Returns the case to be stored.
     pub(crate) fn begin_trial(&self, fingerprint: &Fingerprint, now: Duration) -> Option<Case> {
         let mut inner = self.lock();
         let standing = inner.quarantine.status(fingerprint, now);
@@ -247,83 +252,89 @@
         inner.quarantine.begin_trial(fingerprint, now)
     }
 
-    /// Requests that are refused, or all that are suspected.
+    /// Refused requests or, unless `only_refused`, all suspected requests.
     pub(crate) fn cases(&self, only_refused: bool, now: Duration) -> Vec<Case> {
         self.lock().quarantine.cases(only_refused, now)
     }
 
-    /// What this entry saw since the note with this number, and the number to go on with. A reader that
-    /// begins gets all that is known.
+    /// Records of crashes that this entry observed, starting at `position` of the log, and the
+    /// position to continue from. A new reader passes none and receives all known records.
     pub(crate) fn own_since(
         &self,
-        number: Option<u64>,
+        position: Option<u64>,
         now: Duration,
     ) -> (Vec<QuarantineUpdate>, u64) {
-        self.since(number, now, |inner| &mut inner.own)
+        self.since(position, now, |inner| &mut inner.own)
     }
 
-    /// The same of what this entry saw or received.
+    /// Like [`Self::own_since`], including the records received from other entries.
     pub(crate) fn all_since(
         &self,
-        number: Option<u64>,
+        position: Option<u64>,
         now: Duration,
     ) -> (Vec<QuarantineUpdate>, u64) {
-        self.since(number, now, |inner| &mut inner.all)
+        self.since(position, now, |inner| &mut inner.all)
     }
 
-    /// What this entry saw or received since the note with this number, of requests that may be refused next: all
-    /// ends under those that two or more count against. One end alone says little, and a zone's loss brings
-    /// thousands of these.
-    pub(crate) fn urgent_since(&self, number: u64, now: Duration) -> (Vec<QuarantineUpdate>, u64) {
+    /// Records of requests that are close to refusal and were updated at `position` of the log or
+    /// later, and the position to continue from: all crashes of requests with [`URGENT_FROM`] or
+    /// more. A single crash proves little, and a zone outage brings thousands of them.
+    pub(crate) fn urgent_since(
+        &self,
+        position: u64,
+        now: Duration,
+    ) -> (Vec<QuarantineUpdate>, u64) {
         let mut inner = self.lock();
-        let (notes, next) = inner.all.from(number, now);
+        let (notes, next) = inner.all.since(position, now);
         let mut requests: Vec<Fingerprint> = notes.iter().map(Note::fingerprint).collect();
         requests.sort_unstable();
         requests.dedup();
         let ends = requests.iter().map(|request| inner.quarantine.ends(request));
-        let grave = ends.filter(|ends| ends.len() >= GRAVE_FROM).flatten();
-        (grave.map(|note| QuarantineUpdate::new(&note, now)).collect(), next)
+        let urgent = ends.filter(|ends| ends.len() >= URGENT_FROM).flatten();
+        (urgent.map(|note| QuarantineUpdate::encode(&note, now)).collect(), next)
     }
 
     fn since(
         &self,
-        number: Option<u64>,
+        position: Option<u64>,
         now: Duration,
         log: impl Fn(&mut Inner) -> &mut UpdateLog<Note>,
     ) -> (Vec<QuarantineUpdate>, u64) {
         let mut inner = self.lock();
-        let (notes, next) = match number {
-            Some(number) => log(&mut inner).from(number, now),
-            None => (inner.known_notes(now), log(&mut inner).next()),
+        let (notes, next) = match position {
+            Some(position) => log(&mut inner).since(position, now),
+            None => (inner.all_notes(now), log(&mut inner).next_position()),
         };
-        (notes.iter().map(|note| QuarantineUpdate::new(note, now)).collect(), next)
+        (notes.iter().map(|note| QuarantineUpdate::encode(note, now)).collect(), next)
     }
 
-    /// Notes that a link did not get because too many came.
+    /// Number of records that links missed because the log or a message was full.
     pub(crate) fn lost(&self) -> u64 {
         let inner = self.lock();
         inner.own.lost() + inner.all.lost()
     }
 
-    /// Whether the store's row has to be looked at because this entry let a refused request go; once.
+    /// Whether the store's row must be read because this entry cleared a refused request; resets
+    /// the flag.
     pub(crate) fn take_stale_row(&self) -> bool {
         self.is_row_stale.swap(false, Ordering::AcqRel)
     }
 
-    /// Notes that it is known what the fleet knew before this process started; whether that is new.
+    /// Marks this entry as informed of what the fleet knew before this process started. Returns
+    /// whether it was not informed before.
     pub(crate) fn mark_informed(&self) -> bool {
         !self.is_informed.swap(true, Ordering::AcqRel)
     }
 
-    /// Whether it is known what the fleet knew before this process started.
+    /// Whether this entry has learned what the fleet knew before this process started.
     pub(crate) fn is_informed(&self) -> bool {
         self.is_informed.load(Ordering::Acquire)
     }
 
-    /// Part of the state dump.
+    /// The quarantine section of the state dump.
     pub(crate) fn dump(&self, now: Duration) -> Value {
         let inner = self.lock();
-        let one = |case: &Case| {
+        let describe = |case: &Case| {
             json!({
                 "fingerprint": case.fingerprint.to_string(),
                 "ends": case.ends.len(),
@@ -331,13 +342,13 @@
                 "trials": case.trials,
             })
         };
-        Value::Array(inner.quarantine.cases(false, now).iter().map(one).collect())
+        Value::Array(inner.quarantine.cases(false, now).iter().map(describe).collect())
     }
 }
 
 impl Inner {
-    /// All that is known, as notes; as many as one message holds, those of refused requests first.
-    fn known_notes(&self, now: Duration) -> Vec<Note> {
+    /// All known crashes that fit into one message, those of refused requests first.
+    fn all_notes(&self, now: Duration) -> Vec<Note> {
         let mut cases = self.quarantine.cases(false, now);
         cases.sort_by_key(|case| !is_refused(&self.quarantine, &case.fingerprint, now));
         let notes = cases.iter().flat_map(|case| {
@@ -348,7 +359,7 @@
                 at: *at,
             })
         });
-        notes.take(LIMITS.reported).collect()
+        notes.take(LIMITS.per_message).collect()
     }
 }
 
--- a/src/router/speed_estimates.rs
+++ b/src/router/speed_estimates.rs
@@ -1,4 +1,4 @@
-//! What an entry has learned of how fast models read and answer.
+//! Learned speeds of models: prompt processing and token generation.
 
 use std::{
     collections::HashMap,
@@ -8,7 +8,7 @@
 
 use crate::policy::timing::TimingEstimate;
 
-/// Beliefs by model, or by service where there is no model.
+/// Estimates by model, or by service if it has no models.
 #[derive(Debug, Default)]
 pub(crate) struct SpeedEstimates {
     by_key: Mutex<HashMap<Box<str>, TimingEstimate>>,
@@ -16,26 +16,27 @@
 
 impl SpeedEstimates {
     fn lock(&self) -> MutexGuard<'_, HashMap<Box<str>, TimingEstimate>> {
-        self.by_key.lock().expect("no panics under the lock")
+        self.by_key.lock().expect("no code panics while holding this lock")
     }
 
-    /// What was learned so far.
+    /// The current estimate, or the initial one if nothing was learned.
     pub(crate) fn get(&self, key: &str) -> TimingEstimate {
         self.lock().get(key).copied().unwrap_or_default()
     }
 
-    /// Learns from the time to an answer's head.
+    /// Learns from the time until the head of an answer arrived. The server had to process
+    /// `unread_tokens` of the prompt after other prompts that took `queue_time`.
     pub(crate) fn record_head_time(
         &self,
         key: &str,
         unread_tokens: u64,
-        ahead: Duration,
-        took: Duration,
+        queue_time: Duration,
+        elapsed: Duration,
     ) {
-        self.lock().entry(key.into()).or_default().record_head(unread_tokens, ahead, took);
+        self.lock().entry(key.into()).or_default().record_head(unread_tokens, queue_time, elapsed);
     }
 
-    /// Learns from a stream's mean time between two events.
+    /// Learns from the mean time between two events of a stream.
     pub(crate) fn record_pace(&self, key: &str, pace: Duration) {
         self.lock().entry(key.into()).or_default().record_event_interval(pace);
     }
--- a/src/router/table_views.rs
+++ b/src/router/table_views.rs
@@ -1,4 +1,4 @@
-//! The rows of the store's tables as they were last seen, for other entries to follow.
+//! Latest known rows of the store's tables, which other entries can subscribe to.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -14,18 +14,18 @@
     router::compressed_rows::CompressedUpdate,
 };
 
-/// Updates kept for a subscriber that reads slowly; one further behind has to begin anew.
-const MOST_BEHIND: usize = 64;
+/// Updates buffered for a slow subscriber; one that falls further behind has to reconnect.
+const UPDATE_BUFFER: usize = 64;
 
 impl TableView {
-    /// All rows, packed once for all that begin to follow before something changes.
-    fn packed(&mut self, table: Table) -> CompressedUpdate {
-        let Self { version, store_now, rows, packed, is_amended, .. } = self;
-        let pack = || {
+    /// All rows, compressed once for all subscribers that arrive before the next change.
+    fn compressed(&mut self, table: Table) -> CompressedUpdate {
+        let Self { version, store_now, rows, compressed, is_amended, .. } = self;
+        let compress = || {
             let rows = rows.values().cloned().collect();
             let (version, store_now, is_amended) = (*version, *store_now, *is_amended);
             let is_whole = true;
-            CompressedUpdate::pack(&TableUpdate {
+            CompressedUpdate::compress(&TableUpdate {
                 table,
                 version,
                 store_now,
@@ -34,27 +34,27 @@
                 rows,
             })
         };
-        packed.get_or_insert_with(pack).clone()
+        compressed.get_or_insert_with(compress).clone()
     }
 }
 
-/// Rows of one table as the store gave them.
+/// Rows of one table as read from the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct TableUpdate {
     pub(crate) table: Table,
-    /// Newest transaction they cover.
+    /// Newest transaction that the rows cover.
     pub(crate) version: StoreVersion,
-    /// The store's clock when it gave them.
+    /// Time on the store's clock when it returned the rows.
     pub(crate) store_now: Duration,
-    /// Whether these are all rows, not only those that changed.
+    /// Whether these are all rows of the table, not only changed ones.
     pub(crate) is_whole: bool,
-    /// Whether rows are among them that the store lost as it came back from a copy.
+    /// Whether rows were added that the store lost when it was restored from a backup.
     pub(crate) is_amended: bool,
     pub(crate) rows: Vec<Row>,
 }
 
 impl TableUpdate {
-    /// The rows, as if the store had given them.
+    /// The rows in the form in which the store returns them.
     pub(crate) fn into_rows(self) -> Rows {
         Rows { rows: self.rows, version: self.version, now: self.store_now }
     }
@@ -63,42 +63,42 @@
 #[derive(Debug, Default)]
 struct TableView {
     version: StoreVersion,
-    /// Whether it has rows that the store lost, until all rows are read again.
+    /// Whether rows were added that the store lost; reset when all rows are read again.
     is_amended: bool,
     store_now: Duration,
     rows: BTreeMap<Box<str>, Row>,
-    /// All rows packed, until something changes.
-    packed: Option<CompressedUpdate>,
+    /// All rows, compressed; none after a change.
+    compressed: Option<CompressedUpdate>,
     answered_at: Duration,
     is_lost: bool,
 }
 
-/// What was last seen of each table.
+/// Latest known rows of all tables that this entry reads.
 #[derive(Debug)]
 pub(crate) struct TableViews {
-    seen: Mutex<HashMap<Table, TableView>>,
+    tables: Mutex<HashMap<Table, TableView>>,
     updates: broadcast::Sender<CompressedUpdate>,
-    /// When an entry that is followed last spoke.
-    received_at: Mutex<Duration>,
+    /// Time of the last message from the entry that this one follows.
+    peer_message_at: Mutex<Duration>,
 }
 
 impl Default for TableViews {
     fn default() -> Self {
         Self {
-            seen: Mutex::default(),
-            updates: broadcast::Sender::new(MOST_BEHIND),
-            received_at: Mutex::default(),
+            tables: Mutex::default(),
+            updates: broadcast::Sender::new(UPDATE_BUFFER),
+            peer_message_at: Mutex::default(),
         }
     }
 }
 
 impl TableViews {
-    /// Takes in what the store or another entry said of a table, and informs the subscribers.
+    /// Applies rows from the store or another entry and sends them to the subscribers.
     pub(crate) fn update(&self, table: Table, rows: &Rows, is_whole: bool) {
         self.update_amended(table, rows, is_whole, false);
     }
 
-    /// The same of rows some of which the store may have lost.
+    /// Like [`Self::update`], for rows to which lost rows may have been added.
     pub(crate) fn update_amended(
         &self,
         table: Table,
@@ -106,24 +106,24 @@
         is_whole: bool,
         is_amended: bool,
     ) {
-        let mut all = self.seen.lock().expect("no panics under the lock");
-        let seen = all.entry(table).or_default();
-        seen.version = rows.version;
-        seen.store_now = rows.now;
-        seen.packed = None;
+        let mut tables = self.tables.lock().expect("no code panics while holding this lock");
+        let view = tables.entry(table).or_default();
+        view.version = rows.version;
+        view.store_now = rows.now;
+        view.compressed = None;
         if is_whole {
-            seen.rows.clear();
-            seen.is_amended = is_amended;
+            view.rows.clear();
+            view.is_amended = is_amended;
         }
         for row in &rows.rows {
             if row.is_removed {
-                seen.rows.remove(&row.key);
+                view.rows.remove(&row.key);
             } else {
-                seen.rows.insert(row.key.clone(), row.clone());
+                view.rows.insert(row.key.clone(), row.clone());
             }
         }
-        let has_news = is_whole || !rows.rows.is_empty();
-        if !has_news || !self.has_subscribers() {
+        let has_changes = is_whole || !rows.rows.is_empty();
+        if !has_changes || !self.has_subscribers() {
             return;
         }
         let update = TableUpdate {
@@ -134,90 +134,91 @@
             is_amended,
             rows: rows.rows.clone(),
         };
-        // Under the lock, so that a subscriber's first view and its updates fit together. An error
-        // only says that there are no subscribers any more.
-        let _ = self.updates.send(CompressedUpdate::pack(&update));
+        // Sent under the lock, so that a subscriber's first rows and its updates leave no gap. An
+        // error only means that the last subscriber has left.
+        let _ = self.updates.send(CompressedUpdate::compress(&update));
     }
 
-    /// All rows of the tables of which something newer than this has been seen, and what comes
-    /// after them. Rows about roll-outs are few and always sent: an entry that starts has not read
-    /// them, whatever it has read of orders and servers.
+    /// All rows of the tables that are newer than `version`, and a receiver of later updates. The
+    /// few rows about roll-outs are always included: a starting entry has not read them, whatever
+    /// it has read of orders and servers.
     pub(crate) fn subscribe(
         &self,
         version: StoreVersion,
     ) -> (Vec<CompressedUpdate>, broadcast::Receiver<CompressedUpdate>) {
-        let mut all = self.seen.lock().expect("no panics under the lock");
-        let is_wanted = |(table, seen): &(&Table, &mut TableView)| {
-            let is_short = matches!(table, Table::Own | Table::Status);
-            is_short || seen.is_amended || seen.version > version
+        let mut tables = self.tables.lock().expect("no code panics while holding this lock");
+        let is_wanted = |(table, view): &(&Table, &mut TableView)| {
+            let is_always_sent = matches!(table, Table::Own | Table::Status);
+            is_always_sent || view.is_amended || view.version > version
         };
-        let wanted = all.iter_mut().filter(is_wanted);
-        let views = wanted.map(|(table, seen)| seen.packed(*table)).collect();
+        let wanted = tables.iter_mut().filter(is_wanted);
+        let views = wanted.map(|(table, view)| view.compressed(*table)).collect();
         (views, self.updates.subscribe())
     }
 
-    /// Whether another entry follows this one.
+    /// Whether other entries follow this one.
     pub(crate) fn has_subscribers(&self) -> bool {
         self.updates.receiver_count() > 0
     }
 
-    /// Notes that the store answered about a table.
+    /// Records that the store answered a call about a table.
     pub(crate) fn record_answer(&self, table: Table, now: Duration) {
-        let mut seen = self.seen.lock().expect("no panics under the lock");
-        let seen = seen.entry(table).or_default();
-        seen.answered_at = now;
-        seen.is_lost = false;
+        let mut tables = self.tables.lock().expect("no code panics while holding this lock");
+        let view = tables.entry(table).or_default();
+        view.answered_at = now;
+        view.is_lost = false;
     }
 
-    /// Notes that the store gave no answer about a table.
+    /// Records that a call about a table failed.
     pub(crate) fn record_failure(&self, table: Table) {
-        let mut seen = self.seen.lock().expect("no panics under the lock");
-        seen.entry(table).or_default().is_lost = true;
+        let mut tables = self.tables.lock().expect("no code panics while holding this lock");
+        tables.entry(table).or_default().is_lost = true;
     }
 
-    /// Whether the store last gave no answer about some table.
+    /// Whether the last call about any table failed.
     pub(crate) fn is_store_lost(&self) -> bool {
-        let seen = self.seen.lock().expect("no panics under the lock");
-        seen.values().any(|seen| seen.is_lost)
+        let tables = self.tables.lock().expect("no code panics while holding this lock");
+        tables.values().any(|view| view.is_lost)
     }
 
-    /// Notes that an entry that is followed spoke.
+    /// Records a message from the entry that this one follows.
     pub(crate) fn record_peer_message(&self, now: Duration) {
-        *self.received_at.lock().expect("no panics under the lock") = now;
+        *self.peer_message_at.lock().expect("no code panics while holding this lock") = now;
     }
 
-    /// When an entry that is followed last spoke.
+    /// Time of the last message from the entry that this one follows.
     pub(crate) fn peer_message_at(&self) -> Duration {
-        *self.received_at.lock().expect("no panics under the lock")
+        *self.peer_message_at.lock().expect("no code panics while holding this lock")
     }
 
-    /// When the store last answered about every table that is followed, or another entry spoke.
+    /// Time up to which every table is applied or, if later, time of the last message from the
+    /// followed entry.
     pub(crate) fn answered_at(&self) -> Duration {
         self.applied_at().max(self.peer_message_at())
     }
 
-    /// Until when all that was said of every table that is followed has been taken in.
+    /// Time up to which every table is applied: the oldest of the tables' last answers.
     pub(crate) fn applied_at(&self) -> Duration {
-        let seen = self.seen.lock().expect("no panics under the lock");
-        let answered = seen.values().map(|seen| seen.answered_at).filter(|at| !at.is_zero());
+        let tables = self.tables.lock().expect("no code panics while holding this lock");
+        let answered = tables.values().map(|view| view.answered_at).filter(|at| !at.is_zero());
         answered.min().unwrap_or_default()
     }
 
-    /// Newest transaction seen of the table that is furthest behind.
+    /// Newest transaction applied to the table that is furthest behind.
     pub(crate) fn oldest_version(&self) -> StoreVersion {
-        let seen = self.seen.lock().expect("no panics under the lock");
-        seen.values().map(|seen| seen.version).min().unwrap_or_default()
+        let tables = self.tables.lock().expect("no code panics while holding this lock");
+        tables.values().map(|view| view.version).min().unwrap_or_default()
     }
 
-    /// Newest era that is known.
+    /// Newest known era of the store.
     pub(crate) fn era(&self) -> Era {
-        let seen = self.seen.lock().expect("no panics under the lock");
-        seen.values().map(|seen| seen.version.era).max().unwrap_or_default()
+        let tables = self.tables.lock().expect("no code panics while holding this lock");
+        tables.values().map(|view| view.version.era).max().unwrap_or_default()
     }
 
-    /// The rows of a table as they were last seen.
+    /// Latest known rows of a table.
     pub(crate) fn rows(&self, table: Table) -> Vec<Row> {
-        let seen = self.seen.lock().expect("no panics under the lock");
-        seen.get(&table).map(|seen| seen.rows.values().cloned().collect()).unwrap_or_default()
+        let tables = self.tables.lock().expect("no code panics while holding this lock");
+        tables.get(&table).map(|view| view.rows.values().cloned().collect()).unwrap_or_default()
     }
 }
