--- a/src/policy/announcements.rs
+++ b/src/policy/announcements.rs
@@ -1,31 +1,34 @@
-//! What one life of a BackendServer has announced in its answers: that it is draining, or a pause.
+//! Drain notices and pauses that one incarnation of a BackendServer announces in its answers.
 
 use std::time::Duration;
 
-/// Answers after a pause from which on a server is used as before: the sends that it may have waiting double
-/// with each of its answers, so sixteen are four round trips.
+/// Answers after a pause until a server is used without restriction. The allowed number of
+/// unanswered requests doubles with each round trip, so this takes four round trips.
 const RECOVERY_ANSWERS: u32 = 16;
-/// Longest time for which that counts, so that answers that never come don't keep a server from being used.
+/// Longest time that recovery after a pause takes, so that a server whose answers never arrive
+/// does not stay restricted.
 const MAX_RECOVERY_TIME: Duration = Duration::from_secs(5);
 
-/// Drain notice and pause; times are on the entry's clock.
+/// Drain notice and latest pause of one server incarnation; times are on the entry's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Announcements {
     draining_since: Option<Duration>,
     paused_until: Option<Duration>,
-    /// Answers since the last pause.
+    /// Answers since the last pause, rejections not counted.
     answers_since_pause: u32,
 }
 
 impl Announcements {
-    /// Notes a drain notice; whether it is the first one. Only a new life ends it.
+    /// Records a drain notice and returns whether it is the first one. Draining ends only with a
+    /// new incarnation of the server.
     pub fn note_draining(&mut self, now: Duration) -> bool {
         let is_first = self.draining_since.is_none();
         self.draining_since.get_or_insert(now);
         is_first
     }
 
-    /// Notes a pause; whether none was under way. The later end holds.
+    /// Records a pause and returns whether the server was not paused before. If pauses overlap,
+    /// the later end applies.
     pub fn note_pause(&mut self, pause: Duration, now: Duration) -> bool {
         let is_new = !self.is_paused(now);
         self.paused_until = self.paused_until.max(Some(now + pause));
@@ -33,7 +36,8 @@
         is_new
     }
 
-    /// Notes an answer that is no rejection; whether it is the first one after a pause.
+    /// Records an answer other than a rejection and returns whether it is the first one after a
+    /// pause.
     pub fn note_answer(&mut self, now: Duration) -> bool {
         if self.is_paused(now) {
             return false;
@@ -42,22 +46,22 @@
         self.answers_since_pause == 1 && self.paused_until.is_some()
     }
 
-    /// When it first announced that it is draining.
+    /// When the first drain notice arrived.
     pub fn draining_since(&self) -> Option<Duration> {
         self.draining_since
     }
 
-    /// When the last pause ends or ended; zero where there was none.
+    /// End of the latest pause; zero if there was none.
     pub fn paused_until(&self) -> Duration {
         self.paused_until.unwrap_or_default()
     }
 
-    /// Whether a pause is under way.
+    /// Whether the server is paused.
     pub fn is_paused(&self, now: Duration) -> bool {
         now < self.paused_until()
     }
 
-    /// Whether its last pause ended so lately that it gets few requests at once.
+    /// Whether the latest pause ended so recently that concurrent requests are still restricted.
     pub fn is_recovering(&self, now: Duration) -> bool {
         self.answers_since_pause < RECOVERY_ANSWERS
             && self
@@ -65,7 +69,8 @@
                 .is_some_and(|until| (until..until + MAX_RECOVERY_TIME).contains(&now))
     }
 
-    /// Answers since the last pause, so many of which may be waited for at once and one more.
+    /// Answers since the latest pause. While recovering, a server may have one more unanswered
+    /// request than this.
     pub fn answers_since_pause(&self) -> u32 {
         self.answers_since_pause
     }
--- a/src/policy/availability.rs
+++ b/src/policy/availability.rs
@@ -1,20 +1,20 @@
-//! Whether a BackendServer may be sent a request now, and why not.
+//! Decides whether a BackendServer may be sent a request now, and if not, why.
 //!
-//! This is the one decision that every send asks for, when its server is chosen and again at the moment of the
-//! send (docs/decisions/0017).
+//! Every send makes this check twice: when its server is chosen and again immediately before
+//! sending (docs/decisions/0017).
 
 use std::{fmt, time::Duration};
 
 use crate::policy::{announcements::Announcements, send_window::SendWindow};
 
-/// Part of the time for which a draining server goes on serving in which it still gets requests that no
-/// other server can take. The rest covers requests on their way and late updates of its row.
+/// A draining server is a last resort for the drain time divided by this. The rest of the drain
+/// time covers requests in transit and late updates of the server's row.
 const LAST_RESORT_DIVISOR: u32 = 2;
 
-/// Why a server should get no request.
+/// Why a server should not be sent a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum UnavailableCause {
-    /// Another server answers at its address.
+    /// A different server answers at its address.
     Replaced,
     /// The operator has evacuated its AvailabilityZone.
     Evacuated,
@@ -22,18 +22,18 @@
     Draining,
     /// It asked for a pause.
     Paused,
-    /// Its pause has just ended, and enough requests wait for its answers.
+    /// Its pause ended recently, and as many requests as allowed are unanswered.
     Recovering,
-    /// It has as many requests of this entry as it took when it last rejected one.
+    /// This entry's send window for it is full.
     Full,
-    /// It takes few requests, and this entry's share is spent or none.
+    /// It has a rate limit, and this entry's share is used up or zero.
     RateLimited,
-    /// It failed several times in a row.
+    /// It was ejected as an outlier after consecutive failures.
     Ejected,
 }
 
 impl UnavailableCause {
-    /// All causes.
+    /// All variants, in the order of their declaration.
     pub const ALL: [Self; 8] = [
         Self::Replaced,
         Self::Evacuated,
@@ -45,7 +45,7 @@
         Self::Ejected,
     ];
 
-    /// The word for logs, metrics and the state dump.
+    /// The name used in logs, metrics and the state dump.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Replaced => "replaced",
@@ -71,49 +71,50 @@
 pub enum Availability {
     /// It may.
     Open,
-    /// Only where no other server can serve.
+    /// Only if no other server can take the request.
     LastResort(UnavailableCause),
     /// It may not.
     Closed {
         /// Why not.
         cause: UnavailableCause,
-        /// When that ends; none where nobody knows.
+        /// When the server opens again, if that is known.
         until: Option<Duration>,
     },
 }
 
-/// What limits the rate of this entry's sends to a server.
+/// The rate limit on this entry's sends to a server; times are those of the next allowed send.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RateSignal {
-    /// Nothing.
+    /// The server has no rate limit.
     #[default]
     Unlimited,
-    /// This entry may send the next request at this time.
+    /// This entry has a share of the rate and may send from this time on.
     Share(Duration),
-    /// The same where no other server can serve: this entry does not know its share.
+    /// This entry does not know its share and may send from this time on, but only if no other
+    /// server can take the request.
     LastResort(Duration),
-    /// Other entries share what the server takes, the next of them at about this time.
+    /// Only other entries may send; the next of them does so at about this time.
     NoShare(Duration),
 }
 
-/// All that speaks for or against a send to a server; times are on the entry's clock.
+/// Inputs of the decision about one server; times are on the entry's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Signals {
-    /// Whether another server answered at its address.
+    /// Whether a different server answered at its address.
     pub is_replaced: bool,
     /// Whether its AvailabilityZone is evacuated.
     pub is_evacuated: bool,
-    /// Since when its row says that it is draining.
+    /// Since when the server's row has listed it as draining.
     pub row_draining_since: Option<Duration>,
-    /// What it announced in its answers.
+    /// Drain notice and pause from the headers of its answers.
     pub announced: Announcements,
-    /// For how long a draining server goes on serving.
+    /// How long a draining server continues to serve.
     pub drain: Duration,
     /// Requests of this entry that it has not begun to answer.
     pub unanswered: u32,
-    /// Requests of this entry that it has.
+    /// Requests of this entry that it has not finished.
     pub in_flight: u32,
-    /// How many it may have.
+    /// Limit on the requests in flight.
     pub window: SendWindow,
     /// Limit on the rate of sends.
     pub rate: RateSignal,
@@ -167,8 +168,8 @@
 }
 
 impl Availability {
-    /// Whether a request that was about to be sent must not be sent any more. What it counts towards itself does not
-    /// stop it.
+    /// Why a request whose server was already chosen must not be sent; `None` if it may be.
+    /// Limits that already count this request do not stop it.
     pub fn stops_send(self) -> Option<UnavailableCause> {
         match self {
             Self::Closed {
@@ -183,12 +184,12 @@
         }
     }
 
-    /// Whether it is closed for this cause.
+    /// Whether the server is closed for this cause.
     pub fn is_closed_by(self, by: UnavailableCause) -> bool {
         matches!(self, Self::Closed { cause, .. } if cause == by)
     }
 
-    /// Time until it may be sent a request; none where nobody knows.
+    /// Time until the server may be sent a request, if that is known.
     pub fn wait(self, now: Duration) -> Option<Duration> {
         match self {
             Self::Open | Self::LastResort(_) => Some(Duration::ZERO),
@@ -196,8 +197,9 @@
         }
     }
 
-    /// Order in which servers are used; none where they are not. An ejected server may answer, and one that
-    /// drains or whose rate limit is not shared yet is spared if that can be.
+    /// Preference of the server, lowest first; `None` if it must not be used. An ejected server
+    /// may answer, while one that drains or whose rate limit is not shared yet is spared if
+    /// another one can take the request.
     fn tier(self) -> Option<u8> {
         match self {
             Self::Open => Some(0),
@@ -208,7 +210,7 @@
     }
 }
 
-/// Keeps the servers of the first tier that has any.
+/// Keeps only the servers of the most preferred tier present; none if all are closed.
 pub fn retain_first_tier<T>(servers: &mut Vec<(T, Availability)>) {
     let first = servers.iter().filter_map(|(_, availability)| availability.tier()).min();
     servers.retain(|(_, availability)| availability.tier().is_some_and(|tier| Some(tier) == first));
--- a/src/policy/cold_start.rs
+++ b/src/policy/cold_start.rs
@@ -1,12 +1,13 @@
-//! Servers that have just started: they are slow, and end under too many requests.
+//! Limits for servers that have just started: while cold they are slow, and too many requests
+//! crash them.
 
 use std::time::Duration;
 
-/// What a cold server of a service takes.
+/// The rate limit of a service's cold servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStartLimit {
-    /// Sends a second, over all entries.
+    /// Requests per second to one server from all entries together.
     pub sends_per_second: f64,
-    /// How long a server is cold after its start.
+    /// How long a server stays cold after its start.
     pub duration: Duration,
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,7 +1,7 @@
-//! Pure decisions: functions and state machines over (state, event, now).
+//! Pure decision logic: functions and state machines over (state, event, now).
 //!
-//! Nothing here does I/O, reads a clock or draws randomness of its own, so that the model
-//! checks in `tests/model/`, the property tests and the measurements drive what production runs.
+//! Nothing here does I/O, reads a clock or generates random numbers, so that the model checks
+//! in `tests/model/`, the property tests and the benchmarks run the same code as production.
 
 pub mod announcements;
 pub mod answer_timeout;
--- a/src/policy/retry_after.rs
+++ b/src/policy/retry_after.rs
@@ -1,14 +1,15 @@
-//! The pause that a server asks for when it rejects a request (RFC 9110, section 10.2.3).
+//! Parsing of the `Retry-After` header (RFC 9110, section 10.2.3): the pause that a server asks
+//! for when it rejects a request.
 
 use std::time::{Duration, SystemTime};
 
-/// Longest pause that is honoured, so that a wrong value doesn't take a server out for good.
+/// Longest pause that is honored, so that a wrong value cannot exclude a server indefinitely.
 pub const MAX_PAUSE: Duration = Duration::from_secs(600);
 
-/// What the head of an answer says of a pause.
+/// The pause requested in the head of an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RetryAfter {
-    /// Nothing.
+    /// No pause.
     #[default]
     None,
     /// The pause, at most [`MAX_PAUSE`].
@@ -18,7 +19,7 @@
 }
 
 impl RetryAfter {
-    /// Reads a number of seconds, which may have a fraction, or an HTTP date.
+    /// Parses a number of seconds, which may be fractional, or an HTTP date.
     pub fn parse(text: &str, now: SystemTime) -> Self {
         let text = text.trim();
         match text.parse::<f64>() {
@@ -39,7 +40,8 @@
         Self::After(pause.min(MAX_PAUSE))
     }
 
-    /// The longer of two pauses that one answer asks for.
+    /// The longer of two pauses requested in one answer; one that can be read is preferred to one
+    /// that cannot.
     #[must_use]
     pub fn longer(self, other: Self) -> Self {
         match (self, other) {
@@ -49,7 +51,7 @@
         }
     }
 
-    /// The pause; none where there is nothing to wait for.
+    /// The pause; `None` if it is absent, unreadable or zero.
     pub fn pause(self) -> Option<Duration> {
         match self {
             Self::After(pause) if !pause.is_zero() => Some(pause),
