--- a/src/policy/known_limit.rs
+++ b/src/policy/known_limit.rs
@@ -1,35 +1,38 @@
-//! What entries know of the limit that one server advertises, and whose update is the newest.
+//! The rate limit that one server advertises, as known to an entry, and the order of reports on it.
 //!
-//! Entries learn it from the server's answers and from each other, late and by several ways, and their clocks say
-//! nothing about the order. So each change that one of them learns from the server itself gets the next number: who
-//! knew the former number received it later.
+//! Entries learn the limit from the server's answers and from each other, with delays and over
+//! several paths, and their clocks do not give an order. So whenever an entry learns of a change
+//! from the server itself, the change gets the number after the latest one that the entry knows:
+//! an entry that knew the former number received its change later.
 
 use std::time::Duration;
 
 use crate::policy::rate_limit::{AdvertisedLimit, MIN_ADVERTISED_RATE, Rate};
 
-/// Time after which it is reported once more that a server still advertises its limit: where nobody says so, others see
-/// that nobody asks it.
+/// Time after which an unchanged limit is reported again. If these reports stop, the other entries
+/// know that no entry sends requests to the server.
 const REPEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// Part of a limit below which a new one is reported at once. A limit may waver with each answer, and each such message
-/// reports the load as well; a smaller fall waits for the next heartbeat, and until then the server gets at most one
-/// and a half times what it names.
+/// A new limit below this part of the former one is reported immediately. The limit may vary
+/// slightly with each answer, and each immediate message carries the load report as well. A smaller
+/// fall waits for the next heartbeat; until then the server receives at most 1.5 times its limit.
 const URGENT_RATIO: f64 = 0.7;
 
-/// What is known of one server, as entries report it.
+/// A report on one server's limit, as exchanged between entries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitReport {
-    /// Counts the changes.
+    /// Number of changes of the limit so far; orders the reports.
     pub changes: u32,
-    /// Counts how often it was received again since the last change.
+    /// Number of times the unchanged limit was reported again since the last change.
     pub repeats: u32,
-    /// Requests a second over all entries; none where it advertises no limit any more.
+    /// Requests per second from all entries together; `None` if the server no longer advertises a
+    /// limit.
     pub rate: Option<Rate>,
 }
 
 impl LimitReport {
-    /// Whether this is newer than what is known. Of two changes that were received at the same time the smaller limit
-    /// holds: the server's next answer settles it, and until then it gets too little rather than too much.
+    /// Whether this report replaces the known one. If two entries learned of different changes
+    /// concurrently, both have the same number and the smaller limit applies: the server's next
+    /// answer corrects it, and until then it receives too few requests rather than too many.
     pub fn is_newer_than(&self, known: &Self) -> bool {
         if self.changes != known.changes || self.rate == known.rate {
             return (self.changes, self.repeats) > (known.changes, known.repeats);
@@ -38,46 +41,49 @@
     }
 }
 
-/// What a change means for those who send.
+/// How soon other entries must learn of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitChange {
-    /// The limit is new or fell: entries that have not learned of it send too much.
+    /// The limit is new or fell considerably: entries that do not know it send too much.
     Urgent,
-    /// It rose or ended.
+    /// The limit fell slightly, rose or ended.
     Deferrable,
-    /// It is as before, and was received again.
+    /// The limit is unchanged and was confirmed.
     Repeated,
 }
 
-/// What this entry knows of one server's limit.
+/// This entry's knowledge of one server's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct KnownLimit {
     latest: Option<LimitReport>,
     received_at: Duration,
-    /// When there was last something to report.
+    /// When the latest report was created or received.
     reported_at: Duration,
 }
 
 impl KnownLimit {
-    /// Requests a second that the server takes; none where it advertises no limit.
+    /// Requests per second that the server accepts; `None` if it advertises no limit.
     pub fn rate(&self) -> Option<Rate> {
         self.latest.and_then(|report| report.rate)
     }
 
-    /// What is known, as it is reported.
+    /// The latest report, to be sent to other entries.
     pub fn report(&self) -> Option<LimitReport> {
         self.latest
     }
 
-    /// When the server was last seen, through any entry.
+    /// When an answer of the server last confirmed the limit, at this entry or by another one's
+    /// report.
     pub fn received_at(&self) -> Duration {
         self.received_at
     }
 
-    /// Takes in what an answer says to a request that was sent at `sent_at`; gives what there is to report.
+    /// Records the limit in the answer to a request that was sent at `sent_at`; returns a change if
+    /// it must be reported.
     ///
-    /// An answer that advertises no limit ends it only where the request was sent after the limit was last named:
-    /// answers overtake each other, and an older one would open the server to everybody.
+    /// An answer without a limit ends the limit only if its request was sent after the limit was
+    /// last confirmed: answers may arrive out of order, and an older one would remove the limit for
+    /// all entries.
     pub fn record_answer(
         &mut self,
         advertised: AdvertisedLimit,
@@ -104,7 +110,7 @@
         Some(self.replace(LimitReport { repeats, ..known }, now))
     }
 
-    /// Takes in what another entry reports; gives what there is to pass on.
+    /// Merges another entry's report; returns a change if it must be forwarded.
     pub fn merge(&mut self, reported: LimitReport, now: Duration) -> Option<LimitChange> {
         let is_new = self.latest.is_none_or(|known| reported.is_newer_than(&known));
         is_new.then(|| self.replace(reported, now))
--- a/src/policy/place.rs
+++ b/src/policy/place.rs
@@ -1,22 +1,23 @@
-//! This entry's place among all, by which entries share what a server takes without asking each other.
+//! An entry's place in the order of all entries, from which its share of rate-limited servers
+//! follows without coordination.
 //!
-//! The seeds know who reports to them, and report to each entry its rank by the names of the Hosts. Views differ while
-//! entries come and go, so a place is changed with care: too many senders for one server would end it, and a server
-//! whose senders are all gone would stand idle.
+//! The seeds know which entries report to them, and tell each entry its rank by Host name. While
+//! entries start and stop, their views differ, so a place changes only after checks: too many
+//! senders would crash a server, and a server whose senders are all gone would receive nothing.
 
 use std::time::Duration;
 
-/// One entry among those that share.
+/// The rank of an entry among all entries that share rate-limited servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// Entries whose Host's name comes before this one's.
+    /// Number of entries whose Host names sort before this one's.
     pub rank: u32,
-    /// All that share, this one included.
+    /// Number of entries, including this one.
     pub entries: u32,
 }
 
 impl Place {
-    /// That of an entry which is alone.
+    /// The place of a single entry.
     pub const ALONE: Self = Self { rank: 0, entries: 1 };
 }
 
@@ -25,15 +26,18 @@
 pub struct ObservedEntry<'a> {
     /// Name of its Host.
     pub host: &'a str,
-    /// Whether it knows its place; a process that has just started does not, and sends nothing yet.
+    /// Whether it knows its place. A process that has just started does not, and sends nothing to
+    /// rate-limited servers yet.
     pub is_settled: bool,
 }
 
-/// The place of the entry on this Host among those that a seed sees, itself included if it is one of them.
+/// The place of the entry on this Host among the entries that a seed sees; `None` if it is not one
+/// of them.
 ///
-/// Entries that are not settled have no turn, so that a server is not left to a process that has just started. Where
-/// they are many, as after a loss of half, they are ranked as well: to leave them out would move most places twice
-/// within seconds, and views that differ let too many send.
+/// Entries that are not settled are left out of the ranking, so that a server's only sender is not
+/// a process that has just started. If there are many of them, such as after half of all entries
+/// were lost, they are ranked too: leaving them out would move most places twice within seconds,
+/// and with differing views too many entries send.
 pub fn place_among(host: &str, seen: &[ObservedEntry<'_>]) -> Option<Place> {
     if !seen.iter().any(|entry| entry.host == host) {
         return None;
@@ -47,39 +51,43 @@
     Some(Place { rank: u32::try_from(rank).ok()?, entries: u32::try_from(ranked.count()).ok()? })
 }
 
-/// How many entries are few of so many: a process is restarted every other minute, half of all hardly ever.
+/// Largest number of entries that is a minor change out of this many. Single processes restart
+/// every other minute, while half of them are almost never lost at once.
 fn max_minor_change(entries: usize) -> usize {
     (entries / 4).max(1)
 }
 
-/// Time from the first report of an entry's place until it is used: a seed that has just started learns of some
-/// entries only after 2 s, when they try it again, and what the process before sent on this Host is more than a
-/// second old.
+/// Time from the first report of an entry's place until the place is used. A seed that has just
+/// started learns of some entries only after 2 s, when they reconnect, and by then the last sends
+/// of the previous process on this Host are more than a second old.
 pub const SETTLE_TIME: Duration = Duration::from_secs(3);
-/// Time for which a few entries less have to be reported before that counts: a report may be late.
+/// Time for which slightly fewer entries must be reported before the change is applied, since a
+/// report may be late.
 const MINOR_LOSS_DELAY: Duration = Duration::from_secs(1);
-/// The same for more of them: processes that were killed together are back and settled by then.
+/// The same for considerably fewer entries. Processes that were killed together have restarted and
+/// settled by then.
 const MAJOR_LOSS_DELAY: Duration = Duration::from_secs(6);
-/// Time for which the largest number of entries counts in the question who the most are.
+/// Time for which the largest reported number of entries is used to determine a majority.
 const PEAK_TTL: Duration = Duration::from_secs(600);
 
-/// What is reported to an entry of its place among all.
+/// Derives the place that an entry uses from those reported to it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlaceTracker {
     place: Option<Place>,
     first_reported_at: Duration,
-    /// Largest number of entries, and when it was last received.
+    /// Largest number of entries and when it was last reported.
     peak: (u32, Duration),
     /// Since when fewer entries than before have been reported.
     fewer_since: Option<Duration>,
 }
 
 impl PlaceTracker {
-    /// Takes in a place that was received; `sees_all` where whoever reports it has been up for long enough to get updates from
-    /// all entries.
+    /// Applies a reported place; `sees_all` if its reporter has been running long enough to receive
+    /// updates from all entries.
     ///
-    /// Where entries lose each other, each side sees fewer, and would take the whole of what a server takes for
-    /// itself. So fewer count only where they are most of all: two sides can't both be that.
+    /// In a network partition each side sees fewer entries and would use the full rate of every
+    /// server. So a lower number of entries is accepted only if it is a majority of the largest
+    /// number, which cannot be true on both sides.
     pub fn update(&mut self, place: Place, sees_all: bool, now: Duration) {
         let (peak, received_at) = self.peak;
         if place.entries >= peak || now >= received_at + PEAK_TTL {
@@ -103,12 +111,12 @@
         }
     }
 
-    /// How many share, as far as it was received; also before the place is settled.
+    /// Number of entries, if it was reported; also while the place is not settled.
     pub fn entries(&self) -> Option<u32> {
         self.place.map(|place| place.entries)
     }
 
-    /// The place to go by; none until it is settled.
+    /// The place to use; `None` until it is settled.
     pub fn get(&self, now: Duration) -> Option<Place> {
         self.place.filter(|_| now >= self.first_reported_at + SETTLE_TIME)
     }
--- a/src/policy/rate_limit.rs
+++ b/src/policy/rate_limit.rs
@@ -1,46 +1,51 @@
-//! How many requests a second a server takes, over all entries, where it takes few.
+//! Shares a server's rate limit among the entries without communication between them.
 //!
-//! A server that has just started takes a number of sends a second, and a rate-limited server advertises one in its
-//! answers. Entries don't ask each other before they send. So each server has a few entries of its own: the
-//! entries are in one order, by the names of their Hosts, and each server's begin at a place that its hash
-//! gives. These share what it takes; all others pass it over.
+//! A server that has just started accepts a fixed number of requests per second, and a
+//! rate-limited server advertises its limit in its answers. Entries do not coordinate before each
+//! send. Instead a few entries are the senders of each server: all entries are ordered by the
+//! names of their Hosts, and a server's senders start at the position given by its hash. The
+//! senders divide the rate among them; all other entries skip the server.
 //!
-//! Two views of how many entries there are differ by the entries that have just come or gone, and move each
-//! server's first place by as many at most: views that differ by `d` let `2 d` entries more send. With equal
-//! parts for all entries, each part is rounded up to one, and a hundred entries send a hundred at once.
+//! Two entries' views of the number of entries differ by those that have just started or stopped.
+//! If the views differ by `d`, the first sender's position moves by `d` at most, so up to `2 d`
+//! additional entries may send. Equal shares for all entries would not work: each share is
+//! rounded up to one request, so a hundred entries would send a hundred at once.
 
 use std::{collections::VecDeque, time::Duration};
 
 use crate::policy::place::Place;
 
-/// Requests a second, over all entries.
+/// Requests per second from all entries together.
 pub type Rate = f64;
 
-/// Least that a limit counts for, whatever its server advertises: only its answers show that its limit is over.
+/// Lower bound of an advertised limit. Without any requests there would be no answer to show that
+/// the limit has ended.
 pub const MIN_ADVERTISED_RATE: Rate = 0.05;
-/// Least rate that is distinguished from none, so that no window is without end.
+/// Lower bound of the rate when a window is computed, so that every window is finite.
 const MIN_RATE: Rate = 1e-3;
 
-/// Time without an answer of a server, beyond that of two sends, after which others than its senders may ask it: news is
-/// reported each second, and arrives with the next report and heartbeat, while an answer may take two seconds to begin.
+/// Time without an answer from a server, in addition to the time of two sends, after which entries
+/// other than its senders may probe it. An unchanged limit is reported every second and arrives
+/// with the next report and heartbeat, and an answer may take two seconds to begin.
 const PROBE_AFTER_SILENCE: Duration = Duration::from_secs(4);
-/// Time for which one entry may do so before it is the next one's turn: a report and a heartbeat.
+/// Time for which one entry may probe before the next one may: the interval of a report and a
+/// heartbeat.
 const PROBE_TURN: Duration = Duration::from_millis(700);
 
-/// What the head of an answer says of its server's limit.
+/// The rate limit in the head of a server's answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum AdvertisedLimit {
-    /// Nothing: the server takes what it has places for.
+    /// No limit: the server accepts as many requests as it has slots.
     #[default]
     Nothing,
-    /// So many requests a second.
+    /// Requests per second.
     Rate(Rate),
-    /// Something that is no number of requests, so nothing is known.
+    /// Not a valid number, so nothing is known.
     Unreadable,
 }
 
 impl AdvertisedLimit {
-    /// Reads what a server names.
+    /// Parses the header's value.
     pub fn parse(text: &str) -> Self {
         match text.trim().parse::<Rate>() {
             Ok(rate) if rate.is_finite() && rate >= 0.0 => Self::Rate(rate),
@@ -48,7 +53,8 @@
         }
     }
 
-    /// The smaller of two limits that one answer names; one that can be read goes before one that can't.
+    /// The smaller of two limits in one answer; one that can be read is preferred to one that
+    /// cannot.
     #[must_use]
     pub fn smaller(self, other: Self) -> Self {
         match (self, other) {
@@ -59,33 +65,35 @@
     }
 }
 
-/// What one entry may send to one server under a limit.
+/// The number of requests that one entry may send to one server in a time window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Allowance {
-    /// Sends in any window of this length.
+    /// Sends allowed in any window of the given length.
     pub sends: u32,
-    /// A second or longer, so that no second has more sends than that.
+    /// Length of the window, at least a second, so that no second has more sends than that.
     pub window: Duration,
 }
 
 impl Allowance {
-    /// The least: what an entry may send that does not know its place among so many, and only where nobody else can
-    /// serve. Where all of them have just started, that adds up to what the server takes.
+    /// The allowance of an entry that does not know its place among this many entries. It is used
+    /// only if no other server can take the request. If all entries have just started, these
+    /// allowances add up to the server's rate.
     pub fn minimum(rate: Rate, entries: u32) -> Self {
         Self { sends: 1, window: window(entries.max(1), rate).max(Duration::from_secs(1)) }
     }
 }
 
-/// Time for which a server takes so many requests.
+/// Time in which a server with this rate accepts this many requests.
 fn window(sends: u32, rate: Rate) -> Duration {
     Duration::from_secs_f64(f64::from(sends) / rate.max(MIN_RATE))
 }
 
-/// What an entry may send to the server with this hash, which takes `rate` from all entries; none where other
-/// entries send to it.
+/// The allowance of the entry at `place` for the server with this hash, which accepts `rate` from
+/// all entries together; `None` if the entry is not one of the server's senders.
 ///
-/// All senders together may send the next whole number of requests in the time, a second or more, for which the
-/// server takes as many: so nothing of a fraction is lost, and no second has more than that number.
+/// The rate is rounded up to a whole number of requests, and the window is the time in which the
+/// server accepts that many, a second or more. All senders together can then use the full rate
+/// without exceeding the rounded number in any second.
 pub fn allowance(rate: Rate, place: Place, server: u64) -> Option<Allowance> {
     let whole = rounded_up(rate);
     let senders = place.entries.clamp(1, whole);
@@ -97,9 +105,12 @@
     Some(Allowance { sends, window: window(whole, rate) })
 }
 
-/// What an entry without a share may send to a server that has answered nobody for a while: its senders have no
-/// work for it, or are gone, and only an answer shows that its limit is over. One such entry at a time, one after
-/// the other, so that they don't all come at once; none where it is another one's turn.
+/// The allowance of an entry that is not one of a server's senders, to probe the server after no
+/// entry has received an answer for a while.
+///
+/// The senders may have no requests for the server or may be gone, and only an answer shows that
+/// its limit has ended. The other entries take turns so that they do not all send at once;
+/// `None` if it is not this entry's turn.
 pub fn probe_allowance(
     rate: Rate,
     place: Place,
@@ -115,32 +126,33 @@
     (current == u128::from(position)).then_some(Allowance { sends: 1, window: silence })
 }
 
-/// The next whole number of requests.
+/// The rate as a whole number of requests, at least one.
 fn rounded_up(rate: Rate) -> u32 {
     (rate.ceil() as u32).max(1)
 }
 
-/// This entry's turn at a server, from 0.
+/// The entry's index in the order of entries that starts with the server's first sender.
 fn sender_index(place: Place, server: u64) -> u32 {
     let entries = place.entries.max(1);
-    // Scaled, not taken modulo: one entry more moves the first place by one at most.
+    // The hash is scaled rather than taken modulo, so that one more entry moves the first sender
+    // by one position at most.
     let first = ((u128::from(server) * u128::from(entries)) >> 64) as u32;
     (place.rank + entries - first) % entries
 }
 
-/// Sends of this entry to one server under a limit, those of the last window.
+/// Times of this entry's rate-limited sends to one server within the last window.
 #[derive(Clone, Debug, Default)]
 pub struct SlidingWindowLog {
     sent_at: VecDeque<Duration>,
 }
 
 impl SlidingWindowLog {
-    /// Whether one more may be made now.
+    /// Whether another send is allowed now.
     pub fn may_send(&self, allowance: &Allowance, now: Duration) -> bool {
         self.next_at(allowance, now) <= now
     }
 
-    /// When the next one may be made.
+    /// When the next send is allowed.
     pub fn next_at(&self, allowance: &Allowance, now: Duration) -> Duration {
         let Some(first) = self.sent_at.len().checked_sub(allowance.sends.max(1) as usize) else {
             return now;
@@ -148,7 +160,7 @@
         self.sent_at[first] + allowance.window
     }
 
-    /// Notes one that is made now.
+    /// Records a send made now and discards those that have left the window.
     pub fn record(&mut self, allowance: &Allowance, now: Duration) {
         while self.sent_at.front().is_some_and(|at| *at + allowance.window <= now) {
             self.sent_at.pop_front();
