--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -1,11 +1,12 @@
-//! The adaptive limit of attempts an agent hands to its engine at a time.
+//! Adaptive limit on the attempts that an agent runs concurrently on its engine.
 
 use std::time::Duration;
 
 const DECREASE: f64 = 0.9;
 const MIN_LIMIT: f64 = 1.0;
 
-/// Additive increase, multiplicative decrease on the time between tokens.
+/// A concurrency limit with additive increase and multiplicative decrease, controlled by the time
+/// between tokens.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdaptiveConcurrencyLimit {
     limit: f64,
@@ -14,17 +15,18 @@
 }
 
 impl AdaptiveConcurrencyLimit {
-    /// A limit that starts at `max` and gives way when tokens come slower than `target`.
+    /// Creates a limit that starts at `max` and decreases when the time between tokens exceeds
+    /// `target`.
     pub fn new(max: u32, target: Duration) -> Self {
         Self { limit: f64::from(max), max: f64::from(max), target }
     }
 
-    /// Attempts that may run at a time.
+    /// Number of attempts that may run concurrently.
     pub fn get(&self) -> usize {
         self.limit as usize
     }
 
-    /// Notes the mean time between tokens of one ended answer.
+    /// Adjusts the limit by the mean time between the tokens of a finished answer.
     pub fn observe(&mut self, between_tokens: Duration) {
         if between_tokens > self.target {
             self.limit = (self.limit * DECREASE).max(MIN_LIMIT);
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -1,22 +1,22 @@
-//! Taking a failing BackendServer out of the choice, and putting it back.
+//! Outlier detection: ejects a failing BackendServer from server selection and readmits it.
 //!
-//! The rules weighed are those of "Taking an Unhealthy Node Out of Rotation" (Harper Fabric
-//! guide); which of them measured better here is in `docs/MEASUREMENTS.md`.
+//! The rules considered are those of "Taking an Unhealthy Node Out of Rotation" (Harper Fabric
+//! guide); `docs/MEASUREMENTS.md` compares their results.
 
 use std::time::Duration;
 
-/// Which rules are in force.
+/// Parameters of outlier detection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OutlierConfig {
-    /// Failures in a row that take a server out.
+    /// Consecutive failures after which a server is ejected.
     pub consecutive_failures: u32,
-    /// Time a server stays out the first time.
+    /// Duration of the first ejection.
     pub base_ejection: Duration,
-    /// Longest time out; each time out in a row is twice the one before.
+    /// Maximum duration of an ejection; each consecutive one is twice as long as the one before.
     pub max_ejection: Duration,
-    /// Answers in a row before a server counts as recovered and its times out start anew.
+    /// Consecutive answers after which a server has recovered and its ejection time starts over.
     pub recovery_answers: u32,
-    /// Largest share of a pool that may be out; the last server never is.
+    /// Largest share of a pool that may be ejected; the last server never is.
     pub max_ejected_share: f64,
 }
 
@@ -33,8 +33,8 @@
 }
 
 impl OutlierConfig {
-    /// The plain rule that the others are measured against: out for a fixed time, no trial
-    /// memory, and any number of servers may be out.
+    /// The baseline of the measurements: ejections of a fixed duration that do not lengthen, for
+    /// any share of the pool.
     pub fn flat() -> Self {
         Self {
             max_ejection: Duration::from_secs(1),
@@ -45,7 +45,7 @@
     }
 }
 
-/// Record of one server; times are on the entry's monotonic clock.
+/// Outlier state of one server; times are on the entry's monotonic clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OutlierDetector {
     failures: u32,
@@ -56,7 +56,7 @@
 }
 
 impl OutlierDetector {
-    /// Notes an answer.
+    /// Records an answer.
     pub fn note_answer(&mut self, config: &OutlierConfig) {
         self.failures = 0;
         self.trial_in_flight = false;
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Notes a failure; a server that fails its trial goes out again at once.
+    /// Records a failure; a server that fails its trial request is ejected again immediately.
     pub fn note_failure(&mut self, config: &OutlierConfig, now: Duration) {
         let on_trial = self.is_on_trial();
         self.answers = 0;
@@ -77,7 +77,7 @@
         self.eject(config, now);
     }
 
-    /// Notes that the server can't be reached at all, which takes it out at once.
+    /// Records that the server cannot be reached, which ejects it immediately.
     pub fn note_unreachable(&mut self, config: &OutlierConfig, now: Duration) {
         self.answers = 0;
         self.eject(config, now);
@@ -91,30 +91,31 @@
         self.ejected_until = now + time.min(config.max_ejection);
     }
 
-    /// Whether the server is out now.
+    /// Whether the server is ejected.
     pub fn is_ejected(&self, now: Duration) -> bool {
         now < self.ejected_until
     }
 
-    /// Whether the server should be passed over: out, or on trial with a request under way.
+    /// Whether the server should not be selected: it is ejected, or its trial request is in flight.
     pub fn should_skip(&self, now: Duration) -> bool {
         self.is_ejected(now) || (self.is_on_trial() && self.trial_in_flight)
     }
 
-    /// Notes that the server was chosen, which begins its trial if it is on one.
+    /// Records that the server was selected; if it is on trial, this is its trial request.
     pub fn note_chosen(&mut self, now: Duration) {
         if !self.is_ejected(now) && self.is_on_trial() {
             self.trial_in_flight = true;
         }
     }
 
-    /// A server that was out and has not answered since gets one request at a time.
+    /// Whether the server has not answered since its last ejection. It then receives one request
+    /// at a time.
     fn is_on_trial(&self) -> bool {
         self.ejections > 0 && self.answers == 0
     }
 }
 
-/// Whether being out is respected: not when too much of the pool is out.
+/// Whether ejections are honored: not if too large a share of the pool is ejected.
 pub fn honors_ejection(ejected: usize, pool: usize, config: &OutlierConfig) -> bool {
     ejected < pool && ejected as f64 <= pool as f64 * config.max_ejected_share
 }
--- a/src/policy/overload.rs
+++ b/src/policy/overload.rs
@@ -1,22 +1,23 @@
-//! When a caller that no server could take should come back.
+//! Computes `Retry-After` for callers whose requests no server could take.
 //!
-//! How long an overload will last is not known; one that has lasted for some time lasts about as long again.
-//! Callers who come back at once meet the overload that refused them, and most have one try only. So
-//! the wait grows with the time for which servers have been refusing, and is spread so that those who were
-//! refused together don't come back together (docs/decisions/0014).
+//! The duration of an overload is not known in advance, but one that has lasted for some time can
+//! be expected to last about as long again. Callers that retry too early meet the same overload,
+//! and most of them retry only once. So the wait grows with the time for which servers have been
+//! refusing requests, with jitter so that callers refused together do not return together
+//! (docs/decisions/0014).
 
 use std::time::Duration;
 
-/// Wait after the first refusal: a place frees up in a fraction of a second.
+/// Wait after the first refusal: a slot becomes free within a fraction of a second.
 const MIN_WAIT: Duration = Duration::from_millis(200);
-/// Longest wait; callers with the longest deadlines here, 20 s, wait a third of it at most.
+/// Longest mean wait, about a third of the longest deadline in use, 20 s.
 const MAX_WAIT: Duration = Duration::from_secs(6);
-/// Time without a refusal after which an overload is over: ten places have freed up by then.
+/// Time without a refusal after which an overload has ended: ten slots have become free by then.
 const QUIET_PERIOD: Duration = Duration::from_secs(1);
-/// The wait is drawn from this range of its mean.
+/// Range of the random factor on the mean wait.
 const JITTER: (f64, f64) = (0.5, 1.5);
 
-/// The refusals of a service's servers.
+/// Tracks how long the servers of one service have been refusing requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Overload {
     started_at: Duration,
@@ -24,7 +25,7 @@
 }
 
 impl Overload {
-    /// Notes a refusal. Gives the time for which servers have been refusing.
+    /// Records a refusal and returns the time since the first one of this overload.
     pub fn note_refusal(&mut self, now: Duration) -> Duration {
         if self.last_refusal.is_none_or(|last| now > last + QUIET_PERIOD) {
             self.started_at = now;
@@ -34,7 +35,8 @@
     }
 }
 
-/// When to come back after a refusal in an overload that has lasted so long; `draw` from 0 to 1.
+/// The wait after a refusal in an overload that has lasted this long; `draw` is a random number
+/// from 0 to 1.
 pub fn retry_after(lasted: Duration, draw: f64) -> Duration {
     let (min, max) = JITTER;
     let mean = lasted.clamp(MIN_WAIT, MAX_WAIT);
--- a/src/policy/windowed_retry_budget.rs
+++ b/src/policy/windowed_retry_budget.rs
@@ -1,32 +1,34 @@
-//! The budget of repeated sends that all entries share.
+//! A retry budget for the whole fleet, enforced by each entry on its own.
 //!
-//! A service may get, in any window, so many sends beyond the first of each request: a ratio of
-//! the requests for it, and a fixed extra. Each entry keeps to the ratio on its own requests and
-//! to its part of the extra (see [`super::extra_share`]), so the sum over all entries stays within,
-//! also over the processes that follow each other on one Host.
+//! In any window, the retries to a service are limited to a ratio of its requests plus a fixed
+//! extra number. Each entry applies the ratio to its own requests and uses its share of the extra
+//! retries (see [`super::extra_share`]). The sum over all entries, including successive processes
+//! on one Host, then stays within the limit.
 
 use std::{collections::VecDeque, time::Duration};
 
-/// Part of the allowed ratio that is used; the rest is for windows that cut a request from its
-/// repeats.
+/// Part of the allowed ratio that is used. The rest covers windows that contain the retries of a
+/// request but not the request itself.
 const RATIO_UTILIZATION: f64 = 0.8;
-/// Repeats allowed to an entry that has had any request, so that a lone one is not lost: at a ratio of
-/// 0.9 that is a tenth of a repeat too many, 36 for 360 entries with one request each in a window.
+/// Retries allowed to an entry with at least one request, so that a single request can be retried.
+/// At a ratio of 0.9 this exceeds the limit by a tenth of a retry for each entry: by 36 for 360
+/// entries with one request each in a window.
 const MIN_RETRIES: f64 = 1.0;
-/// Steps a window is counted in.
+/// Buckets into which the window is divided.
 const BUCKETS: u32 = 10;
 
-/// What one entry may do.
+/// Limits on the retries of one entry to one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryLimits {
-    /// Repeats for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Repeats beyond that in a window: this entry's part of what all may.
+    /// Additional retries allowed in a window: this entry's share of the fleet's extra retries.
     pub extra: f64,
-    /// Window.
+    /// Length of the window.
     pub window: Duration,
 }
 
+/// Counts of one part of the window.
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
     number: u64,
@@ -34,19 +36,19 @@
     retries: u32,
 }
 
-/// Sends of one entry to one service.
+/// Requests and retries of one entry to one service within the window.
 #[derive(Clone, Debug, Default)]
 pub struct WindowedRetryBudget {
     buckets: VecDeque<Bucket>,
 }
 
 impl WindowedRetryBudget {
-    /// Notes a caller's request for the service.
+    /// Records a caller's request for the service.
     pub fn note_request(&mut self, limits: &RetryLimits, now: Duration) {
         self.current_bucket(limits, now).requests += 1;
     }
 
-    /// Takes one repeated send from the budget; false when it is used up.
+    /// Takes one retry from the budget; `false` if the budget is used up.
     pub fn try_retry(&mut self, limits: &RetryLimits, now: Duration) -> bool {
         if self.remaining(limits, now) < 1.0 {
             return false;
@@ -55,7 +57,7 @@
         true
     }
 
-    /// Repeats still allowed.
+    /// Retries still allowed.
     pub fn remaining(&mut self, limits: &RetryLimits, now: Duration) -> f64 {
         self.current_bucket(limits, now);
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
@@ -75,6 +77,6 @@
         if self.buckets.back().is_none_or(|bucket| bucket.number != number) {
             self.buckets.push_back(Bucket { number, ..Bucket::default() });
         }
-        self.buckets.back_mut().expect("a step was just pushed")
+        self.buckets.back_mut().expect("a bucket was just pushed")
     }
 }
