--- a/src/policy/lifecycle.rs
+++ b/src/policy/lifecycle.rs
@@ -1,28 +1,28 @@
-//! The life of a process from start to planned stop.
+//! The lifecycle of a process, from its start to a planned stop.
 
-// The state macro documents nothing it generates.
+// The `state_machine` macro generates items without documentation.
 #![allow(missing_docs)]
 
 use statig::prelude::*;
 
-/// What moves a process on.
+/// Events that change the state of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LifecycleEvent {
-    /// It has a configuration and is ready for work.
+    /// The process has a configuration and is ready for requests.
     Ready,
-    /// A stop was asked for, or the host list shows the host as leaving.
+    /// A stop was requested, or the host list shows this Host as leaving.
     Leave,
-    /// Nothing is in flight and everything is flushed.
+    /// No request is in flight and all data is flushed.
     Idle,
-    /// The grace for finishing ran out.
+    /// The grace period for finishing requests has expired.
     GraceExpired,
 }
 
-/// The machine; its state is all it has.
+/// The state machine, which has no data besides its state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LifecycleMachine;
 
-/// Stage of a process's life.
+/// State of a process's lifecycle.
 pub use self::State as LifecycleState;
 
 #[state_machine(
@@ -62,10 +62,10 @@
     }
 }
 
-/// A process's lifecycle.
+/// The lifecycle of one process.
 pub type Lifecycle = statig::blocking::StateMachine<LifecycleMachine>;
 
-/// A process that has just started.
+/// Creates the lifecycle of a process that has just started.
 pub fn start() -> Lifecycle {
     LifecycleMachine.state_machine()
 }
--- a/src/policy/replication.rs
+++ b/src/policy/replication.rs
@@ -1,46 +1,49 @@
-//! What is taken in of a table that the store or another entry shows.
+//! Decides which part of an update to a table's replica to apply, whether the update comes from the
+//! store or from another entry.
 //!
-//! The store may come back from an older copy and give its versions out again, so the era goes before the version.
+//! The store may be restored from an older backup and then reuses versions, so eras are compared
+//! before versions.
 
 use crate::ids::{Era, StoreVersion};
 
-/// How far a table was followed.
+/// Position up to which a table was replicated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct TablePosition {
-    /// None until all rows were read, and when they have to be read again.
+    /// Version of the replica; `None` if all rows must be read, initially or again.
     pub at: Option<StoreVersion>,
-    /// Era of the last rows; none until there were any.
+    /// Era of the last applied rows, if there were any.
     pub era: Option<Era>,
 }
 
-/// Rows that are shown.
+/// Describes the rows of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UpdateHeader {
-    /// Newest transaction they cover.
+    /// Newest transaction that the rows include.
     pub version: StoreVersion,
-    /// Whether these are all rows, not only those that changed.
+    /// Whether these are all rows rather than only changed ones.
     pub is_whole: bool,
-    /// Whether rows are among them that the store lost as it came back from a copy.
+    /// Whether they include rows that the store lost when it was restored from a backup.
     pub is_amended: bool,
 }
 
-/// What is taken in of them.
+/// The part of an update to apply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateAction {
-    /// Nothing: they are known, or follow on rows that are not.
+    /// Nothing: the rows are known, or they are changes to rows that are not.
     Ignore,
-    /// The configuration, where it is newer than the one in force: the store that was read has lost it.
+    /// Only the configuration, if it is newer than the one in force. This entry has read the
+    /// restored store, which has lost that configuration.
     ConfigurationOnly,
-    /// What changed.
+    /// The changed rows.
     Changes,
     /// All rows.
     Whole,
-    /// All rows, the first since the store came back from an older copy.
+    /// All rows, for the first time since the store was restored from an older backup.
     Restored,
 }
 
 impl TablePosition {
-    /// What to take in of rows that are shown here.
+    /// The part of an update that has to be applied at this position.
     pub fn action_for(&self, update: &UpdateHeader) -> UpdateAction {
         let is_same_era = self.era.is_none_or(|era| era == update.version.era);
         if Some(update.version) <= self.at || Some(update.version.era) < self.era {
@@ -51,12 +54,12 @@
             (false, true) => UpdateAction::Changes,
             (true, true) => UpdateAction::Whole,
             (true, false) => UpdateAction::Restored,
-            // Changes follow on rows of their own era.
+            // Changes apply only to rows of their own era.
             (false, false) => UpdateAction::Ignore,
         }
     }
 
-    /// Notes that all that is shown up to a version is taken in.
+    /// Records that all rows up to this version are applied.
     pub fn advance(&mut self, to: StoreVersion) {
         *self = Self { at: Some(to), era: Some(to.era) };
     }
