--- a/src/policy/quarantine.rs
+++ b/src/policy/quarantine.rs
@@ -1,13 +1,15 @@
-//! Which requests are refused because servers end under them.
+//! Quarantine for requests that crash servers.
 //!
-//! What ends a server may be a property of the work: a request whose prompt crashes whoever runs it comes
-//! again under other ids, at any entry, and would end one server after the other (a "query of death" in
-//! Beyer et al., Site Reliability Engineering, 2016, chapter 22; message queues set such "poison messages"
-//! aside). So ends of servers are counted by what was at work there. One end shows little, since all that
-//! ran there looks alike; what was there at three ends is refused. What a server answers whole is cleared.
+//! A server's crash may be caused by a request: one whose prompt crashes every server that runs it
+//! is sent again under other ids, by any entry, and would end one server after another. Beyer et
+//! al. (Site Reliability Engineering, 2016, chapter 22) call this a "query of death"; message
+//! queues have dead-letter queues for such "poison messages". So the ends of server incarnations
+//! are counted for each request that was running there. One end proves little, since it counts
+//! against every request on that server; a request that was present at three ends is refused. A
+//! complete answer to a request clears it.
 //!
-//! The notes of all entries are merged: in whatever order they come, and however often, the outcome is the
-//! same (docs/decisions/0015).
+//! The notes of all entries are merged. The result does not depend on the order in which they
+//! arrive or on duplicates (docs/decisions/0015).
 
 use std::{
     collections::{HashMap, HashSet},
@@ -18,53 +20,58 @@
 
 use crate::routing::Fingerprint;
 
-/// One incarnation of one server, hashed.
+/// Hash that identifies one incarnation of a server, that is one run of its process.
 pub type IncarnationHash = u64;
 
-/// Ends of servers at which a request has to have been at work to be refused. With two, a request beside
-/// the guilty one is refused as soon as both are sent to the same server again.
+/// Number of ends at which a request must have been running to be refused. With two, a harmless
+/// request that ran beside the crashing one would be refused as soon as both were sent to the same
+/// server again.
 pub const REFUSED_AFTER: usize = 3;
-/// Ends within this time may have one cause, such as a rack's loss. They count as one for a request if a
-/// server ended meanwhile where it was not; under a request that ends servers they are further apart, since
-/// each has to be sent it and begin to run it.
+/// Ends within this time may have a common cause, such as the failure of a rack. They count as one
+/// for a request if another server ended in the same period without running it. The ends caused by
+/// a crashing request are further apart, since each server must first receive and start it.
 const CORRELATION_WINDOW: Duration = Duration::from_millis(250);
-/// Time within which all connections to a server that ends are seen to break, a busy Host included; servers
-/// take a second or more to start again.
+/// Time within which all entries, even on a busy Host, notice that the connections to an ended
+/// server are broken. Servers take a second or more to restart.
 const DETECTION_WINDOW: Duration = Duration::from_millis(400);
-/// Requests that are remembered, at most; 0.5 MB. A zone with 700 servers of four requests each fits.
+/// Maximum number of remembered requests, 0.5 MB. This suffices for the loss of a zone with 700
+/// servers that run four requests each.
 const MAX_REQUESTS: usize = 4_096;
-/// Ends remembered of one request; what it was at before no longer matters.
+/// Maximum number of remembered ends per request; earlier ones no longer matter.
 const MAX_ENDS_PER_REQUEST: usize = 16;
-/// Time after the last end for which a request that is not refused is remembered: one that comes every few
-/// minutes is still found.
+/// Time for which a request that is not refused is remembered after its last end. This is enough to
+/// detect a crashing request that is sent every few minutes.
 const SUSPECT_TTL: Duration = Duration::from_secs(60 * 60);
-/// The same for one that is refused.
+/// The same for a refused request.
 const REFUSED_TTL: Duration = Duration::from_secs(24 * 60 * 60);
-/// Time from the last end or trial to the next trial. A version that was repaired is rolled out in minutes.
+/// Time from the last end or trial to the next trial: a repaired version is rolled out in minutes.
 const FIRST_TRIAL_DELAY: Duration = Duration::from_secs(5 * 60);
 const LAST_TRIAL_DELAY: Duration = Duration::from_secs(40 * 60);
-/// Time to one more trial before these, where the request may be innocent, as another one was at all the same ends or
-/// a server answered it whole before: one that many callers send was refused for minutes after it had been at three ends beside a
-/// guilty one, half of an entry's requests in the soak.
+/// Delay of an additional earlier trial of a request that may be harmless, because another request
+/// was present at the same ends or a server has answered it completely before. In the soak test, a
+/// request sent by many callers was refused for minutes after it had been present at three ends
+/// beside a crashing one; it made up half of an entry's requests.
 const EARLY_TRIAL_DELAY: Duration = Duration::from_secs(1);
-/// Time over which such trials are spread by fingerprint: two that ran beside each other would show nothing.
+/// Time over which early trials are spread by fingerprint. Two trials on one server at the same
+/// time would not show which request crashed it.
 const EARLY_TRIAL_SPREAD: Duration = Duration::from_millis(1_500);
 
-/// What is known of one request, as entries report it.
+/// A fact about one request, as exchanged between entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Note {
-    /// A server's incarnation ended while the request was at work there.
+    /// A server incarnation ended while it was running the request.
     End {
         /// The request.
         fingerprint: Fingerprint,
         /// The incarnation that ended.
         incarnation: IncarnationHash,
-        /// When, on the clock of whoever holds the note.
+        /// Time of the end, on the clock of the entry that holds the note.
         at: Duration,
     },
-    /// That end speaks no longer against the request: a server answered it whole since, or an operator let it
-    /// go. It names the end and not a time, which each entry would take for a little later than the one
-    /// before, and pass on as news without end.
+    /// The end no longer counts against the request, since a server has answered the request
+    /// completely or an operator has released it. The note identifies the end rather than a time:
+    /// each entry would compute a slightly later time than the sender and forward it as new,
+    /// indefinitely.
     Cleared {
         /// The request.
         fingerprint: Fingerprint,
@@ -74,28 +81,28 @@
 }
 
 impl Note {
-    /// The request it is about.
+    /// The request that the note is about.
     pub fn fingerprint(&self) -> Fingerprint {
         let (Self::End { fingerprint, .. } | Self::Cleared { fingerprint, .. }) = self;
         *fingerprint
     }
 }
 
-/// What may be done with a request.
+/// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineStatus {
-    /// Nothing speaks against it.
+    /// No ends count against it.
     Free,
-    /// Servers ended under it, too few to refuse it.
+    /// Too few ends count against it to refuse it.
     Suspect,
     /// It is refused.
     Refused {
-        /// Time to its next trial; none where only an operator can let it go.
+        /// Time to its next trial; `None` if only an operator can release it.
         trial_in: Option<Duration>,
     },
 }
 
-/// The end of a server under a request.
+/// The end of a server incarnation that was running a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct End {
     incarnation: IncarnationHash,
@@ -103,17 +110,17 @@
     is_cleared: bool,
 }
 
-/// What is known of one request.
+/// All known ends and trials of one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct RequestRecord {
-    /// The earliest first.
+    /// Ordered by time, the earliest first.
     ends: Vec<End>,
     trials: u32,
     tried_at: Duration,
 }
 
 impl RequestRecord {
-    /// Takes an end in; whether that is new.
+    /// Adds or clears an end and returns whether that is new.
     fn add_end(&mut self, incarnation: IncarnationHash, at: Duration, is_cleared: bool) -> bool {
         if let Some(end) = self.ends.iter_mut().find(|end| end.incarnation == incarnation) {
             let is_new = is_cleared && !end.is_cleared;
@@ -128,12 +135,12 @@
         true
     }
 
-    /// The ends that speak against it.
+    /// The ends that count against the request.
     fn counted_ends(&self) -> impl Iterator<Item = (IncarnationHash, Duration)> {
         self.ends.iter().filter(|end| !end.is_cleared).map(|end| (end.incarnation, end.at))
     }
 
-    /// Whether an end was annulled: a server answered it whole, or an operator let it go.
+    /// Whether an end was cleared by a complete answer or by an operator.
     fn has_cleared_end(&self) -> bool {
         self.ends.iter().any(|end| end.is_cleared)
     }
@@ -146,31 +153,31 @@
         self.ends.iter().any(|end| end.incarnation == incarnation)
     }
 
-    /// Whether it may be refused; the least that is known decides what is forgotten.
+    /// Whether there are enough ends to refuse the request. Other requests are evicted first.
     fn is_refusable(&self) -> bool {
         self.counted_ends().count() >= REFUSED_AFTER
     }
 }
 
-/// The name of the incarnation after this one where the list shows neither.
+/// Generates the identity of the incarnation after `name`, if the server list shows neither of them.
 fn next_incarnation(name: IncarnationHash, listed: IncarnationHash) -> IncarnationHash {
     xxh3_64_with_seed(&name.to_le_bytes(), listed)
 }
 
-/// A refused request, or one that is suspected, as it is kept in the store.
+/// A refused or suspected request, as persisted in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Case {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// Lives that ended under it and when.
+    /// Incarnations that ended while running the request, and when.
     pub ends: Vec<(IncarnationHash, Duration)>,
     /// Trials made since.
     pub trials: u32,
-    /// When the last of them began.
+    /// When the last trial began.
     pub tried_at: Duration,
 }
 
-/// All that is known of requests under which servers ended.
+/// All known requests that were running when a server ended.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     requests: HashMap<Fingerprint, RequestRecord>,
@@ -179,12 +186,12 @@
 }
 
 impl Quarantine {
-    /// Whether nothing at all is known.
+    /// Whether no requests are known.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Takes a note in; whether it says something new.
+    /// Merges a note and returns whether it was new.
     pub fn add(&mut self, note: Note, now: Duration) -> bool {
         match note {
             Note::End { fingerprint, incarnation, at } => {
@@ -202,8 +209,9 @@
         }
     }
 
-    /// The name of an incarnation that ended now. A server may be back, and end again, before the list shows its next
-    /// incarnation: an end that comes later than the one known is that of another incarnation.
+    /// The identity of an incarnation that ended now. A server may restart and end again before the
+    /// server list shows its next incarnation, so an end considerably later than the known one
+    /// belongs to another incarnation.
     pub fn incarnation_of_end(&self, listed: IncarnationHash, now: Duration) -> IncarnationHash {
         let mut name = listed;
         while self.ended_at.get(&name).is_some_and(|at| *at + DETECTION_WINDOW < now) {
@@ -212,8 +220,9 @@
         name
     }
 
-    /// The name of an incarnation that ended at a time under this listing. The earliest has the listed name, whoever
-    /// shows it first: those known that ended later move on to the next names.
+    /// The identity of an incarnation that ended at this time while the server list showed `listed`.
+    /// The earliest end belongs to `listed` itself, in whatever order the ends become known: known
+    /// ends that are later move to the generated identities that follow.
     fn resolve_incarnation(&mut self, listed: IncarnationHash, at: Duration) -> IncarnationHash {
         let mut names = vec![listed];
         let mut times = Vec::new();
@@ -250,16 +259,17 @@
         counted.map(|(incarnation, at)| Note::End { fingerprint, incarnation, at }).collect()
     }
 
-    /// What annuls all that is known against a request.
+    /// Notes that clear all ends that count against a request.
     pub fn clearing_notes(&self, fingerprint: Fingerprint) -> Vec<Note> {
         let counted =
             self.requests.get(&fingerprint).into_iter().flat_map(RequestRecord::counted_ends);
         counted.map(|(incarnation, _)| Note::Cleared { fingerprint, incarnation }).collect()
     }
 
-    /// Takes in what the store keeps of a request, its times `error` off at most; whether that says something
-    /// new. Two entries that learn of each other through the store alone may each have seen a server end under
-    /// the same listing: the times resolve_incarnation the two lives, which counted as one end before.
+    /// Merges a case from the store, whose times are accurate to `error`, and returns whether it was
+    /// new. Two entries that communicate only through the store may each have seen a server end
+    /// while the list showed the same incarnation. The times distinguish the two incarnations, whose
+    /// ends counted as one before.
     pub fn merge_case(&mut self, case: &Case, error: Duration, now: Duration) -> bool {
         let fingerprint = case.fingerprint;
         let mut is_new = false;
@@ -281,7 +291,7 @@
         is_new || has_more_trials
     }
 
-    /// What may be done with a request.
+    /// Whether a request may be sent.
     pub fn status(&self, fingerprint: &Fingerprint, now: Duration) -> QuarantineStatus {
         let Some(record) = self.requests.get(fingerprint) else {
             return QuarantineStatus::Free;
@@ -296,8 +306,8 @@
         }
     }
 
-    /// When a refused request may be tried once more; none after the last trial. Three sends over all entries
-    /// are what a fleet may cost after the third end.
+    /// When a refused request may be tried again; `None` after the last trial. After the third end,
+    /// all entries together may send the request three more times at most.
     fn trial_at(&self, fingerprint: &Fingerprint, record: &RequestRecord) -> Option<Duration> {
         let spread =
             EARLY_TRIAL_SPREAD.mul_f64(f64::from(fingerprint.0 as u8) / f64::from(u8::MAX));
@@ -307,8 +317,9 @@
         Some(last_end.max(record.tried_at) + delays.nth(record.trials as usize)?)
     }
 
-    /// Whether it may be innocent: a server answered it whole before, or another request was at all the ends that
-    /// count against it. One that many callers send is at most servers, also at those that ended unseen before.
+    /// Whether the request may be harmless: a server has answered it completely before, or another
+    /// request was present at all ends that count against it. A request that many callers send runs
+    /// on most servers, including those that ended before without being noticed.
     fn may_be_harmless(&self, fingerprint: &Fingerprint, record: &RequestRecord) -> bool {
         if record.has_cleared_end() {
             return true;
@@ -319,7 +330,8 @@
         self.requests.iter().any(|(other, ends)| other != fingerprint && was_there(ends))
     }
 
-    /// How many ends count against a request: ends that may be one event with an end elsewhere count once.
+    /// Number of ends that count against a request. Ends that may have a common cause with the end
+    /// of a server that was not running it count once.
     fn count_events(&self, record: &RequestRecord) -> usize {
         let mut counted = 0;
         let mut began: Option<Duration> = None;
@@ -335,7 +347,7 @@
         counted
     }
 
-    /// Whether a server ended about this time where the request was not at work.
+    /// Whether a server that was not running the request ended at about this time.
     fn ended_elsewhere(&self, record: &RequestRecord, from: Duration, to: Duration) -> bool {
         let (from, to) = (from.saturating_sub(CORRELATION_WINDOW), to + CORRELATION_WINDOW);
         let mut incarnations = self.ended_at.iter();
@@ -343,14 +355,14 @@
             .any(|(incarnation, at)| from <= *at && *at <= to && !record.was_at(*incarnation))
     }
 
-    /// Notes that a trial of a request begins; the case to be kept.
+    /// Records that a trial of a request begins and returns the case to persist.
     pub fn begin_trial(&mut self, fingerprint: &Fingerprint, now: Duration) -> Option<Case> {
         let record = self.requests.get_mut(fingerprint)?;
         (record.trials, record.tried_at) = (record.trials + 1, now);
         self.case(fingerprint)
     }
 
-    /// Requests that are known and not cleared, the one with the latest end first.
+    /// Refused requests, and suspected ones unless `only_refused`; those with the latest end first.
     pub fn cases(&self, only_refused: bool, now: Duration) -> Vec<Case> {
         let is_wanted = |fingerprint: &&Fingerprint| match self.status(fingerprint, now) {
             QuarantineStatus::Free => false,
@@ -374,8 +386,8 @@
         })
     }
 
-    /// Forgets the least of what is known where there is no room for one more: what is not refused and
-    /// oldest. An eighth goes at once, since looking for it takes a look at all.
+    /// Makes room for another request if necessary: evicts those that are not refused first, and the
+    /// oldest of them. An eighth is evicted at once, since finding the oldest requires a full scan.
     fn evict_if_full(&mut self, wanted: &Fingerprint) {
         if self.requests.len() < MAX_REQUESTS || self.requests.contains_key(wanted) {
             return;
@@ -389,7 +401,7 @@
         self.prune_incarnations();
     }
 
-    /// Forgets what is too old; whether there was any.
+    /// Removes expired requests and returns whether there were any.
     pub fn expire(&mut self, now: Duration) -> bool {
         let before = self.requests.len();
         self.requests.retain(|_, record| {
