--- a/tests/model/availability.rs
+++ b/tests/model/availability.rs
@@ -1,4 +1,5 @@
-//! A server that drains, asks for pauses and starts again, and its row, which lapses and returns.
+//! Model of a server that drains, pauses and restarts, and of its row in the store, which expires
+//! and returns.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,7 +14,7 @@
 use crate::explore::{Exploration, Step, assert_detected, assert_holds, explore};
 
 const TICK: Duration = Duration::from_secs(1);
-/// Ticks for which a draining server serves on, the first half of them as a last resort.
+/// Ticks for which a draining server continues to serve; for half of them it is a last resort.
 const DRAIN: u32 = 2;
 const MAX_TICKS: u32 = 5;
 const MAX_ANSWERS: u8 = 3;
@@ -34,20 +35,20 @@
     Pause(u32),
 }
 
-/// Notices that an entry got from one incarnation: what they were, and when.
+/// Notices that an entry received from one incarnation, and when.
 type Received = Vec<(Notice, u32)>;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct State {
     now: u32,
     incarnation: u8,
-    /// Answers on their way, with the incarnation that gave them.
+    /// Answers in transit, with the incarnation that sent them.
     in_transit: BTreeSet<(u8, Notice)>,
-    /// Whether the row of the present incarnation is in view.
+    /// Whether the row of the current incarnation is present.
     is_listed: bool,
-    /// What the entry remembers of lives.
+    /// Notices that the entry remembers, by incarnation.
     remembered: BTreeMap<u8, Received>,
-    /// All that it ever got.
+    /// All notices that it has ever received.
     received: BTreeMap<u8, Received>,
     answers: u8,
     lapses: u8,
@@ -57,7 +58,7 @@
     State { is_listed: true, ..State::default() }
 }
 
-/// Production's state of a incarnation from the notices that are remembered of it.
+/// The production state that results from the remembered notices of the current incarnation.
 fn announced(state: &State, mutation: Mutation) -> Announcements {
     let mut announced = Announcements::default();
     let applies_to = |incarnation: u8| {
@@ -99,7 +100,7 @@
     };
     match (received.iter().any(is_closed_by), would_send(state, mutation)) {
         (true, true) => Some("a request is sent to a server that drains or pauses"),
-        (false, false) => Some("a server is left out that neither drains nor pauses"),
+        (false, false) => Some("a server is excluded that neither drains nor pauses"),
         _ => None,
     }
 }
@@ -130,14 +131,14 @@
         if mutation == Mutation::StateLostWithRow {
             lapsed.remembered.clear();
         }
-        steps.push(("the row lapses", lapsed));
+        steps.push(("the row expires", lapsed));
     }
     if !state.is_listed {
         steps.push(("the row returns", State { is_listed: true, ..state.clone() }));
     }
     if state.incarnation == 0 {
         steps.push((
-            "the server starts again",
+            "the server restarts",
             State { incarnation: 1, is_listed: true, ..state.clone() },
         ));
     }
--- a/tests/model/explore.rs
+++ b/tests/model/explore.rs
@@ -1,22 +1,22 @@
-//! Breadth-first exploration with `pathfinding`.
+//! Breadth-first exploration of a model's states, with `pathfinding`.
 
 use std::{fmt::Debug, hash::Hash};
 
 use pathfinding::directed::bfs::{bfs, bfs_reach};
 
-/// A step's name and the state it leads to.
+/// The name of a step and the state that it leads to.
 pub type Step<S> = (&'static str, S);
 
-/// What was found.
+/// Result of an exploration.
 #[derive(Debug)]
 pub struct Exploration {
-    /// States reached.
+    /// Number of states reached.
     pub states: usize,
-    /// What broke and the shortest way there.
+    /// The violated property and the shortest sequence of steps to the violation, if any.
     pub violation: Option<(&'static str, Vec<&'static str>)>,
 }
 
-/// Explores states until one is broken, or to the end.
+/// Explores all states reachable from `start`, or until one violates a property.
 pub fn explore<S: Clone + Eq + Hash + Debug>(
     start: &S,
     next: impl Fn(&S) -> Vec<Step<S>>,
@@ -30,7 +30,7 @@
     Exploration { states, violation }
 }
 
-/// The shortest way to a broken state.
+/// The violated property and the shortest sequence of steps to a violation.
 fn trace<S: Clone + Eq + Hash + Debug>(
     start: &S,
     next: &impl Fn(&S) -> Vec<Step<S>>,
@@ -38,7 +38,7 @@
 ) -> (&'static str, Vec<&'static str>) {
     let successors = |state: &S| next(state).into_iter().map(|(_, state)| state);
     let path = bfs(start, |s| successors(s).collect::<Vec<_>>(), |s| violation(s).is_some());
-    let path = path.expect("a broken state was reached");
+    let path = path.expect("a violating state was reached");
     let names = path.windows(2).map(|pair| {
         let step = next(&pair[0]).into_iter().find(|(_, state)| *state == pair[1]);
         step.map_or("?", |(name, _)| name)
@@ -47,17 +47,17 @@
     (reason, names.collect())
 }
 
-/// Asserts that a model holds, and prints its size.
+/// Asserts that a model has no violation and at least this many states, and prints their number.
 pub fn assert_holds(model: &str, result: &Exploration, at_least: usize) {
     println!("model {model}: {} states", result.states);
     assert!(result.violation.is_none(), "{model}: {:?}", result.violation);
     assert!(result.states >= at_least, "{model} explores only {} states", result.states);
 }
 
-/// Asserts that a mutation is found, and prints the shortest trace.
+/// Asserts that a mutation causes a violation, and prints the shortest sequence of steps to it.
 pub fn assert_detected(model: &str, mutation: &str, result: &Exploration) {
     let Some((reason, trace)) = &result.violation else {
-        panic!("{model}: mutation {mutation} was not found in {} states", result.states);
+        panic!("{model}: mutation {mutation} was not detected in {} states", result.states);
     };
     println!("model {model}, mutation {mutation}: {reason} after {}", trace.join(", "));
 }
--- a/tests/model/main.rs
+++ b/tests/model/main.rs
@@ -1,7 +1,8 @@
-//! Models of the core protocol, explored to the end with the functions production runs.
+//! Model checks of the core protocol: exhaustive state exploration with the production functions.
 //!
-//! Each model also runs with seeded mutations; a mutation that is not found would mean that the
-//! model checks nothing. See docs/PROMISES.md.
+//! Each model also runs with mutations, deliberate faults that the check must detect. A mutation
+//! that goes undetected would show that the model does not check the property it is for. See
+//! docs/PROMISES.md.
 
 mod availability;
 mod charge;
--- a/tests/model/quarantine.rs
+++ b/tests/model/quarantine.rs
@@ -1,8 +1,9 @@
-//! Requests that end servers: two entries that tell each other, and one row of the store.
+//! Model of the quarantine: two entries that exchange notes, and one row of the store.
 //!
-//! One such request comes to any entry at any time. News is on its way for any time, a link is lost with what
-//! was on it, an entry is killed and starts again, the store is away. Once three ends are told to all and
-//! kept, no entry ever sends the request again.
+//! A crashing request may arrive at either entry at any time. Notes are in transit for any length
+//! of time, a link is lost with the notes on it, entries are killed and restarted, and the store is
+//! unavailable at times. Once three ends are known to both entries and persisted, no entry may ever
+//! send the request again.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -15,7 +16,8 @@
 
 const CRASHING: Fingerprint = Fingerprint(1);
 const ENTRIES: usize = 2;
-/// Ends after which the model asks no more: three, three again after all were killed, and what crosses news.
+/// Number of ends after which the request no longer arrives: three, three more after all entries
+/// were restarted, and one that occurs while notes are in transit.
 const MAX_ENDS: IncarnationHash = 7;
 const MAX_RESTARTS: u8 = 2;
 const MAX_LINK_LOSSES: u8 = 1;
@@ -33,12 +35,12 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Entry {
-    /// Ends that it knows of.
+    /// Known ends.
     known: Incarnations,
-    /// What it has not told the other one yet.
+    /// Ends not yet sent to the other entry.
     unsent: Incarnations,
     is_informed: bool,
-    /// Whether it has been to the store since it learned something.
+    /// Whether it has synchronized with the store since it last learned of an end.
     is_persisted: bool,
 }
 
@@ -58,7 +60,7 @@
     is_store_up: bool,
     restarts: u8,
     link_losses: u8,
-    /// Whether three ends were told to all and kept at some time.
+    /// Whether at some time three ends were known to all entries and persisted.
     is_known_everywhere: bool,
     violation: Option<&'static str>,
 }
@@ -82,7 +84,7 @@
     }
 }
 
-/// What production says of a request under which these lives ended, a second after one another.
+/// Whether the production code refuses a request for these ends, each a second after the other.
 fn is_refused(incarnations: &Incarnations) -> bool {
     let mut quarantine = Quarantine::default();
     for incarnation in incarnations {
@@ -99,7 +101,7 @@
     )
 }
 
-/// Whether everything that can be told and kept has been, and three ends are known.
+/// Whether three ends are known and everything has been sent and persisted.
 fn is_known_everywhere(state: &State) -> bool {
     let is_settled = |e: &Entry| e.unsent.is_empty() && e.is_informed && e.is_persisted;
     state.entries.iter().all(is_settled) && state.entries.iter().any(|e| is_refused(&e.known))
@@ -120,7 +122,7 @@
         let mut next = state.clone();
         next.link_losses += 1;
         for entry in &mut next.entries {
-            // A new link begins with all that is known.
+            // All known ends are sent over a new link.
             let sent = mutation != Mutation::NewLinkSendsNothing;
             entry.unsent = if sent { entry.known.clone() } else { Incarnations::new() };
         }
@@ -128,14 +130,14 @@
     }
     let mut next = state.clone();
     next.is_store_up = !state.is_store_up;
-    steps.push(("the store goes or comes back", next));
+    steps.push(("the store becomes unavailable or available", next));
     for (_, next) in &mut steps {
         next.is_known_everywhere |= is_known_everywhere(next);
     }
     steps
 }
 
-/// The request comes to an entry.
+/// The request arrives at an entry.
 fn request(state: &State, i: usize, mutation: Mutation, steps: &mut Vec<Step<State>>) {
     let entry = &state.entries[i];
     let waits = !entry.is_informed && mutation != Mutation::ForwardsBeforeInformed;
@@ -144,7 +146,7 @@
     }
     let mut next = state.clone();
     if state.is_known_everywhere {
-        next.violation = Some("an entry sends what is known to end servers");
+        next.violation = Some("an entry sends a request that is known to crash servers");
     }
     next.ends += 1;
     next.entries[i].learn(&Incarnations::from([state.ends + 1]));
@@ -154,7 +156,7 @@
     steps.push(("the request ends a server", next));
 }
 
-/// What an entry has not told arrives at the other one.
+/// An entry's unsent notes arrive at the other one.
 fn send_message(state: &State, i: usize, mutation: Mutation, steps: &mut Vec<Step<State>>) {
     if state.entries[i].unsent.is_empty() || mutation == Mutation::SharesNoEnds {
         return;
@@ -162,17 +164,17 @@
     let mut next = state.clone();
     let sent = std::mem::take(&mut next.entries[i].unsent);
     next.entries[1 - i].learn(&sent);
-    steps.push(("news arrives", next));
+    steps.push(("notes arrive", next));
 }
 
-/// An entry that refuses the request puts what it knows into the row, and learns what is there.
+/// An entry reads the row of the store, and writes the ends that it knows if it refuses the request.
 fn sync_with_store(state: &State, i: usize, mutation: Mutation, steps: &mut Vec<Step<State>>) {
     let entry = &state.entries[i];
     if !state.is_store_up {
         return;
     }
     let mut next = state.clone();
-    // What the store tells is news for the other one, too.
+    // Ends learned from the store are sent to the other entry as well.
     next.entries[i].unsent.extend(state.row.difference(&entry.known));
     next.entries[i].learn(&state.row);
     (next.entries[i].is_informed, next.entries[i].is_persisted) = (true, true);
@@ -185,7 +187,7 @@
     }
 }
 
-/// An entry is killed and starts again.
+/// An entry is killed and restarted.
 fn restart(state: &State, i: usize, mutation: Mutation, steps: &mut Vec<Step<State>>) {
     if state.restarts == MAX_RESTARTS {
         return;
@@ -198,11 +200,11 @@
         is_informed: false,
         is_persisted: true,
     };
-    // Both ends of the link are new.
+    // The link is new for both entries.
     let sent = mutation != Mutation::NewLinkSendsNothing;
     let other = &mut next.entries[1 - i];
     other.unsent = if sent { other.known.clone() } else { Incarnations::new() };
-    steps.push(("an entry starts again", next));
+    steps.push(("an entry restarts", next));
 }
 
 fn run(mutation: Mutation) -> Exploration {
--- a/tests/model/rate_limit.rs
+++ b/tests/model/rate_limit.rs
@@ -1,4 +1,5 @@
-//! A server that advertises a limit: two entries that learn it from its answers and inform each other.
+//! Model of a server that advertises a rate limit, and of two entries that learn the limit from its
+//! answers and from each other.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -14,7 +15,7 @@
 const MAX_LIMIT_CHANGES: u8 = 3;
 const MAX_RESTARTS: u8 = 1;
 const MAX_LINK_LOSSES: u8 = 1;
-/// Requests a second that the server may name.
+/// Rate limits that the server may advertise.
 const RATES: [u8; 2] = [1, 3];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,24 +27,25 @@
     IncarnationIgnored,
 }
 
-/// What is known of one incarnation, or news of it: the incarnation, the count of changes, and the rate.
+/// The known limit of one incarnation, or a report on it: the incarnation, the number of changes and
+/// the rate.
 type Report = (u8, u32, Option<u8>);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Entry {
-    /// What it knows of the lives it has heard of.
+    /// The known limit of each incarnation.
     known: BTreeSet<Report>,
-    /// News on its way to the other one.
+    /// Reports in transit to the other entry.
     unsent: BTreeSet<Report>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     entries: [Entry; ENTRIES],
-    /// What the server names.
+    /// The limit that the server advertises.
     advertised: Option<u8>,
     incarnation: u8,
-    /// Limits that this incarnation has named.
+    /// Limits that this incarnation has advertised so far.
     ever_advertised: BTreeSet<u8>,
     limit_changes: u8,
     restarts: u8,
@@ -65,7 +67,7 @@
     }
 }
 
-/// Production's belief about an incarnation.
+/// The production state for one incarnation.
 fn known_limit(entry: &Entry, incarnation: u8, mutation: Mutation) -> KnownLimit {
     let mut known_limit = KnownLimit::default();
     let applies_to = |of: u8| of == incarnation || mutation == Mutation::IncarnationIgnored;
@@ -82,13 +84,13 @@
     (incarnation, report.changes, report.rate.map(|rate| rate as u8))
 }
 
-/// Puts what is known of an incarnation in the place of what was.
+/// Replaces the known limit of an incarnation.
 fn put(entry: &mut Entry, report: Report) {
     entry.known.retain(|(incarnation, ..)| *incarnation != report.0);
     entry.known.insert(report);
 }
 
-/// An answer reaches an entry.
+/// An answer arrives at an entry.
 fn answer(state: &mut State, i: usize, mutation: Mutation) {
     let answer = state
         .advertised
@@ -105,7 +107,7 @@
     }
 }
 
-/// News reaches an entry.
+/// A report arrives at an entry.
 fn receive(entry: &mut Entry, (incarnation, change, rate): Report, mutation: Mutation) {
     let report = LimitReport { changes: change, repeats: 0, rate: rate.map(f64::from) };
     let mut known = known_limit(entry, incarnation, Mutation::None);
@@ -115,7 +117,7 @@
     }
 }
 
-/// All news arrives.
+/// All reports arrive.
 fn deliver_all(state: &mut State, mutation: Mutation) {
     for i in 0..ENTRIES {
         for report in std::mem::take(&mut state.entries[i].unsent) {
@@ -130,7 +132,7 @@
     [rate(&state.entries[0]), rate(&state.entries[1])]
 }
 
-/// Requests a second that all entries together may send under a limit.
+/// Requests per second that all entries together may send under a limit.
 fn total_rate(rate: u8, mutation: Mutation) -> f64 {
     let share = |rank: u32| {
         let place = match mutation {
@@ -143,16 +145,16 @@
     (0..ENTRIES as u32).map(share).sum()
 }
 
-/// What is wrong in a state as it is.
+/// The property that a state violates, if any.
 fn find_violation(state: &State, mutation: Mutation) -> Option<&'static str> {
     let rates = rates(state, mutation);
     if rates.iter().flatten().any(|rate| !state.ever_advertised.contains(rate)) {
-        return Some("an entry believes a limit that this incarnation never named");
+        return Some("an entry has a limit that this incarnation never advertised");
     }
     if rates[0] == rates[1]
         && rates[0].is_some_and(|rate| total_rate(rate, mutation) > f64::from(rate))
     {
-        return Some("the entries together send more than the server takes");
+        return Some("the entries together exceed the server's rate");
     }
     for i in 0..ENTRIES {
         let mut after = state.clone();
@@ -160,7 +162,7 @@
         answer(&mut after, i, mutation);
         deliver_all(&mut after, mutation);
         if self::rates(&after, mutation) != [state.advertised; ENTRIES] {
-            return Some("an answer does not settle what entries believe");
+            return Some("the entries do not agree with the server after an answer");
         }
     }
     None
@@ -174,20 +176,20 @@
     for i in 0..ENTRIES {
         let mut answered = state.clone();
         answer(&mut answered, i, mutation);
-        steps.push(("an answer comes", answered));
+        steps.push(("an answer arrives", answered));
         for report in &state.entries[i].unsent {
             let mut delivered = state.clone();
             delivered.entries[i].unsent.remove(report);
             receive(&mut delivered.entries[1 - i], *report, mutation);
-            steps.push(("news arrives", delivered));
+            steps.push(("a report arrives", delivered));
         }
         if state.restarts < MAX_RESTARTS {
             let mut restarted = state.clone();
             restarted.restarts += 1;
             restarted.entries[i] = start().entries[i].clone();
-            // The new link begins with all that is known.
+            // All known limits are sent over the new link.
             restarted.entries[1 - i].unsent = restarted.entries[1 - i].known.clone();
-            steps.push(("an entry starts again", restarted));
+            steps.push(("an entry restarts", restarted));
         }
     }
     if state.link_losses < MAX_LINK_LOSSES {
@@ -203,7 +205,7 @@
     steps
 }
 
-/// The server names another limit, or none, or starts again.
+/// The server advertises another limit or none, or restarts.
 fn change_limit(state: &State, steps: &mut Vec<Step<State>>) {
     if state.limit_changes == MAX_LIMIT_CHANGES {
         return;
@@ -213,14 +215,14 @@
         let mut changed = state.clone();
         (changed.limit_changes, changed.advertised) = (state.limit_changes + 1, advertised);
         changed.ever_advertised.extend(advertised);
-        steps.push(("the server names another limit", changed));
+        steps.push(("the server advertises another limit", changed));
     }
     if state.incarnation == 0 {
         let mut restarted = state.clone();
         (restarted.limit_changes, restarted.advertised, restarted.incarnation) =
             (state.limit_changes + 1, None, 1);
         restarted.ever_advertised.clear();
-        steps.push(("the server starts again", restarted));
+        steps.push(("the server restarts", restarted));
     }
 }
 
--- a/tests/model/restore.rs
+++ b/tests/model/restore.rs
@@ -1,8 +1,9 @@
-//! A store that comes back from an older copy: the operator writes, one entry follows the store and another one
-//! follows that entry or reads the store itself, and starts again.
+//! Model of a store that is restored from an older backup. The operator writes, one entry follows
+//! the store, and a second one follows the first or reads the store itself, and restarts.
 //!
-//! Whatever the order, no life of an entry goes back to an older configuration, an entry that is at the store's
-//! newest version has the store's rows, and one that starts has what the entry that it follows has in force.
+//! In any order of steps, no running entry returns to an older configuration, an entry at the
+//! store's newest version has the store's rows, and an entry that starts gets the configuration in
+//! force at the entry that it follows.
 
 use mintmoor::{
     ids::{Era, Revision, StoreVersion},
@@ -19,15 +20,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutation {
     None,
-    /// Versions alone are compared.
+    /// Only versions are compared.
     IgnoresEras,
-    /// Changes are taken in though they follow on rows of another era.
+    /// Changes are applied to rows of another era.
     MixesEras,
-    /// What the store lost is not kept for others.
+    /// A configuration that the store lost is not kept for other entries.
     DropsLostRows,
 }
 
-/// The configuration and another row, and when each was written.
+/// The values of the configuration and of another row, each with the revision of its last write.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Rows {
     configuration: (u8, Revision),
@@ -73,7 +74,7 @@
     newest: u8,
     other_writes: u8,
     restarts: u8,
-    /// The first follows the store; the second one follows the first, too.
+    /// The first one follows the store; the second one follows the store or the first one.
     entries: [Entry; 2],
     violation: Option<&'static str>,
 }
@@ -86,7 +87,7 @@
     State { store, backup, newest: 1, other_writes: 1, restarts: 0, entries, violation: None }
 }
 
-/// Takes in rows that are shown, as an entry's feed does.
+/// Applies an update as the feed of an entry does.
 fn apply(entry: &mut Entry, rows: Rows, update: UpdateHeader, mutation: Mutation) {
     let mut position = entry.position;
     let mut header = update;
@@ -138,7 +139,7 @@
     for i in 0..2 {
         let mut next = state.clone();
         read_store(&mut next.entries[i], &state.store, mutation);
-        steps.push(("an entry asks the store", next));
+        steps.push(("an entry reads the store", next));
     }
     let [first, second] = state.entries;
     if let Some(version) = first.position.at {
@@ -150,18 +151,18 @@
         if is_behind && !is_newer {
             next.violation = Some("an entry has an older configuration than the one it follows");
         }
-        steps.push(("a link brings all rows", next));
+        steps.push(("all rows arrive over a link", next));
     }
     if state.restarts < MAX_RESTARTS {
         let mut next = state.clone();
         next.restarts += 1;
         next.entries[1] = Entry::default();
-        steps.push(("the second entry starts again", next));
+        steps.push(("the second entry restarts", next));
     }
     steps.into_iter().map(|(name, next)| (name, checked(next))).collect()
 }
 
-/// Asks for changes, or for all rows where the store has no changes since.
+/// Reads the changes since the entry's position, or all rows if the store does not have them.
 fn read_store(entry: &mut Entry, store: &Store, mutation: Mutation) {
     let checks_era = mutation != Mutation::IgnoresEras && mutation != Mutation::MixesEras;
     let follows_on =
@@ -184,7 +185,7 @@
     if state.store.rows.configuration.0 < state.newest {
         let mut next = state.clone();
         next.store.write_configuration(next.newest);
-        steps.push(("the operator writes again what was lost", next));
+        steps.push(("the operator writes the lost configuration again", next));
     }
     if state.other_writes < MAX_OTHER_WRITES {
         let mut next = state.clone();
@@ -198,12 +199,12 @@
     if state.backup.is_none() {
         let mut next = state.clone();
         next.backup = Some(state.store);
-        steps.push(("the store is copied", next));
+        steps.push(("the store is backed up", next));
     }
     if let Some(backup) = state.backup.filter(|_| state.store.era < MAX_RESTORES) {
         let mut next = state.clone();
         next.store = Store { era: state.store.era + 1, ..backup };
-        steps.push(("the store comes back from the copy", next));
+        steps.push(("the store is restored from the backup", next));
     }
 }
 
@@ -213,7 +214,7 @@
             && entry.rows.other != state.store.rows.other
     };
     if state.entries.iter().any(differs) {
-        state.violation = Some("an entry that follows the store has rows that it has not");
+        state.violation = Some("an entry at the store's newest version has different rows");
     }
     state
 }
