--- a/tests/availability.rs
+++ b/tests/availability.rs
@@ -1,4 +1,4 @@
-//! The decision whether a server may be sent a request.
+//! The decision whether a server may be sent a request, on simulated time.
 
 use std::time::{Duration, SystemTime};
 
@@ -143,7 +143,7 @@
     assert_eq!(with(RateSignal::NoShare(NOW + SECOND)), until(NOW + SECOND));
 }
 
-/// The servers that are used, by their numbers.
+/// Indexes of the servers that remain after filtering by tier.
 fn used(availabilities: &[Availability]) -> Vec<usize> {
     let mut servers: Vec<_> = availabilities.iter().copied().enumerate().collect();
     retain_first_tier(&mut servers);
@@ -196,7 +196,7 @@
     assert_eq!(one.longer(RetryAfter::Unreadable), one);
 }
 
-/// What an answer of a server may say.
+/// The announcement in a server's answer.
 #[derive(Clone, Copy, Debug)]
 enum Said {
     Nothing,
@@ -234,12 +234,12 @@
                     pause_ends = pause_ends.max(now + Duration::from_millis(ms));
                 }
             }
-            prop_assert!(announced.paused_until() >= before, "a deadline moved back");
+            prop_assert!(announced.paused_until() >= before, "the end of a pause moved back");
             let availability = decide(&Signals { announced, ..signals() }, now);
             let is_paused = now < pause_ends;
             let is_leaving = drains_since.is_some_and(|since| now >= since + DRAIN / 2);
             let is_closed = matches!(availability, Availability::Closed { .. });
-            // Without requests that wait, nothing else keeps a server out.
+            // Without unanswered requests, nothing else closes a server.
             prop_assert_eq!(is_closed, is_paused || is_leaving);
             prop_assert_eq!(availability == Availability::Open, !is_paused && drains_since.is_none());
         }
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The budget of repeated sends that all entries share, trace on whole fleets.
+//! The retry budget of a whole fleet, on simulated time.
 
 use std::time::Duration;
 
@@ -7,13 +7,13 @@
     windowed_retry_budget::{RetryLimits, WindowedRetryBudget},
 };
 
-/// What a deployment of this size allows.
+/// Limits for the fleet, as in a deployment's settings.
 const LIMITS: RetryLimits =
     RetryLimits { ratio: 0.9, extra: 104.0, window: Duration::from_secs(10) };
-/// Time between two rounds in which callers ask.
+/// Step of the simulation.
 const STEP: Duration = Duration::from_millis(50);
 
-/// One entry's process as far as the budget goes.
+/// The retry budget of one entry's process.
 struct Process {
     budget: WindowedRetryBudget,
     share: ExtraShare,
@@ -24,7 +24,7 @@
         Self { budget: WindowedRetryBudget::default(), share: ExtraShare::new(now) }
     }
 
-    /// Lets it know how many entries there are.
+    /// Reports the number of entries to the process.
     fn record_entries(&mut self, entries: u32, now: Duration) {
         self.share.record_entries(entries, now);
     }
@@ -42,7 +42,7 @@
     }
 }
 
-/// What a fleet did: when callers asked, and when requests were sent again.
+/// Times of the requests and retries of a fleet.
 #[derive(Default)]
 struct Trace {
     requests: Vec<Duration>,
@@ -50,8 +50,9 @@
 }
 
 impl Trace {
-    /// Repeats in the worst window beyond what its requests, or those of the window before or half
-    /// before, allow; at most the extra, if the promise is kept.
+    /// Retries in the worst window in excess of the ratio, applied to the requests of that window or
+    /// of the windows half and one length earlier, whichever has most. Must not exceed the extra
+    /// retries.
     fn worst_excess(&self) -> f64 {
         let within = |all: &[Duration], from: Duration| {
             let after = all.partition_point(|at| *at < from);
@@ -67,9 +68,9 @@
     }
 }
 
-/// A fleet of so many entries; callers ask `rate` times a second in all, from when the entries have
-/// run for `warm_up`, and each request would be sent again twice. At each time in `restarts` nine
-/// entries in ten are killed and start anew.
+/// Simulates a fleet in which callers send `rate` requests a second in total, after the entries have
+/// run for `warm_up`, and every request is retried twice if the budget allows. At each time in
+/// `restarts`, nine entries in ten are killed and started again.
 fn simulate(entries: u32, rate: f64, warm_up: Duration, restarts: &[Duration]) -> Trace {
     let mut fleet: Vec<Process> = (0..entries).map(|_| Process::start(Duration::ZERO)).collect();
     let mut trace = Trace::default();
@@ -104,19 +105,12 @@
 const WARM_UP: Duration = Duration::from_secs(14);
 const TWO_RESTARTS: [Duration; 2] = [Duration::from_secs(6), Duration::from_secs(10)];
 
-/// What servers saw: while most of them failed and entries were restarted, requests reached them
-/// again more often than the deployment allows: 4,403 retries for 4,615 requests in 10 s, where 4,258
-/// are allowed.
-///
-/// Order of events: nine servers in ten fail; each entry sends again as much as it thinks it may; nine
-/// entries in ten are killed and start anew, twice within a window, and each new process sends again
-/// as if nothing had been sent before.
-///
-/// Cause: each process took a fixed eighth of the extra for its own, whatever the number of entries,
-/// and a new one took the whole of its part at once, though the one before it had used it up.
-///
-/// Evidence: what was sent beyond the used part of the ratio, 1,080, is near three lives of 32
-/// entries with an eighth of 104 each, 1,248; without restarts the same day stayed within.
+/// Most servers fail, and nine entries in ten are killed and restarted twice within a window. Each
+/// process once used a fixed eighth of the extra retries whatever the number of entries, and a new
+/// one used its share again although its predecessor had spent it. Servers received 4,403 retries
+/// for 4,615 requests in 10 s, where 4,258 are allowed. The 1,080 retries beyond the used part of
+/// the ratio are close to an eighth of 104 for three generations of 32 entries, 1,248; without
+/// restarts the fleet stayed within the limit.
 #[test]
 fn retries_stay_within_the_budget_across_restarts() {
     for entries in [3, 8, 32, 360] {
@@ -133,15 +127,15 @@
     }
 }
 
-/// With few requests the ratio allows nearly nothing, and the extra is all there is: it has to be
-/// there for a fleet of any size, not only for as many entries as someone assumed.
+/// With few requests the ratio allows almost no retries, so the extra retries must be available in a
+/// fleet of any size. A fixed fraction for each entry assumes a number of entries.
 #[test]
 fn a_small_fleet_can_use_the_extra_retries() {
     let entries = 3;
 
     let trace = simulate(entries, 20.0, WARM_UP, &[]);
 
-    // All requests of a window are repeated twice if the budget allows it: 400 retries.
+    // All requests of a window are retried twice if the budget allows: 400 retries.
     let used = trace.worst_excess() + (1.0 - 0.8) * LIMITS.ratio * 200.0;
     assert!(used > 0.9 * LIMITS.extra, "{used:.0} of {} used", LIMITS.extra);
 }
@@ -187,8 +181,8 @@
     assert_eq!(ExtraShare::new(Duration::ZERO).fraction(LIMITS.window, SECOND * 20), 0.0);
 }
 
-/// Entries that lose each other see fewer than there are; with parts that grow meanwhile each side
-/// would use the whole.
+/// In a network partition entries see only a part of the fleet. If their shares grew, each side
+/// would use all extra retries.
 #[test]
 fn a_share_does_not_grow_during_a_partition() {
     let mut share = share_after_report(8, SECOND * 20);
@@ -200,10 +194,10 @@
     let long_after = share.fraction(LIMITS.window, SECOND * 3_000);
 
     assert_eq!(apart, together);
-    assert!(long_after > apart, "entries that were taken away for good are forgotten");
+    assert!(long_after > apart, "removed entries are forgotten eventually");
 }
 
-/// Entries double in number while half of the old ones hear nothing of it.
+/// The number of entries doubles, and half of the old ones receive no reports of it.
 #[test]
 fn retries_stay_within_the_budget_when_some_entries_do_not_learn_of_new_ones() {
     let mut old: Vec<Process> = (0..8).map(|_| Process::start(Duration::ZERO)).collect();
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are refused because servers end under them: the decision alone, with time handed in.
+//! The quarantine for requests that crash servers, on simulated time.
 
 use std::{collections::HashSet, time::Duration};
 
@@ -64,13 +64,13 @@
     assert_eq!(quarantine.status(&CRASHING, START), QuarantineStatus::Free);
     assert!(
         !quarantine.add(end(CRASHING, 2, 2_000), START),
-        "told once more by one who has not heard"
+        "reported again by an entry that does not know of the answer"
     );
     assert_eq!(quarantine.status(&CRASHING, START), QuarantineStatus::Free);
 }
 
-/// A server was back and ended again before the list told of its next life; each end was seen by an entry that
-/// had not heard of the other one.
+/// A server restarted and ended again before the server list showed its next incarnation. Each end
+/// was seen by an entry that did not know of the other one.
 #[test]
 fn two_incarnations_under_one_listing_are_distinguished_in_any_order() {
     let incarnations = |quarantine: &Quarantine| {
@@ -88,10 +88,11 @@
 
     assert_eq!(incarnations(&first).len(), 2);
     assert_eq!(incarnations(&first), incarnations(&second));
-    assert!(!second.merge_case(&case(&first), ms(10), START), "both know the same");
+    assert!(!second.merge_case(&case(&first), ms(10), START), "both have the same records");
 }
 
-/// Five servers of a rack end at once, and a request that many callers send ran on four of them.
+/// Five servers of a rack end at once, and a request that many callers send was running on four of
+/// them.
 #[test]
 fn a_rack_failure_counts_once_for_a_request_on_some_of_its_servers() {
     let popular = (0..4).map(|incarnation| end(Fingerprint(2), incarnation, incarnation * 20));
@@ -102,7 +103,7 @@
     assert_eq!(quarantine.status(&Fingerprint(2), START), QuarantineStatus::Suspect);
 }
 
-/// The same request under way three times ends three servers at once, and no other server ends.
+/// Three concurrent copies of a request end three servers at once, and no other server ends.
 #[test]
 fn simultaneous_ends_under_one_request_alone_count_separately() {
     let quarantine =
@@ -111,7 +112,8 @@
     assert!(is_refused(&quarantine, CRASHING));
 }
 
-/// Two requests that end servers at the same time don't cover each other up for long.
+/// Two requests crash servers at the same time, so their ends may be counted as one event. Both must
+/// still be refused after a limited number of ends.
 #[test]
 fn two_crashing_requests_at_the_same_time_are_both_refused() {
     let mut quarantine = Quarantine::default();
@@ -138,7 +140,7 @@
     };
 
     let first = trial_in(&quarantine, START).unwrap();
-    assert!(first > Duration::from_secs(60), "nobody else was there");
+    assert!(first > Duration::from_secs(60), "no other request was present");
     let tried_at = START + first;
     quarantine.begin_trial(&CRASHING, tried_at).unwrap();
     let second = trial_in(&quarantine, tried_at).unwrap();
@@ -148,7 +150,8 @@
     assert_eq!(trial_in(&quarantine, tried_at + second), None);
 }
 
-/// One that many callers send was wherever the guilty one was, and nothing tells them apart but a trial.
+/// A request that many callers send was running on every server that the crashing one ended. Only a
+/// trial distinguishes the two.
 #[test]
 fn a_request_that_may_be_harmless_is_tried_early() {
     let popular = Fingerprint(2);
@@ -167,8 +170,8 @@
     assert!(trial_in(&quarantine, tried_at) > Duration::from_secs(60));
 }
 
-/// It was answered whole a moment ago, and its connections broke at servers that had ended before, which nobody could
-/// see: no other request was at those ends.
+/// A harmless request was answered completely shortly before. Its connections then broke at servers
+/// that had already ended unnoticed, so no other request was present at those ends.
 #[test]
 fn a_request_with_a_complete_answer_is_tried_early() {
     let popular = Fingerprint(2);
@@ -195,7 +198,7 @@
     let case = here.begin_trial(&CRASHING, START + ms(400_000)).unwrap();
 
     assert!(there.merge_case(&case, Duration::ZERO, START));
-    assert!(!there.merge_case(&case, Duration::ZERO, START), "it is no news any more");
+    assert!(!there.merge_case(&case, Duration::ZERO, START), "it is not new the second time");
 
     let now = START + ms(400_000);
     assert_eq!(here.status(&CRASHING, now), there.status(&CRASHING, now));
@@ -224,7 +227,7 @@
 }
 
 fn any_note() -> impl Strategy<Value = Note> {
-    // A life ends once: its time follows from it.
+    // An incarnation ends once, so the time is derived from it.
     let about = (0u128..4, 0u64..8);
     prop_oneof![
         4 => about.clone().prop_map(|(f, incarnation)| end(Fingerprint(f), incarnation, incarnation * 150)),
@@ -237,7 +240,7 @@
 }
 
 proptest! {
-    /// Notes come late, twice, and in any order.
+    /// Notes arrive late, repeatedly and in any order.
     #[test]
     fn the_order_of_the_notes_does_not_matter(
         notes in proptest::collection::vec(any_note(), 0..40),
@@ -249,16 +252,17 @@
 
         let (one, other) = (quarantine_of(notes), quarantine_of(others));
 
-        // The time of an end that was annulled first is that of the news, and counts nowhere.
+        // If the clearing note of an end arrives first, the end gets the time of that note, which
+        // affects no status.
         prop_assert_eq!(standings(&one), standings(&other));
     }
 }
 
-/// Entries that tell the seeds what is new to them, and seeds that tell it to all; each takes an end for some
-/// milliseconds later than whoever told it.
+/// Entries that send new notes to the seeds, and seeds that send them to all. Each receiver takes
+/// an end for some milliseconds later than the sender does.
 struct Fleet {
     entries: Vec<Quarantine>,
-    /// Notes that each entry has yet to tell.
+    /// Notes that each entry has not sent yet.
     pending: Vec<Vec<Note>>,
     sent: usize,
 }
@@ -280,7 +284,7 @@
         }
     }
 
-    /// Everybody tells what is new; whether anybody had something.
+    /// Delivers all notes not sent yet and returns whether there were any.
     fn exchange_notes(&mut self, rng: &mut ChaCha8Rng) -> bool {
         let pending: Vec<Vec<Note>> = self.pending.iter_mut().map(std::mem::take).collect();
         for (from, notes) in pending.iter().enumerate() {
@@ -305,8 +309,8 @@
     }
 }
 
-/// News that each entry takes for newer than the one before would go round without end, as many a second as
-/// links bear.
+/// If each entry took a forwarded note for a new one, notes would circulate indefinitely at the
+/// highest rate that the links allow.
 #[test]
 fn the_exchange_of_notes_converges_and_ends() {
     for (entries, seed) in [(3, 1), (17, 2), (103, 3), (360, 4)] {
@@ -325,7 +329,7 @@
         let mut rounds = 0;
         while fleet.exchange_notes(&mut rng) {
             rounds += 1;
-            assert!(rounds < 5, "it never comes to rest");
+            assert!(rounds < 5, "the exchange does not end");
         }
 
         let free = |q: &Quarantine| q.status(&Fingerprint(0), START) == QuarantineStatus::Free;
@@ -336,8 +340,9 @@
     }
 }
 
-/// A pool under one guilty request, beside innocent ones that go on elsewhere when a server ends: how often the
-/// guilty one is sent, and how many innocent ones are refused.
+/// Simulates a pool with one crashing request and harmless ones that are retried on other servers
+/// when a server ends. Returns how often the crashing request was sent and how many harmless ones
+/// are refused.
 fn simulate(servers: usize, harmless_per_server: usize, seed: u64) -> (usize, usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut quarantine = Quarantine::default();
@@ -349,7 +354,7 @@
         for (i, server) in at.iter_mut().enumerate().filter(|(_, server)| **server == ends) {
             let harmless = Fingerprint(100 + i as u128);
             quarantine.add(end(harmless, incarnation, now), START);
-            // Suspects are placed by a hash of their own.
+            // The server of a suspect is chosen by a hash of the suspect itself.
             *server = (ends + rng.random_range(1..servers)) % servers;
         }
         (incarnation, sent, now) = (incarnation + 1, sent + 1, now + 400);
@@ -368,15 +373,16 @@
         let refused: usize = runs.iter().map(|(_, refused)| *refused).sum();
         let harmless = 100 * servers * harmless_per_server;
 
-        println!("{servers} servers: {refused} of {harmless} innocent requests refused");
+        println!("{servers} servers: {refused} of {harmless} harmless requests refused");
         assert_eq!(most_sent, REFUSED_AFTER);
-        // One of the ten at an end is at the next one too where there are nine servers.
+        // With nine servers, about one of the ten harmless requests at an end is also present at
+        // the next one.
         let share = refused as f64 / harmless as f64;
         assert!(share <= 1.5 / (servers * servers) as f64, "{share}");
     }
 }
 
-/// What an Organisation sends is never taken for what another one sent.
+/// Requests of different Organisations must never share a fingerprint.
 #[test]
 fn fingerprints_differ_by_organisation_path_and_body() {
     let texts = ["a", "b", "ab", "a\0b", ""];
@@ -391,7 +397,7 @@
 
     assert_eq!(seen.len(), texts.len() * 3 * texts.len());
     let tries = ["r-1", "r-2"].map(|id| fixture::fingerprint("a", "/chat/a", "b", id));
-    assert_eq!(tries[0], tries[1], "another id is the same work");
+    assert_eq!(tries[0], tries[1], "another id is the same request");
 }
 
 mod fixture {
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -1,5 +1,5 @@
-//! What entries know of servers that name a limit, and what they send there together: the decisions alone, with time
-//! handed in.
+//! Advertised rate limits: what entries know of them and how they divide the rate, on simulated
+//! time.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
     AdvertisedLimit::Rate(rate)
 }
 
-/// A belief that heard this limit from the server itself at one second.
+/// The state of an entry that received this limit in a server's answer at one second.
 fn learned(rate: f64) -> KnownLimit {
     let mut limit = KnownLimit::default();
     limit.record_answer(advertised(rate), ms(900), ms(1_000));
@@ -34,7 +34,7 @@
     assert_eq!(
         limit.record_answer(AdvertisedLimit::Nothing, ms(950), ms(1_050)),
         None,
-        "it was overtaken"
+        "the answer is out of order"
     );
     assert_eq!(limit.rate(), Some(1.9));
     assert_eq!(limit.record_answer(AdvertisedLimit::Unreadable, ms(1_100), ms(1_200)), None);
@@ -68,7 +68,8 @@
     assert_eq!(reports.count(), 4);
 }
 
-/// A server that takes nothing is asked now and then whether it still does.
+/// A server that advertises a limit of zero is still sent a request now and then, to learn whether
+/// the limit has changed.
 #[test]
 fn a_limit_of_zero_counts_as_the_minimum_rate() {
     assert_eq!(learned(0.0).rate(), Some(MIN_ADVERTISED_RATE));
@@ -101,7 +102,8 @@
     assert_eq!((one.rate(), other.rate()), (Some(1.9), Some(1.9)));
 }
 
-/// Seeds pass on what they are told, also to each other.
+/// Seeds forward the reports that they receive, including to each other. If a known report counted
+/// as new, it would circulate between them indefinitely.
 #[test]
 fn a_known_report_is_not_forwarded_again() {
     let mut limits = [learned(1.9), KnownLimit::default()];
@@ -117,7 +119,7 @@
     assert_eq!(passed_on, 1);
 }
 
-/// The most of these within any window of this length.
+/// Largest number of sends in any window of this length.
 fn most_within(sends: &[Duration], window: Duration) -> usize {
     let within = |i: usize| sends[i..].iter().take_while(|at| **at < sends[i] + window).count();
     (0..sends.len()).map(within).max().unwrap_or(0)
@@ -153,7 +155,7 @@
     }
 }
 
-/// Its senders are never among them.
+/// The server's senders never probe it.
 #[test]
 fn one_entry_at_a_time_probes_a_silent_server() {
     let (rate, server) = (1.9, 1 << 60);
@@ -177,7 +179,7 @@
     }
 }
 
-/// All entries have just started, and no server takes what it has places for.
+/// After a start of all entries none of them knows its place.
 #[test]
 fn entries_without_a_place_together_stay_within_the_rate() {
     for entries in [1, 4, 21, 360] {
--- a/tests/sharing.rs
+++ b/tests/sharing.rs
@@ -1,4 +1,4 @@
-//! What entries send together to a server that takes few requests: the decision alone, with time handed in.
+//! Simulations of a fleet of entries that share a rate-limited server, on simulated time.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -9,25 +9,25 @@
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// What a cold server takes.
+/// Rate limit of a cold server.
 const COLD_RATE: Rate = 18.0;
-/// What rate-limited servers advertise.
+/// Rate limits that servers advertise.
 const ADVERTISED_RATES: [Rate; 3] = [0.3, 1.9, 7.3];
-/// Time between two looks of an entry at whether it may send; work always waits.
+/// Interval at which an entry checks whether it may send; requests are always waiting.
 const STEP: Duration = Duration::from_millis(10);
-/// Time between two looks of a seed at who is there.
+/// Interval at which a seed determines which entries are running.
 const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between heartbeats.
+/// Interval of the heartbeats by which an entry learns its place.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
-/// Time by which news is late at most.
+/// Age up to which snapshots are kept, above the longest delay of an entry.
 const MAX_DELAY: Duration = Duration::from_millis(2_100);
 const SECOND: Duration = Duration::from_secs(1);
 
-/// An entry's process, as far as it matters here.
+/// The simulated process of an entry.
 struct Entry {
     host: String,
     is_up: bool,
-    /// How late it hears who is there.
+    /// Delay after which a snapshot reaches it.
     delay: Duration,
     next_heartbeat: Duration,
     tracker: PlaceTracker,
@@ -47,7 +47,7 @@
     }
 }
 
-/// The entries that a seed sees at a time, and whether they are settled.
+/// Hosts of the entries that a seed sees, and whether each entry is settled.
 type Snapshot = Vec<(String, bool)>;
 
 fn place_of(host: &str, seen: &Snapshot) -> Option<Place> {
@@ -56,12 +56,12 @@
     place_among(host, &observed.collect::<Vec<_>>())
 }
 
-/// What the platform bears in a window of so many seconds: one and a half times the rate, and five.
+/// Requests that the platform tolerates in a window: 1.5 times the rate, plus five.
 fn max_allowed(rate: Rate, seconds: f64) -> usize {
     (1.5 * rate * seconds + 5.0) as usize
 }
 
-/// The most that arrived in any window of so many seconds.
+/// Largest number of arrivals in any window of this many seconds.
 fn max_in_window(arrivals: &[Duration], seconds: u64) -> usize {
     let within_from = |i: usize| {
         let end = arrivals[i] + Duration::from_secs(seconds);
@@ -70,13 +70,14 @@
     (0..arrivals.len()).map(within_from).max().unwrap_or(0)
 }
 
-/// The part of what a server takes that reached it in a span of time.
+/// Fraction of the rate that the arrivals used between two times.
 fn utilization(arrivals: &[Duration], from: Duration, to: Duration, rate: Rate) -> f64 {
     let count = arrivals.iter().filter(|at| **at >= from && **at < to).count();
     count as f64 / (to - from).as_secs_f64() / rate
 }
 
-/// What reaches one server that takes `rate` while `disturb` changes who is there, and entries hear of that late.
+/// Times at which requests reach one server with the given rate limit, while `disrupt` starts and
+/// stops entries and the others learn of it with a delay.
 fn simulate(
     entries: usize,
     rate: Rate,
@@ -121,7 +122,8 @@
 
 #[test]
 fn shares_fill_the_rate_and_never_exceed_it_from_1_to_360_entries() {
-    // All places are settled after the latest news and 3 s, and the first window is over.
+    // By then all reports have arrived, the settle time of 3 s has passed and the first window
+    // has ended.
     let settled = Duration::from_secs(10);
     for entries in [1, 3, 7, 17, 21, 103, 360] {
         let seeds = if entries > 200 { 0..1 } else { 0..5 };
@@ -139,7 +141,8 @@
     }
 }
 
-/// Entries are killed, alone or half of them at once, and come back after half a second; others join.
+/// Kills entries, one at a time or half of them at once, restarts them after half a second and adds
+/// new ones.
 fn random_churn(entries: usize) -> impl FnMut(&mut Vec<Entry>, Duration, &mut ChaCha8Rng) {
     let mut pending: Vec<(Duration, String)> = Vec::new();
     move |all, now, rng| {
@@ -168,7 +171,7 @@
     }
 }
 
-/// 2,700 simulated seconds in all.
+/// Simulates 2,700 seconds in total.
 #[test]
 fn no_window_exceeds_its_limit_while_entries_come_and_go() {
     let duration = Duration::from_secs(60);
@@ -191,11 +194,11 @@
     }
 }
 
-/// One entry in five is killed for good, and may have been the only one that sent to the server.
+/// One entry in five is killed and does not restart; it may have been the server's only sender.
 #[test]
 fn the_rate_is_used_again_after_senders_are_killed() {
     let (died, end) = (Duration::from_secs(20), Duration::from_secs(60));
-    // News is 2 s late, and counts a second later.
+    // Reports are delayed by 2 s and applied a second later.
     let recovered = died + Duration::from_secs(4);
     for entries in [5, 21, 103] {
         for rate in ADVERTISED_RATES.into_iter().chain([COLD_RATE]) {
@@ -219,7 +222,8 @@
     }
 }
 
-/// Half of the entries no longer hear of the other half.
+/// In a network partition each side sees only its own entries. If it raised its shares accordingly,
+/// both sides together would exceed the rate.
 #[test]
 fn partitioned_entries_do_not_enlarge_their_shares() {
     let mut tracker = PlaceTracker::default();
@@ -245,10 +249,11 @@
     assert_eq!(tracker.get(SECOND * 11), Some(fewer));
     tracker.update(Place { rank: 0, entries: 2 }, true, SECOND * 12);
     tracker.update(Place { rank: 0, entries: 2 }, true, SECOND * 20);
-    assert_eq!(tracker.get(SECOND * 20), Some(fewer), "others may share on the other side");
+    assert_eq!(tracker.get(SECOND * 20), Some(fewer), "the other side may have a majority");
 }
 
-/// It hears from the entries one after the other, from the last of them after two seconds.
+/// The entries reconnect to a seed that has started one after the other, the last one after two
+/// seconds. Until then the seed reports too few entries.
 #[test]
 fn a_newly_started_seed_does_not_lower_the_count() {
     let mut tracker = PlaceTracker::default();
