--- a/tests/availability.rs
+++ b/tests/availability.rs
@@ -144,7 +144,7 @@
 }
 
 /// Indexes of the servers that remain after filtering by tier.
-fn used(availabilities: &[Availability]) -> Vec<usize> {
+fn selected(availabilities: &[Availability]) -> Vec<usize> {
     let mut servers: Vec<_> = availabilities.iter().copied().enumerate().collect();
     retain_first_tier(&mut servers);
     servers.into_iter().map(|(number, _)| number).collect()
@@ -154,8 +154,8 @@
 fn ejected_servers_are_used_only_if_all_are_ejected() {
     let ejected = Availability::LastResort(UnavailableCause::Ejected);
 
-    assert_eq!(used(&[ejected, Availability::Open, ejected]), [1]);
-    assert_eq!(used(&[ejected, ejected]), [0, 1]);
+    assert_eq!(selected(&[ejected, Availability::Open, ejected]), [1]);
+    assert_eq!(selected(&[ejected, ejected]), [0, 1]);
 }
 
 #[test]
@@ -164,25 +164,25 @@
     let ejected = Availability::LastResort(UnavailableCause::Ejected);
     let closed = Availability::Closed { cause: UnavailableCause::Paused, until: None };
 
-    assert_eq!(used(&[draining, ejected, closed]), [1]);
-    assert_eq!(used(&[closed, draining]), [1]);
-    assert!(used(&[closed, closed]).is_empty());
+    assert_eq!(selected(&[draining, ejected, closed]), [1]);
+    assert_eq!(selected(&[closed, draining]), [1]);
+    assert!(selected(&[closed, closed]).is_empty());
 }
 
 #[test]
 fn retry_after_is_parsed_as_seconds_or_as_a_date() {
     let now = SystemTime::UNIX_EPOCH + Duration::from_secs(784_111_777);
-    let read = |text| RetryAfter::parse(text, now);
-
-    assert_eq!(read("3"), RetryAfter::After(3 * SECOND));
-    assert_eq!(read(" 0.25 "), RetryAfter::After(SECOND / 4));
-    assert_eq!(read("0"), RetryAfter::After(Duration::ZERO));
-    assert_eq!(read("1e300"), RetryAfter::After(MAX_PAUSE));
-    assert_eq!(read("Sun, 06 Nov 1994 08:49:40 GMT"), RetryAfter::After(3 * SECOND));
-    assert_eq!(read("Sun, 06 Nov 1994 08:49:30 GMT"), RetryAfter::After(Duration::ZERO));
-    assert_eq!(read("Sat, 06 Nov 2094 08:49:30 GMT"), RetryAfter::After(MAX_PAUSE));
+    let parse = |text| RetryAfter::parse(text, now);
+
+    assert_eq!(parse("3"), RetryAfter::After(3 * SECOND));
+    assert_eq!(parse(" 0.25 "), RetryAfter::After(SECOND / 4));
+    assert_eq!(parse("0"), RetryAfter::After(Duration::ZERO));
+    assert_eq!(parse("1e300"), RetryAfter::After(MAX_PAUSE));
+    assert_eq!(parse("Sun, 06 Nov 1994 08:49:40 GMT"), RetryAfter::After(3 * SECOND));
+    assert_eq!(parse("Sun, 06 Nov 1994 08:49:30 GMT"), RetryAfter::After(Duration::ZERO));
+    assert_eq!(parse("Sat, 06 Nov 2094 08:49:30 GMT"), RetryAfter::After(MAX_PAUSE));
     for junk in ["", "-1", "NaN", "inf", "-inf", "soon", "3 s", "Sun, 99 Nov 1994"] {
-        assert_eq!(read(junk), RetryAfter::Unreadable, "{junk}");
+        assert_eq!(parse(junk), RetryAfter::Unreadable, "{junk}");
     }
 }
 
@@ -198,50 +198,53 @@
 
 /// The announcement in a server's answer.
 #[derive(Clone, Copy, Debug)]
-enum Said {
+enum Announcement {
     Nothing,
     Draining,
     Pause(u64),
 }
 
-fn answers() -> impl Strategy<Value = Vec<(u64, Said)>> {
-    let said = prop_oneof![
-        4 => Just(Said::Nothing),
-        1 => Just(Said::Draining),
-        2 => (1u64..5_000).prop_map(Said::Pause),
+fn answers() -> impl Strategy<Value = Vec<(u64, Announcement)>> {
+    let announcement = prop_oneof![
+        4 => Just(Announcement::Nothing),
+        1 => Just(Announcement::Draining),
+        2 => (1u64..5_000).prop_map(Announcement::Pause),
     ];
-    prop::collection::vec((0u64..1_000, said), 0..60)
+    prop::collection::vec((0u64..1_000, announcement), 0..60)
 }
 
 proptest! {
     #[test]
     fn nothing_is_sent_while_a_server_drains_or_pauses(answers in answers()) {
         let (mut announced, mut now) = (Announcements::default(), NOW);
-        let (mut drains_since, mut pause_ends) = (None, Duration::ZERO);
-        for (after, said) in answers {
+        let (mut draining_since, mut paused_until) = (None, Duration::ZERO);
+        for (after, announcement) in answers {
             now += Duration::from_millis(after);
             let before = announced.paused_until();
-            match said {
-                Said::Nothing => {
+            match announcement {
+                Announcement::Nothing => {
                     announced.note_answer(now);
                 }
-                Said::Draining => {
+                Announcement::Draining => {
                     announced.note_draining(now);
-                    drains_since.get_or_insert(now);
+                    draining_since.get_or_insert(now);
                 }
-                Said::Pause(ms) => {
+                Announcement::Pause(ms) => {
                     announced.note_pause(Duration::from_millis(ms), now);
-                    pause_ends = pause_ends.max(now + Duration::from_millis(ms));
+                    paused_until = paused_until.max(now + Duration::from_millis(ms));
                 }
             }
             prop_assert!(announced.paused_until() >= before, "the end of a pause moved back");
             let availability = decide(&Signals { announced, ..signals() }, now);
-            let is_paused = now < pause_ends;
-            let is_leaving = drains_since.is_some_and(|since| now >= since + DRAIN / 2);
+            let is_paused = now < paused_until;
+            let is_leaving = draining_since.is_some_and(|since| now >= since + DRAIN / 2);
             let is_closed = matches!(availability, Availability::Closed { .. });
             // Without unanswered requests, nothing else closes a server.
             prop_assert_eq!(is_closed, is_paused || is_leaving);
-            prop_assert_eq!(availability == Availability::Open, !is_paused && drains_since.is_none());
+            prop_assert_eq!(
+                availability == Availability::Open,
+                !is_paused && draining_since.is_none()
+            );
         }
     }
 }
