--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -84,11 +84,11 @@
     }
 
     fn eject(&mut self, config: &OutlierConfig, now: Duration) {
-        let time = config.base_ejection * 2u32.saturating_pow(self.ejections.min(16));
+        let duration = config.base_ejection * 2u32.saturating_pow(self.ejections.min(16));
         self.ejections += 1;
         self.failures = 0;
         self.trial_in_flight = false;
-        self.ejected_until = now + time.min(config.max_ejection);
+        self.ejected_until = now + duration.min(config.max_ejection);
     }
 
     /// Whether the server is ejected.
--- a/src/policy/quarantine.rs
+++ b/src/policy/quarantine.rs
@@ -149,7 +149,7 @@
         self.ends.last().map_or(Duration::ZERO, |end| end.at).max(self.tried_at)
     }
 
-    fn was_at(&self, incarnation: IncarnationHash) -> bool {
+    fn was_running_on(&self, incarnation: IncarnationHash) -> bool {
         self.ends.iter().any(|end| end.incarnation == incarnation)
     }
 
@@ -160,8 +160,8 @@
 }
 
 /// Generates the identity of the incarnation after `name`, if the server list shows neither of them.
-fn next_incarnation(name: IncarnationHash, listed: IncarnationHash) -> IncarnationHash {
-    xxh3_64_with_seed(&name.to_le_bytes(), listed)
+fn next_incarnation(previous: IncarnationHash, listed: IncarnationHash) -> IncarnationHash {
+    xxh3_64_with_seed(&previous.to_le_bytes(), listed)
 }
 
 /// A refused or suspected request, as persisted in the store.
@@ -213,43 +213,43 @@
     /// server list shows its next incarnation, so an end considerably later than the known one
     /// belongs to another incarnation.
     pub fn incarnation_of_end(&self, listed: IncarnationHash, now: Duration) -> IncarnationHash {
-        let mut name = listed;
-        while self.ended_at.get(&name).is_some_and(|at| *at + DETECTION_WINDOW < now) {
-            name = next_incarnation(name, listed);
+        let mut incarnation = listed;
+        while self.ended_at.get(&incarnation).is_some_and(|at| *at + DETECTION_WINDOW < now) {
+            incarnation = next_incarnation(incarnation, listed);
         }
-        name
+        incarnation
     }
 
     /// The identity of an incarnation that ended at this time while the server list showed `listed`.
     /// The earliest end belongs to `listed` itself, in whatever order the ends become known: known
     /// ends that are later move to the generated identities that follow.
     fn resolve_incarnation(&mut self, listed: IncarnationHash, at: Duration) -> IncarnationHash {
-        let mut names = vec![listed];
+        let mut candidates = vec![listed];
         let mut times = Vec::new();
-        while let Some(ended_at) = self.ended_at.get(&names[times.len()]) {
+        while let Some(ended_at) = self.ended_at.get(&candidates[times.len()]) {
             times.push(*ended_at);
-            names.push(next_incarnation(names[names.len() - 1], listed));
+            candidates.push(next_incarnation(candidates[candidates.len() - 1], listed));
         }
         if let Some(same) =
             times.iter().position(|ended_at| ended_at.abs_diff(at) <= DETECTION_WINDOW)
         {
-            return names[same];
+            return candidates[same];
         }
         let place = times.partition_point(|ended_at| *ended_at < at);
         for record in self.requests.values_mut() {
             for end in &mut record.ends {
                 if let Some(i) =
-                    names[place..times.len()].iter().position(|n| *n == end.incarnation)
+                    candidates[place..times.len()].iter().position(|n| *n == end.incarnation)
                 {
-                    end.incarnation = names[place + i + 1];
+                    end.incarnation = candidates[place + i + 1];
                 }
             }
         }
         for i in (place..times.len()).rev() {
-            self.ended_at.insert(names[i + 1], times[i]);
+            self.ended_at.insert(candidates[i + 1], times[i]);
         }
-        self.ended_at.remove(&names[place]);
-        names[place]
+        self.ended_at.remove(&candidates[place]);
+        candidates[place]
     }
 
     /// The ends that count against a request.
@@ -324,24 +324,24 @@
         if record.has_cleared_end() {
             return true;
         }
-        let was_there = |other: &RequestRecord| {
-            record.counted_ends().all(|(incarnation, _)| other.was_at(incarnation))
+        let was_present = |other: &RequestRecord| {
+            record.counted_ends().all(|(incarnation, _)| other.was_running_on(incarnation))
         };
-        self.requests.iter().any(|(other, ends)| other != fingerprint && was_there(ends))
+        self.requests.iter().any(|(other, ends)| other != fingerprint && was_present(ends))
     }
 
     /// Number of ends that count against a request. Ends that may have a common cause with the end
     /// of a server that was not running it count once.
     fn count_events(&self, record: &RequestRecord) -> usize {
         let mut counted = 0;
-        let mut began: Option<Duration> = None;
+        let mut first_at: Option<Duration> = None;
         for (_, at) in record.counted_ends() {
-            let is_same = began.is_some_and(|began| {
-                at <= began + CORRELATION_WINDOW && self.ended_elsewhere(record, began, at)
+            let is_correlated = first_at.is_some_and(|first_at| {
+                at <= first_at + CORRELATION_WINDOW && self.ended_elsewhere(record, first_at, at)
             });
-            if !is_same {
+            if !is_correlated {
                 counted += 1;
-                began = Some(at);
+                first_at = Some(at);
             }
         }
         counted
@@ -351,8 +351,9 @@
     fn ended_elsewhere(&self, record: &RequestRecord, from: Duration, to: Duration) -> bool {
         let (from, to) = (from.saturating_sub(CORRELATION_WINDOW), to + CORRELATION_WINDOW);
         let mut incarnations = self.ended_at.iter();
-        incarnations
-            .any(|(incarnation, at)| from <= *at && *at <= to && !record.was_at(*incarnation))
+        incarnations.any(|(incarnation, at)| {
+            from <= *at && *at <= to && !record.was_running_on(*incarnation)
+        })
     }
 
     /// Records that a trial of a request begins and returns the case to persist.
--- a/tests/model/availability.rs
+++ b/tests/model/availability.rs
@@ -18,7 +18,7 @@
 const DRAIN: u32 = 2;
 const MAX_TICKS: u32 = 5;
 const MAX_ANSWERS: u8 = 3;
-const MAX_LAPSES: u8 = 1;
+const MAX_EXPIRIES: u8 = 1;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutation {
@@ -51,7 +51,7 @@
     /// All notices that it has ever received.
     received: BTreeMap<u8, Received>,
     answers: u8,
-    lapses: u8,
+    expiries: u8,
 }
 
 fn start() -> State {
@@ -125,13 +125,13 @@
         }
         steps.push(("an answer arrives", delivered));
     }
-    if state.is_listed && state.lapses < MAX_LAPSES {
-        let mut lapsed = state.clone();
-        (lapsed.is_listed, lapsed.lapses) = (false, state.lapses + 1);
+    if state.is_listed && state.expiries < MAX_EXPIRIES {
+        let mut expired = state.clone();
+        (expired.is_listed, expired.expiries) = (false, state.expiries + 1);
         if mutation == Mutation::StateLostWithRow {
-            lapsed.remembered.clear();
+            expired.remembered.clear();
         }
-        steps.push(("the row expires", lapsed));
+        steps.push(("the row expires", expired));
     }
     if !state.is_listed {
         steps.push(("the row returns", State { is_listed: true, ..state.clone() }));
--- a/tests/model/explore.rs
+++ b/tests/model/explore.rs
@@ -25,8 +25,8 @@
     let successors = |state: &S| next(state).into_iter().map(|(_, state)| state);
     let mut states = 0;
     let all = bfs_reach(start.clone(), |state| successors(state).collect::<Vec<_>>());
-    let is_broken = all.inspect(|_| states += 1).any(|state| violation(&state).is_some());
-    let violation = is_broken.then(|| trace(start, &next, &violation));
+    let is_violated = all.inspect(|_| states += 1).any(|state| violation(&state).is_some());
+    let violation = is_violated.then(|| trace(start, &next, &violation));
     Exploration { states, violation }
 }
 
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -30,8 +30,8 @@
 }
 
 fn is_refused(quarantine: &Quarantine, fingerprint: Fingerprint) -> bool {
-    let standing = quarantine.status(&fingerprint, START + ms(60_000));
-    matches!(standing, QuarantineStatus::Refused { .. })
+    let status = quarantine.status(&fingerprint, START + ms(60_000));
+    matches!(status, QuarantineStatus::Refused { .. })
 }
 
 #[test]
@@ -136,7 +136,7 @@
     let mut quarantine = quarantine_of((0..3).map(|i| end(CRASHING, i, i)));
     let trial_in = |quarantine: &Quarantine, now| match quarantine.status(&CRASHING, now) {
         QuarantineStatus::Refused { trial_in } => trial_in,
-        standing => panic!("{standing:?}"),
+        status => panic!("{status:?}"),
     };
 
     let first = trial_in(&quarantine, START).unwrap();
@@ -159,7 +159,7 @@
     let mut quarantine = quarantine_of(both);
     let trial_in = |quarantine: &Quarantine, now| match quarantine.status(&popular, now) {
         QuarantineStatus::Refused { trial_in } => trial_in.unwrap(),
-        standing => panic!("{standing:?}"),
+        status => panic!("{status:?}"),
     };
 
     let first = trial_in(&quarantine, START + ms(800));
@@ -184,9 +184,9 @@
         quarantine.add(end(popular, incarnation, at_ms), START + ms(at_ms));
     }
 
-    let standing = quarantine.status(&popular, START + ms(1_800));
-    let QuarantineStatus::Refused { trial_in: Some(trial_in) } = standing else {
-        panic!("{standing:?}");
+    let status = quarantine.status(&popular, START + ms(1_800));
+    let QuarantineStatus::Refused { trial_in: Some(trial_in) } = status else {
+        panic!("{status:?}");
     };
     assert!(trial_in <= ms(2_500), "{trial_in:?}");
 }
@@ -235,7 +235,7 @@
     ]
 }
 
-fn standings(quarantine: &Quarantine) -> Vec<QuarantineStatus> {
+fn statuses(quarantine: &Quarantine) -> Vec<QuarantineStatus> {
     (0..4).map(|f| quarantine.status(&Fingerprint(f), START + ms(60_000))).collect()
 }
 
@@ -254,7 +254,7 @@
 
         // If the clearing note of an end arrives first, the end gets the time of that note, which
         // affects no status.
-        prop_assert_eq!(standings(&one), standings(&other));
+        prop_assert_eq!(statuses(&one), statuses(&other));
     }
 }
 
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -107,20 +107,20 @@
 #[test]
 fn a_known_report_is_not_forwarded_again() {
     let mut limits = [learned(1.9), KnownLimit::default()];
-    let mut passed_on = 0;
+    let mut forwarded = 0;
 
     for turn in 0..20 {
         let (from, to) = (turn % 2, (turn + 1) % 2);
         let report: LimitReport = limits[from].report().unwrap();
         let now = ms(2_000 + turn as u64);
-        passed_on += usize::from(limits[to].merge(report, now).is_some());
+        forwarded += usize::from(limits[to].merge(report, now).is_some());
     }
 
-    assert_eq!(passed_on, 1);
+    assert_eq!(forwarded, 1);
 }
 
 /// Largest number of sends in any window of this length.
-fn most_within(sends: &[Duration], window: Duration) -> usize {
+fn max_in_window(sends: &[Duration], window: Duration) -> usize {
     let within = |i: usize| sends[i..].iter().take_while(|at| **at < sends[i] + window).count();
     (0..sends.len()).map(within).max().unwrap_or(0)
 }
@@ -149,8 +149,8 @@
 
             let rate_used = sends.len() as f64 / duration.as_secs_f64();
             assert!(rate_used >= 0.9 * rate, "{entries} entries use {rate_used} of {rate}");
-            let most = most_within(&sends, Duration::from_secs(1));
-            assert!(most <= rate.ceil() as usize, "{entries} entries, {most} of {rate}");
+            let max = max_in_window(&sends, Duration::from_secs(1));
+            assert!(max <= rate.ceil() as usize, "{entries} entries, {max} of {rate}");
         }
     }
 }
--- a/tests/sharing.rs
+++ b/tests/sharing.rs
@@ -197,14 +197,14 @@
 /// One entry in five is killed and does not restart; it may have been the server's only sender.
 #[test]
 fn the_rate_is_used_again_after_senders_are_killed() {
-    let (died, end) = (Duration::from_secs(20), Duration::from_secs(60));
+    let (killed_at, end) = (Duration::from_secs(20), Duration::from_secs(60));
     // Reports are delayed by 2 s and applied a second later.
-    let recovered = died + Duration::from_secs(4);
+    let recovered = killed_at + Duration::from_secs(4);
     for entries in [5, 21, 103] {
         for rate in ADVERTISED_RATES.into_iter().chain([COLD_RATE]) {
             for seed in 0..4 {
                 let kill = |all: &mut Vec<Entry>, now: Duration, _: &mut ChaCha8Rng| {
-                    if now == died {
+                    if now == killed_at {
                         all.iter_mut().step_by(5).for_each(|entry| entry.is_up = false);
                     }
                 };
