--- a/src/policy/availability.rs
+++ b/src/policy/availability.rs
@@ -28,7 +28,7 @@
     Full,
     /// It has a rate limit, and this entry's share is used up or zero.
     RateLimited,
-    /// It was ejected as an outlier after consecutive failures.
+    /// It was ejected as an outlier, for example after consecutive failures.
     Ejected,
 }
 
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
+/// Factor of the multiplicative decrease.
 const DECREASE: f64 = 0.9;
+/// Lower bound of the limit.
 const MIN_LIMIT: f64 = 1.0;
 
 /// A concurrency limit with additive increase and multiplicative decrease, controlled by the time
--- a/src/policy/failure_rate.rs
+++ b/src/policy/failure_rate.rs
@@ -7,7 +7,7 @@
 
 /// Weight of a new outcome in the moving average.
 const SMOOTHING_FACTOR: f64 = 0.15;
-/// Time in which the rate decays by half, so that a server that receives no requests is tried again.
+/// Time in which the rate decays by half, so that a server without requests is tried again.
 const HALF_LIFE: Duration = Duration::from_secs(3);
 
 /// Exponentially weighted moving average of failures, from 0 to 1, that decays over time.
--- a/src/policy/known_limit.rs
+++ b/src/policy/known_limit.rs
@@ -1,4 +1,5 @@
-//! The rate limit that one server advertises, as known to an entry, and the order of reports on it.
+//! An entry's knowledge of the rate limit that a server advertises, and the order of the reports on
+//! it.
 //!
 //! Entries learn the limit from the server's answers and from each other, with delays and over
 //! several paths, and their clocks do not give an order. So whenever an entry learns of a change
@@ -72,8 +73,7 @@
         self.latest
     }
 
-    /// When an answer of the server last confirmed the limit, at this entry or by another one's
-    /// report.
+    /// When the limit was last received, in an answer of the server or in another entry's report.
     pub fn received_at(&self) -> Duration {
         self.received_at
     }
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -33,8 +33,8 @@
 }
 
 impl OutlierConfig {
-    /// The baseline of the measurements: ejections of a fixed duration that do not lengthen, for
-    /// any share of the pool.
+    /// The baseline that the default is measured against: ejections of a fixed duration, recovery
+    /// after a single answer, and no limit on the ejected share of the pool.
     pub fn flat() -> Self {
         Self {
             max_ejection: Duration::from_secs(1),
--- a/src/policy/place.rs
+++ b/src/policy/place.rs
@@ -1,9 +1,10 @@
 //! An entry's place in the order of all entries, from which its share of rate-limited servers
 //! follows without coordination.
 //!
-//! The seeds know which entries report to them, and tell each entry its rank by Host name. While
-//! entries start and stop, their views differ, so a place changes only after checks: too many
-//! senders would crash a server, and a server whose senders are all gone would receive nothing.
+//! All entries report to the seeds, a few entries named in the settings, and each seed tells each
+//! entry its rank by Host name. While entries start and stop, their views differ, so a place
+//! changes only after checks: too many senders would crash a server, and a server whose senders are
+//! all gone would receive nothing.
 
 use std::time::Duration;
 
@@ -51,8 +52,8 @@
     Some(Place { rank: u32::try_from(rank).ok()?, entries: u32::try_from(ranked.count()).ok()? })
 }
 
-/// Largest number of entries that is a minor change out of this many. Single processes restart
-/// every other minute, while half of them are almost never lost at once.
+/// Largest change in this number of entries that counts as minor. A single process restarts every
+/// other minute, while half of all entries are almost never lost at once.
 fn max_minor_change(entries: usize) -> usize {
     (entries / 4).max(1)
 }
--- a/src/policy/quarantine.rs
+++ b/src/policy/quarantine.rs
@@ -6,7 +6,8 @@
 //! queues have dead-letter queues for such "poison messages". So the ends of server incarnations
 //! are counted for each request that was running there. One end proves little, since it counts
 //! against every request on that server; a request that was present at three ends is refused. A
-//! complete answer to a request clears it.
+//! complete answer to a request clears it. A refused request is sent again in a few trials, in case
+//! it is harmless or the fault has been repaired.
 //!
 //! The notes of all entries are merged. The result does not depend on the order in which they
 //! arrive or on duplicates (docs/decisions/0015).
@@ -97,7 +98,7 @@
     Suspect,
     /// It is refused.
     Refused {
-        /// Time to its next trial; `None` if only an operator can release it.
+        /// Time until its next trial; `None` if only an operator can release it.
         trial_in: Option<Duration>,
     },
 }
@@ -159,7 +160,8 @@
     }
 }
 
-/// Generates the identity of the incarnation after `name`, if the server list shows neither of them.
+/// Generates the identity of an incarnation that the server list has not shown, from the identity
+/// of the previous one and of the one listed.
 fn next_incarnation(previous: IncarnationHash, listed: IncarnationHash) -> IncarnationHash {
     xxh3_64_with_seed(&previous.to_le_bytes(), listed)
 }
@@ -220,9 +222,9 @@
         incarnation
     }
 
-    /// The identity of an incarnation that ended at this time while the server list showed `listed`.
-    /// The earliest end belongs to `listed` itself, in whatever order the ends become known: known
-    /// ends that are later move to the generated identities that follow.
+    /// The identity of an incarnation that ended at this time while the server list showed
+    /// `listed`. The earliest end belongs to `listed` itself, in whatever order the ends become
+    /// known: known ends that are later move to the generated identities that follow.
     fn resolve_incarnation(&mut self, listed: IncarnationHash, at: Duration) -> IncarnationHash {
         let mut candidates = vec![listed];
         let mut times = Vec::new();
@@ -266,10 +268,12 @@
         counted.map(|(incarnation, _)| Note::Cleared { fingerprint, incarnation }).collect()
     }
 
-    /// Merges a case from the store, whose times are accurate to `error`, and returns whether it was
-    /// new. Two entries that communicate only through the store may each have seen a server end
-    /// while the list showed the same incarnation. The times distinguish the two incarnations, whose
-    /// ends counted as one before.
+    /// Merges a case from the store, whose times are accurate to `error`, and returns whether it
+    /// was new.
+    ///
+    /// Two entries that communicate only through the store may each have seen a server end while
+    /// the list showed the same incarnation. The times distinguish the two incarnations, whose ends
+    /// counted as one before.
     pub fn merge_case(&mut self, case: &Case, error: Duration, now: Duration) -> bool {
         let fingerprint = case.fingerprint;
         let mut is_new = false;
@@ -387,8 +391,8 @@
         })
     }
 
-    /// Makes room for another request if necessary: evicts those that are not refused first, and the
-    /// oldest of them. An eighth is evicted at once, since finding the oldest requires a full scan.
+    /// Makes room for another request if necessary. Evicts requests that are not refused first, in
+    /// the order of their age, and an eighth of all at once, since each time requires a full scan.
     fn evict_if_full(&mut self, wanted: &Fingerprint) {
         if self.requests.len() < MAX_REQUESTS || self.requests.contains_key(wanted) {
             return;
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -50,8 +50,8 @@
 }
 
 impl Trace {
-    /// Retries in the worst window in excess of the ratio, applied to the requests of that window or
-    /// of the windows half and one length earlier, whichever has most. Must not exceed the extra
+    /// Retries in the worst window in excess of the ratio, applied to the requests of that window
+    /// or of the windows half and one length earlier, whichever has most. Must not exceed the extra
     /// retries.
     fn worst_excess(&self) -> f64 {
         let within = |all: &[Duration], from: Duration| {
@@ -68,8 +68,8 @@
     }
 }
 
-/// Simulates a fleet in which callers send `rate` requests a second in total, after the entries have
-/// run for `warm_up`, and every request is retried twice if the budget allows. At each time in
+/// Simulates a fleet in which callers send `rate` requests a second in total, after the entries
+/// have run for `warm_up`, and every request is retried twice if the budget allows. At each time in
 /// `restarts`, nine entries in ten are killed and started again.
 fn simulate(entries: u32, rate: f64, warm_up: Duration, restarts: &[Duration]) -> Trace {
     let mut fleet: Vec<Process> = (0..entries).map(|_| Process::start(Duration::ZERO)).collect();
@@ -127,8 +127,8 @@
     }
 }
 
-/// With few requests the ratio allows almost no retries, so the extra retries must be available in a
-/// fleet of any size. A fixed fraction for each entry assumes a number of entries.
+/// With few requests the ratio allows almost no retries, so the extra retries must be available to
+/// a fleet of any size. With a fixed fraction for each entry, a small fleet could not use them.
 #[test]
 fn a_small_fleet_can_use_the_extra_retries() {
     let entries = 3;
--- a/tests/model/quarantine.rs
+++ b/tests/model/quarantine.rs
@@ -167,7 +167,8 @@
     steps.push(("notes arrive", next));
 }
 
-/// An entry reads the row of the store, and writes the ends that it knows if it refuses the request.
+/// An entry reads the row of the store, and writes the ends that it knows if it refuses the
+/// request.
 fn sync_with_store(state: &State, i: usize, mutation: Mutation, steps: &mut Vec<Step<State>>) {
     let entry = &state.entries[i];
     if !state.is_store_up {
--- a/tests/model/rate_limit.rs
+++ b/tests/model/rate_limit.rs
@@ -27,8 +27,8 @@
     IncarnationIgnored,
 }
 
-/// The known limit of one incarnation, or a report on it: the incarnation, the number of changes and
-/// the rate.
+/// The known limit of one incarnation, or a report on it: the incarnation, the number of changes
+/// and the rate.
 type Report = (u8, u32, Option<u8>);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -112,8 +112,8 @@
     assert!(is_refused(&quarantine, CRASHING));
 }
 
-/// Two requests crash servers at the same time, so their ends may be counted as one event. Both must
-/// still be refused after a limited number of ends.
+/// Two requests crash servers at the same time, so their ends may be counted as one event. Both
+/// must still be refused after a limited number of ends.
 #[test]
 fn two_crashing_requests_at_the_same_time_are_both_refused() {
     let mut quarantine = Quarantine::default();
@@ -230,8 +230,11 @@
     // An incarnation ends once, so the time is derived from it.
     let about = (0u128..4, 0u64..8);
     prop_oneof![
-        4 => about.clone().prop_map(|(f, incarnation)| end(Fingerprint(f), incarnation, incarnation * 150)),
-        1 => about.prop_map(|(f, incarnation)| Note::Cleared { fingerprint: Fingerprint(f), incarnation }),
+        4 => about
+            .clone()
+            .prop_map(|(f, incarnation)| end(Fingerprint(f), incarnation, incarnation * 150)),
+        1 => about
+            .prop_map(|(f, incarnation)| Note::Cleared { fingerprint: Fingerprint(f), incarnation }),
     ]
 }
 
--- a/tests/sharing.rs
+++ b/tests/sharing.rs
@@ -252,8 +252,8 @@
     assert_eq!(tracker.get(SECOND * 20), Some(fewer), "the other side may have a majority");
 }
 
-/// The entries reconnect to a seed that has started one after the other, the last one after two
-/// seconds. Until then the seed reports too few entries.
+/// The entries connect to a newly started seed one after the other, the last one after two seconds.
+/// Until then the seed reports too few entries.
 #[test]
 fn a_newly_started_seed_does_not_lower_the_count() {
     let mut tracker = PlaceTracker::default();
