--- a/src/entry/link.rs
+++ b/src/entry/link.rs
@@ -189,16 +189,16 @@
 
     /// Notes that the server was chosen, which begins its trial if it is on one.
     pub(crate) fn note_chosen(&self, now: Duration) {
-        self.lock().outlier.note_chosen(now);
+        self.lock().outlier.record_selection(now);
     }
 
     /// Notes how an attempt on this server ended.
     pub(crate) fn note_outcome(&self, answered: bool, rules: &OutlierConfig, now: Duration) {
         let mut state = self.lock();
         if answered {
-            state.outlier.note_answer(rules);
+            state.outlier.record_answer(rules);
         } else {
-            state.outlier.note_failure(rules, now);
+            state.outlier.record_failure(rules, now);
         }
     }
 
--- a/src/policy/announcements.rs
+++ b/src/policy/announcements.rs
@@ -21,7 +21,7 @@
 impl Announcements {
     /// Records a drain notice and returns whether it is the first one. Draining ends only with a
     /// new incarnation of the server.
-    pub fn note_draining(&mut self, now: Duration) -> bool {
+    pub fn record_draining(&mut self, now: Duration) -> bool {
         let is_first = self.draining_since.is_none();
         self.draining_since.get_or_insert(now);
         is_first
@@ -29,7 +29,7 @@
 
     /// Records a pause and returns whether the server was not paused before. If pauses overlap,
     /// the later end applies.
-    pub fn note_pause(&mut self, pause: Duration, now: Duration) -> bool {
+    pub fn record_pause(&mut self, pause: Duration, now: Duration) -> bool {
         let is_new = !self.is_paused(now);
         self.paused_until = self.paused_until.max(Some(now + pause));
         self.answers_since_pause = 0;
@@ -38,7 +38,7 @@
 
     /// Records an answer other than a rejection and returns whether it is the first one after a
     /// pause.
-    pub fn note_answer(&mut self, now: Duration) -> bool {
+    pub fn record_answer(&mut self, now: Duration) -> bool {
         if self.is_paused(now) {
             return false;
         }
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -57,7 +57,7 @@
 
 impl OutlierDetector {
     /// Records an answer.
-    pub fn note_answer(&mut self, config: &OutlierConfig) {
+    pub fn record_answer(&mut self, config: &OutlierConfig) {
         self.failures = 0;
         self.trial_in_flight = false;
         self.answers += 1;
@@ -67,7 +67,7 @@
     }
 
     /// Records a failure; a server that fails its trial request is ejected again immediately.
-    pub fn note_failure(&mut self, config: &OutlierConfig, now: Duration) {
+    pub fn record_failure(&mut self, config: &OutlierConfig, now: Duration) {
         let on_trial = self.is_on_trial();
         self.answers = 0;
         self.failures += 1;
@@ -78,7 +78,7 @@
     }
 
     /// Records that the server cannot be reached, which ejects it immediately.
-    pub fn note_unreachable(&mut self, config: &OutlierConfig, now: Duration) {
+    pub fn record_unreachable(&mut self, config: &OutlierConfig, now: Duration) {
         self.answers = 0;
         self.eject(config, now);
     }
@@ -102,7 +102,7 @@
     }
 
     /// Records that the server was selected; if it is on trial, this is its trial request.
-    pub fn note_chosen(&mut self, now: Duration) {
+    pub fn record_selection(&mut self, now: Duration) {
         if !self.is_ejected(now) && self.is_on_trial() {
             self.trial_in_flight = true;
         }
--- a/src/policy/overload.rs
+++ b/src/policy/overload.rs
@@ -26,7 +26,7 @@
 
 impl Overload {
     /// Records a refusal and returns the time since the first one of this overload.
-    pub fn note_refusal(&mut self, now: Duration) -> Duration {
+    pub fn record_refusal(&mut self, now: Duration) -> Duration {
         if self.last_refusal.is_none_or(|last| now > last + QUIET_PERIOD) {
             self.started_at = now;
         }
--- a/src/policy/send_window.rs
+++ b/src/policy/send_window.rs
@@ -24,12 +24,12 @@
 
 impl SendWindow {
     /// Records that the server rejected a request while it had this many others from this entry.
-    pub fn note_rejection(&mut self, others: u32, now: Duration) {
+    pub fn record_rejection(&mut self, others: u32, now: Duration) {
         self.limit_since = Some(((f64::from(others) * DECREASE).max(1.0), now));
     }
 
     /// Records an answer other than a rejection.
-    pub fn note_answer(&mut self) {
+    pub fn record_answer(&mut self) {
         if let Some((limit, _)) = &mut self.limit_since {
             *limit += 1.0 / (INCREASE_ROUNDS * *limit);
         }
--- a/src/policy/windowed_retry_budget.rs
+++ b/src/policy/windowed_retry_budget.rs
@@ -44,7 +44,7 @@
 
 impl WindowedRetryBudget {
     /// Records a caller's request for the service.
-    pub fn note_request(&mut self, limits: &RetryLimits, now: Duration) {
+    pub fn record_request(&mut self, limits: &RetryLimits, now: Duration) {
         self.current_bucket(limits, now).requests += 1;
     }
 
--- a/src/router/member.rs
+++ b/src/router/member.rs
@@ -222,16 +222,16 @@
     /// Records a response that shows the server as healthy; returns whether it is the first one after a pause.
     pub(crate) fn record_answer(&self, now: Duration) -> bool {
         let mut state = self.state();
-        state.outlier.note_answer(&OUTLIER_CONFIG);
-        state.send_window.note_answer();
+        state.outlier.record_answer(&OUTLIER_CONFIG);
+        state.send_window.record_answer();
         state.failure_rate.record(false, now);
-        state.announced.note_answer(now)
+        state.announced.record_answer(now)
     }
 
     /// Records a failure of the server.
     pub(crate) fn record_failure(&self, now: Duration) {
         let mut state = self.state();
-        state.outlier.note_failure(&OUTLIER_CONFIG, now);
+        state.outlier.record_failure(&OUTLIER_CONFIG, now);
         state.failure_rate.record(true, now);
     }
 
@@ -239,7 +239,7 @@
     pub(crate) fn record_unreachable(&self, now: Duration) {
         let mut state = self.state();
         state.unreachable_at = Some(now);
-        state.outlier.note_unreachable(&OUTLIER_CONFIG, now);
+        state.outlier.record_unreachable(&OUTLIER_CONFIG, now);
         state.failure_rate.record(true, now);
     }
 
@@ -298,15 +298,15 @@
     pub(super) fn record_pause(&self, pause: Duration, now: Duration) -> bool {
         let mut state = self.state();
         let others = state.load.own_requests.saturating_sub(1);
-        state.send_window.note_rejection(others, now);
-        state.announced.note_pause(pause, now)
+        state.send_window.record_rejection(others, now);
+        state.announced.record_pause(pause, now)
     }
 
     /// Records a drain notice in a response and closes the idle connections; returns whether it is the first notice.
     pub(super) fn record_draining(&self, now: Duration) -> bool {
         let mut state = self.state();
         state.idle_connections.clear();
-        state.announced.note_draining(now)
+        state.announced.record_draining(now)
     }
 
     /// What this entry knows about it that decides its availability.
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -321,7 +321,7 @@
     pub(crate) fn record_request(&self, service: &str) {
         let terms = self.retry_limits();
         let mut retry_budgets = self.retry_budgets.lock().expect("no panics under the lock");
-        retry_budgets.entry(service.into()).or_default().note_request(&terms, self.now());
+        retry_budgets.entry(service.into()).or_default().record_request(&terms, self.now());
     }
 
     /// Takes one retry from the service's budget; false if the budget is exhausted.
@@ -337,7 +337,7 @@
     /// Records that no server of a service could accept a request; returns the `Retry-After` for its caller.
     pub(crate) fn record_overload(&self, service: &str, request_id: &str) -> Duration {
         let mut overloads = self.overloads.lock().expect("no panics under the lock");
-        let lasted = overloads.entry(service.into()).or_default().note_refusal(self.now());
+        let lasted = overloads.entry(service.into()).or_default().record_refusal(self.now());
         retry_after(lasted, hash_fraction(request_id, service))
     }
 
--- a/tests/availability.rs
+++ b/tests/availability.rs
@@ -21,13 +21,13 @@
 
 fn paused(at: Duration, pause: Duration) -> Signals {
     let mut signals = signals();
-    signals.announced.note_pause(pause, at);
+    signals.announced.record_pause(pause, at);
     signals
 }
 
 fn draining(at: Duration) -> Signals {
     let mut signals = signals();
-    signals.announced.note_draining(at);
+    signals.announced.record_draining(at);
     signals
 }
 
@@ -60,7 +60,7 @@
 #[test]
 fn a_paused_server_is_closed_until_its_latest_pause_ends() {
     let mut signals = paused(NOW, 3 * SECOND);
-    signals.announced.note_pause(SECOND, NOW + SECOND);
+    signals.announced.record_pause(SECOND, NOW + SECOND);
 
     let until = Some(NOW + 3 * SECOND);
     assert_eq!(
@@ -83,13 +83,13 @@
 
     signals.unanswered = 1;
     assert_eq!(decide(&signals, now), recovering);
-    signals.announced.note_answer(now);
+    signals.announced.record_answer(now);
     assert_eq!(decide(&signals, now), Availability::Open);
     signals.unanswered = 2;
     assert_eq!(decide(&signals, now), recovering);
 
     for _ in 0..15 {
-        signals.announced.note_answer(now);
+        signals.announced.record_answer(now);
     }
     signals.unanswered = 100;
     assert_eq!(decide(&signals, now), Availability::Open);
@@ -106,7 +106,7 @@
 #[test]
 fn closing_causes_take_precedence_over_last_resort_causes() {
     let mut signals = draining(NOW);
-    signals.announced.note_pause(SECOND, NOW);
+    signals.announced.record_pause(SECOND, NOW);
     signals.is_ejected = true;
 
     let until = Some(NOW + SECOND);
@@ -223,14 +223,14 @@
             let before = announced.paused_until();
             match announcement {
                 Announcement::Nothing => {
-                    announced.note_answer(now);
+                    announced.record_answer(now);
                 }
                 Announcement::Draining => {
-                    announced.note_draining(now);
+                    announced.record_draining(now);
                     draining_since.get_or_insert(now);
                 }
                 Announcement::Pause(ms) => {
-                    announced.note_pause(Duration::from_millis(ms), now);
+                    announced.record_pause(Duration::from_millis(ms), now);
                     paused_until = paused_until.max(now + Duration::from_millis(ms));
                 }
             }
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -33,8 +33,8 @@
         RetryLimits { extra: LIMITS.extra * self.share.fraction(LIMITS.window, now), ..LIMITS }
     }
 
-    fn note_request(&mut self, now: Duration) {
-        self.budget.note_request(&self.limits(now), now);
+    fn record_request(&mut self, now: Duration) {
+        self.budget.record_request(&self.limits(now), now);
     }
 
     fn try_retry(&mut self, now: Duration) -> bool {
@@ -92,7 +92,7 @@
         while requests_due >= 1.0 {
             requests_due -= 1.0;
             next_entry = (next_entry + 1) % fleet.len();
-            fleet[next_entry].note_request(now);
+            fleet[next_entry].record_request(now);
             trace.requests.push(now);
             let sent = (0..2).filter(|_| fleet[next_entry].try_retry(now)).count();
             trace.retries.extend(std::iter::repeat_n(now, sent));
--- a/tests/model/availability.rs
+++ b/tests/model/availability.rs
@@ -69,13 +69,13 @@
         match notice {
             Notice::Draining if mutation == Mutation::DrainingEnds => {}
             Notice::Draining => {
-                announced.note_draining(*at * TICK);
+                announced.record_draining(*at * TICK);
             }
             Notice::Pause(ticks) => {
                 if mutation == Mutation::ShorterPauseWins {
                     announced = Announcements::default();
                 }
-                announced.note_pause(*ticks * TICK, *at * TICK);
+                announced.record_pause(*ticks * TICK, *at * TICK);
             }
         }
     }
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -294,7 +294,7 @@
         for (entry, is_request, pause) in steps {
             now += Duration::from_millis(pause);
             if is_request {
-                entries[entry].note_request(&send_terms(), now);
+                entries[entry].record_request(&send_terms(), now);
                 requests.push(now);
             } else if entries[entry].try_retry(&send_terms(), now) {
                 repeats.push(now);
--- a/tests/play/comeback.rs
+++ b/tests/play/comeback.rs
@@ -85,7 +85,7 @@
     let by_length = mean(&|seed| {
         let mut overload = Overload::default();
         part_refused(seed, times, move |at, rng| {
-            let lasted = overload.note_refusal(Duration::from_secs_f64(at));
+            let lasted = overload.record_refusal(Duration::from_secs_f64(at));
             retry_after(lasted, rng.random()).as_secs_f64()
         })
     });
@@ -107,10 +107,10 @@
     let mut overload = Overload::default();
     let second = Duration::from_secs(1);
 
-    assert!(retry_after(overload.note_refusal(10 * second), 1.0) <= Duration::from_millis(300));
-    let lasted = (20..=60).map(|half| overload.note_refusal(second / 2 * half)).last().unwrap();
+    assert!(retry_after(overload.record_refusal(10 * second), 1.0) <= Duration::from_millis(300));
+    let lasted = (20..=60).map(|half| overload.record_refusal(second / 2 * half)).last().unwrap();
     assert_eq!(lasted, 20 * second);
     assert_eq!(retry_after(lasted, 0.0), 3 * second);
     assert_eq!(retry_after(lasted, 1.0), 9 * second);
-    assert_eq!(overload.note_refusal(40 * second), Duration::ZERO, "that overload was over");
+    assert_eq!(overload.record_refusal(40 * second), Duration::ZERO, "that overload was over");
 }
--- a/tests/play/pauses.rs
+++ b/tests/play/pauses.rs
@@ -79,15 +79,15 @@
 
     fn note_answer(&mut self, now: Duration) {
         self.own.push(Reverse(now + TAKES));
-        self.outlier.note_answer(&OUTLIER_RULES);
-        self.announced.note_answer(now);
-        self.window.note_answer();
+        self.outlier.record_answer(&OUTLIER_RULES);
+        self.announced.record_answer(now);
+        self.window.record_answer();
     }
 
     fn note_rejection(&mut self, now: Duration) {
-        self.outlier.note_failure(&OUTLIER_RULES, now);
-        self.announced.note_pause(PAUSE, now);
-        self.window.note_rejection(self.own.len() as u32, now);
+        self.outlier.record_failure(&OUTLIER_RULES, now);
+        self.announced.record_pause(PAUSE, now);
+        self.window.record_rejection(self.own.len() as u32, now);
         self.rejected.push_back(now);
     }
 
@@ -180,11 +180,11 @@
     let now = Duration::from_secs(1);
     assert!(window.allows_another(1_000, now));
 
-    window.note_rejection(10, now);
+    window.record_rejection(10, now);
 
     assert!(window.allows_another(8, now));
     assert!(!window.allows_another(9, now));
-    (0..160).for_each(|_| window.note_answer());
+    (0..160).for_each(|_| window.record_answer());
     assert!(window.allows_another(9, now), "it grows with the answers");
     assert!(!window.allows_another(100, now + Duration::from_secs(29)));
     assert!(window.allows_another(100, now + Duration::from_secs(30)));
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -195,18 +195,18 @@
     let mut server = OutlierDetector::default();
     let mut now = Duration::from_secs(1);
     for _ in 0..rules.consecutive_failures {
-        server.note_failure(&rules, now);
+        server.record_failure(&rules, now);
     }
     assert!(server.is_ejected(now));
     now += rules.base_ejection;
     assert!(!server.should_skip(now), "back for a trial");
-    server.note_chosen(now);
+    server.record_selection(now);
     assert!(server.should_skip(now), "one request at a time");
-    server.note_failure(&rules, now);
+    server.record_failure(&rules, now);
     assert!(server.is_ejected(now + rules.base_ejection), "out for longer the second time");
     now += rules.base_ejection * 2;
-    server.note_chosen(now);
-    server.note_answer(&rules);
+    server.record_selection(now);
+    server.record_answer(&rules);
     assert!(!server.should_skip(now));
 }
 
