--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -339,7 +339,7 @@
         let refused = |q: &Quarantine| (1..3).all(|f| is_refused(q, Fingerprint(f)));
         assert!(fleet.entries.iter().all(|q| free(q) && refused(q)), "{entries} entries");
         // Each note crosses each link between a seed and an entry twice at most.
-        assert!(fleet.sent <= 2 * 16 * SEEDS * entries, "{} told", fleet.sent);
+        assert!(fleet.sent <= 2 * 16 * SEEDS * entries, "{} sent", fleet.sent);
     }
 }
 
