--- a/tests/availability.rs
+++ b/tests/availability.rs
@@ -1,4 +1,4 @@
-//! The decision whether a server may be sent a request.
+//! The decision whether a server may be sent a request, on simulated time.
 
 use std::time::{Duration, SystemTime};
 
@@ -21,13 +21,13 @@
 
 fn paused(at: Duration, pause: Duration) -> Signals {
     let mut signals = signals();
-    signals.announced.note_pause(pause, at);
+    signals.announced.record_pause(pause, at);
     signals
 }
 
 fn draining(at: Duration) -> Signals {
     let mut signals = signals();
-    signals.announced.note_draining(at);
+    signals.announced.record_draining(at);
     signals
 }
 
@@ -60,7 +60,7 @@
 #[test]
 fn a_paused_server_is_closed_until_its_latest_pause_ends() {
     let mut signals = paused(NOW, 3 * SECOND);
-    signals.announced.note_pause(SECOND, NOW + SECOND);
+    signals.announced.record_pause(SECOND, NOW + SECOND);
 
     let until = Some(NOW + 3 * SECOND);
     assert_eq!(
@@ -83,13 +83,13 @@
 
     signals.unanswered = 1;
     assert_eq!(decide(&signals, now), recovering);
-    signals.announced.note_answer(now);
+    signals.announced.record_answer(now);
     assert_eq!(decide(&signals, now), Availability::Open);
     signals.unanswered = 2;
     assert_eq!(decide(&signals, now), recovering);
 
     for _ in 0..15 {
-        signals.announced.note_answer(now);
+        signals.announced.record_answer(now);
     }
     signals.unanswered = 100;
     assert_eq!(decide(&signals, now), Availability::Open);
@@ -106,7 +106,7 @@
 #[test]
 fn closing_causes_take_precedence_over_last_resort_causes() {
     let mut signals = draining(NOW);
-    signals.announced.note_pause(SECOND, NOW);
+    signals.announced.record_pause(SECOND, NOW);
     signals.is_ejected = true;
 
     let until = Some(NOW + SECOND);
@@ -143,8 +143,8 @@
     assert_eq!(with(RateSignal::NoShare(NOW + SECOND)), until(NOW + SECOND));
 }
 
-/// The servers that are used, by their numbers.
-fn used(availabilities: &[Availability]) -> Vec<usize> {
+/// Indexes of the servers that remain after filtering by tier.
+fn selected(availabilities: &[Availability]) -> Vec<usize> {
     let mut servers: Vec<_> = availabilities.iter().copied().enumerate().collect();
     retain_first_tier(&mut servers);
     servers.into_iter().map(|(number, _)| number).collect()
@@ -154,8 +154,8 @@
 fn ejected_servers_are_used_only_if_all_are_ejected() {
     let ejected = Availability::LastResort(UnavailableCause::Ejected);
 
-    assert_eq!(used(&[ejected, Availability::Open, ejected]), [1]);
-    assert_eq!(used(&[ejected, ejected]), [0, 1]);
+    assert_eq!(selected(&[ejected, Availability::Open, ejected]), [1]);
+    assert_eq!(selected(&[ejected, ejected]), [0, 1]);
 }
 
 #[test]
@@ -164,25 +164,25 @@
     let ejected = Availability::LastResort(UnavailableCause::Ejected);
     let closed = Availability::Closed { cause: UnavailableCause::Paused, until: None };
 
-    assert_eq!(used(&[draining, ejected, closed]), [1]);
-    assert_eq!(used(&[closed, draining]), [1]);
-    assert!(used(&[closed, closed]).is_empty());
+    assert_eq!(selected(&[draining, ejected, closed]), [1]);
+    assert_eq!(selected(&[closed, draining]), [1]);
+    assert!(selected(&[closed, closed]).is_empty());
 }
 
 #[test]
 fn retry_after_is_parsed_as_seconds_or_as_a_date() {
     let now = SystemTime::UNIX_EPOCH + Duration::from_secs(784_111_777);
-    let read = |text| RetryAfter::parse(text, now);
-
-    assert_eq!(read("3"), RetryAfter::After(3 * SECOND));
-    assert_eq!(read(" 0.25 "), RetryAfter::After(SECOND / 4));
-    assert_eq!(read("0"), RetryAfter::After(Duration::ZERO));
-    assert_eq!(read("1e300"), RetryAfter::After(MAX_PAUSE));
-    assert_eq!(read("Sun, 06 Nov 1994 08:49:40 GMT"), RetryAfter::After(3 * SECOND));
-    assert_eq!(read("Sun, 06 Nov 1994 08:49:30 GMT"), RetryAfter::After(Duration::ZERO));
-    assert_eq!(read("Sat, 06 Nov 2094 08:49:30 GMT"), RetryAfter::After(MAX_PAUSE));
+    let parse = |text| RetryAfter::parse(text, now);
+
+    assert_eq!(parse("3"), RetryAfter::After(3 * SECOND));
+    assert_eq!(parse(" 0.25 "), RetryAfter::After(SECOND / 4));
+    assert_eq!(parse("0"), RetryAfter::After(Duration::ZERO));
+    assert_eq!(parse("1e300"), RetryAfter::After(MAX_PAUSE));
+    assert_eq!(parse("Sun, 06 Nov 1994 08:49:40 GMT"), RetryAfter::After(3 * SECOND));
+    assert_eq!(parse("Sun, 06 Nov 1994 08:49:30 GMT"), RetryAfter::After(Duration::ZERO));
+    assert_eq!(parse("Sat, 06 Nov 2094 08:49:30 GMT"), RetryAfter::After(MAX_PAUSE));
     for junk in ["", "-1", "NaN", "inf", "-inf", "soon", "3 s", "Sun, 99 Nov 1994"] {
-        assert_eq!(read(junk), RetryAfter::Unreadable, "{junk}");
+        assert_eq!(parse(junk), RetryAfter::Unreadable, "{junk}");
     }
 }
 
@@ -196,52 +196,55 @@
     assert_eq!(one.longer(RetryAfter::Unreadable), one);
 }
 
-/// What an answer of a server may say.
+/// The announcement in a server's answer.
 #[derive(Clone, Copy, Debug)]
-enum Said {
+enum Announcement {
     Nothing,
     Draining,
     Pause(u64),
 }
 
-fn answers() -> impl Strategy<Value = Vec<(u64, Said)>> {
-    let said = prop_oneof![
-        4 => Just(Said::Nothing),
-        1 => Just(Said::Draining),
-        2 => (1u64..5_000).prop_map(Said::Pause),
+fn answers() -> impl Strategy<Value = Vec<(u64, Announcement)>> {
+    let announcement = prop_oneof![
+        4 => Just(Announcement::Nothing),
+        1 => Just(Announcement::Draining),
+        2 => (1u64..5_000).prop_map(Announcement::Pause),
     ];
-    prop::collection::vec((0u64..1_000, said), 0..60)
+    prop::collection::vec((0u64..1_000, announcement), 0..60)
 }
 
 proptest! {
     #[test]
     fn nothing_is_sent_while_a_server_drains_or_pauses(answers in answers()) {
         let (mut announced, mut now) = (Announcements::default(), NOW);
-        let (mut drains_since, mut pause_ends) = (None, Duration::ZERO);
-        for (after, said) in answers {
+        let (mut draining_since, mut paused_until) = (None, Duration::ZERO);
+        for (after, announcement) in answers {
             now += Duration::from_millis(after);
             let before = announced.paused_until();
-            match said {
-                Said::Nothing => {
-                    announced.note_answer(now);
+            match announcement {
+                Announcement::Nothing => {
+                    announced.record_answer(now);
                 }
-                Said::Draining => {
-                    announced.note_draining(now);
-                    drains_since.get_or_insert(now);
+                Announcement::Draining => {
+                    announced.record_draining(now);
+                    draining_since.get_or_insert(now);
                 }
-                Said::Pause(ms) => {
-                    announced.note_pause(Duration::from_millis(ms), now);
-                    pause_ends = pause_ends.max(now + Duration::from_millis(ms));
+                Announcement::Pause(ms) => {
+                    announced.record_pause(Duration::from_millis(ms), now);
+                    paused_until = paused_until.max(now + Duration::from_millis(ms));
                 }
             }
-            prop_assert!(announced.paused_until() >= before, "a deadline moved back");
+            prop_assert!(announced.paused_until() >= before, "the end of a pause moved back");
             let availability = decide(&Signals { announced, ..signals() }, now);
-            let is_paused = now < pause_ends;
-            let is_leaving = drains_since.is_some_and(|since| now >= since + DRAIN / 2);
+            let is_paused = now < paused_until;
+            let is_leaving = draining_since.is_some_and(|since| now >= since + DRAIN / 2);
             let is_closed = matches!(availability, Availability::Closed { .. });
-            // Without requests that wait, nothing else keeps a server out.
+            // Without unanswered requests, nothing else closes a server.
             prop_assert_eq!(is_closed, is_paused || is_leaving);
-            prop_assert_eq!(availability == Availability::Open, !is_paused && drains_since.is_none());
+            prop_assert_eq!(
+                availability == Availability::Open,
+                !is_paused && draining_since.is_none()
+            );
         }
     }
 }
