--- a/src/control/lease.rs
+++ b/src/control/lease.rs
@@ -17,7 +17,7 @@
 pub struct Lease {
     name: Box<str>,
     me: Box<str>,
-    terms: LeaseTiming,
+    timing: LeaseTiming,
     view: LeaseView,
     started: Instant,
     version: u64,
@@ -43,11 +43,11 @@
 
 impl Lease {
     /// Creates the view of a lease whose row has not been read yet.
-    pub fn new(name: &str, me: Incarnation, terms: LeaseTiming) -> Self {
+    pub fn new(name: &str, me: Incarnation, timing: LeaseTiming) -> Self {
         Self {
             name: name.into(),
             me: format_id(me),
-            terms,
+            timing,
             view: LeaseView::default(),
             started: Instant::now(),
             version: 0,
@@ -83,7 +83,8 @@
             None => None,
         };
         self.view.observe(row, self.now());
-        let LeaseAction::Write { row, expected } = self.view.plan(&self.me, self.now(), self.terms)
+        let LeaseAction::Write { row, expected } =
+            self.view.plan(&self.me, self.now(), self.timing)
         else {
             return Ok(());
         };
@@ -94,7 +95,7 @@
             Ok(Ok(version)) => {
                 let fencing = row.fencing;
                 self.version = version;
-                self.view.record_commit(row, version, sent_at, self.terms);
+                self.view.record_commit(row, version, sent_at, self.timing);
                 if !held_before {
                     event::LEASE_TAKEN.log(format_args!("lease={} fencing={fencing}", self.name));
                 }
--- a/src/platform/documents.rs
+++ b/src/platform/documents.rs
@@ -69,7 +69,7 @@
 const MAX_COLD_MS: f64 = 3_600_000.0;
 
 impl ServiceDoc {
-    fn cold_terms(&self) -> Option<ColdStartLimit> {
+    fn cold_start_limit(&self) -> Option<ColdStartLimit> {
         let duration = milliseconds((self.cold_start_s * 1e3).min(MAX_COLD_MS));
         (self.cold_per_s > 0.0)
             .then_some(ColdStartLimit { sends_per_second: self.cold_per_s, duration })
@@ -331,7 +331,7 @@
         routes_of_host.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
     }
     let cold_starts =
-        doc.services.iter().filter_map(|s| Some((s.name.clone(), s.cold_terms()?))).collect();
+        doc.services.iter().filter_map(|s| Some((s.name.clone(), s.cold_start_limit()?))).collect();
     let kv_cache = |service: ServiceDoc| Some((service.name, service.engine?.kv_capacity?));
     RoutingTable {
         version: doc.version,
