--- a/src/policy/choice.rs
+++ b/src/policy/choice.rs
@@ -1,22 +1,23 @@
 //! Choice of a BackendServer by estimated time to first token.
 //!
-//! The servers a consistent-hash ring prefers for the session and for the prompt's prefix, and
-//! two drawn at random, are compared; so the cost of a choice does not grow with the pool.
+//! The candidates are the servers that a consistent-hash ring assigns to the session and to the prompt's
+//! prefix, and two random ones, so the cost of a choice does not grow with the pool.
 
 use std::time::Duration;
 
 use rand::{Rng, RngExt};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Points of each server on the ring.
+/// Number of points of each server on the ring.
 const VIRTUAL_NODES: u64 = 16;
-/// Servers the ring prefers: one for the session, one for the prefix.
+/// Number of candidates taken from the ring: one for the session, one for the prefix.
 pub const RING_CANDIDATES: usize = 2;
+/// Number of candidates drawn at random.
 const RANDOM_CANDIDATES: usize = 2;
-/// Servers compared at most.
+/// Maximum number of candidates.
 pub const MAX_CANDIDATES: usize = RING_CANDIDATES + RANDOM_CANDIDATES;
 
-/// Servers that can run one version, as a ring; servers are known by their index.
+/// Servers that can run one version, on a consistent-hash ring. Servers are identified by their index.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     ring: Vec<(u64, u32)>,
@@ -36,7 +37,7 @@
         Self { ring, len }
     }
 
-    /// Servers in the pool.
+    /// Number of servers in the pool.
     pub fn len(&self) -> usize {
         self.len as usize
     }
@@ -46,7 +47,8 @@
         self.len == 0
     }
 
-    /// Candidates for a session and a prefix, in this order and without repeats.
+    /// Distinct candidates for the keys of a session and a prefix: first those from the ring, in the order of
+    /// the keys, then random ones.
     pub fn candidates(&self, keys: &[u64; RING_CANDIDATES], rng: &mut impl Rng) -> Vec<u32> {
         let mut found = Vec::with_capacity(MAX_CANDIDATES);
         if self.len == 0 {
@@ -69,35 +71,35 @@
     }
 }
 
-/// What is known about one server when a choice is made.
+/// Load of one server, as known when a choice is made.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerLoad {
-    /// Attempts running, by the agent's own count.
+    /// Number of running attempts, as reported by the agent.
     pub running: u32,
-    /// Attempts in the agent's queue.
+    /// Number of attempts in the agent's queue, as reported by the agent.
     pub queued: u32,
-    /// Attempts this entry has sent since that count.
+    /// Number of attempts that this entry has sent since that report.
     pub sent_since_report: u32,
-    /// Attempts the agent lets run at a time.
+    /// Number of attempts that the agent runs at the same time.
     pub limit: u32,
-    /// Mean time an attempt occupies a place.
+    /// Mean time for which an attempt occupies a slot.
     pub service_time: Duration,
-    /// Time of one token for each running attempt.
+    /// Mean time between two tokens of a running attempt.
     pub token_time: Duration,
-    /// Prompt tokens prefilled a second.
+    /// Prompt tokens prefilled per second.
     pub prefill_rate: f64,
-    /// One-way distance.
+    /// One-way network latency.
     pub one_way_latency: Duration,
-    /// Prompt tokens believed to be in the engine's prefix cache.
+    /// Prompt tokens assumed to be in the engine's prefix cache.
     pub cached_tokens: u64,
 }
 
-/// Expected time until the first token of a prompt.
+/// Estimated time until the first token of the answer to a prompt.
 pub fn time_to_first_token(load: &ServerLoad, prompt_tokens: u64) -> Duration {
     let ahead = load.running + load.queued + load.sent_since_report;
     let limit = load.limit.max(1);
     let wait = if ahead < limit {
-        // A joining attempt shares each step with those already running.
+        // The new attempt shares each engine step with those already running.
         load.token_time.mul_f64(f64::from(ahead) / f64::from(limit))
     } else {
         load.service_time.mul_f64(f64::from(ahead - limit + 1) / f64::from(limit))
@@ -107,7 +109,7 @@
     wait + prefill + load.one_way_latency * 2
 }
 
-/// The candidate with the smallest estimate; ties go to the first, which the ring prefers.
+/// The candidate with the lowest estimate; on a tie the first one, since those from the ring come first.
 pub fn choose_server(
     candidates: &[u32],
     prompt_tokens: u64,
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,110 +1,112 @@
-//! Which BackendServer gets an attempt: the one with the least expected cost in time.
+//! Placement: chooses the BackendServer with the lowest expected cost, in time, for an attempt.
 //!
-//! The cost of a server is its expected wait, the time to read shared prompt parts that it does
-//! not keep, and a charge for leaving the AvailabilityZone. What servers keep is known from what
-//! entries sent there (docs/decisions/0011). Parts that none keeps go to the server that rendezvous
-//! hashing gives, so that entries which send them at the same time agree.
+//! The cost of a server is its expected wait, the prefill time of the shared prompt parts that it has not
+//! cached, and a charge for leaving the AvailabilityZone. What a server has cached is inferred from the
+//! prompts that entries sent to it (docs/decisions/0011). Parts that no server has cached go to the server
+//! that rendezvous hashing selects, so that entries which send them at the same time agree.
 //!
-//! Only a few servers are weighed for a request: the first by rendezvous hashing in the zone and outside, and
-//! those that keep its parts. What entries know of the load is half a second old; if all weighed all servers,
-//! they would all choose the one that was free then. With few choices each, drawn by hash, they spread
-//! (Mitzenmacher, How useful is old information?, 2000; docs/decisions/0014).
+//! Only a shortlist of servers is compared for each request: those that rank highest by rendezvous hashing in
+//! the zone and in other zones, and those that have its parts cached. Load information is half a second old;
+//! if every entry compared all servers, all would choose the one that was idle then. With a few candidates
+//! each, selected by hash, their requests spread (Mitzenmacher, How useful is old information?, 2000;
+//! docs/decisions/0014).
 
 use std::{cmp::Reverse, time::Duration};
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A server as the decision sees it.
+/// A server that may be chosen.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
     /// Hash of the server's id.
     pub id_hash: u64,
-    /// Requests believed to be at the server.
+    /// Estimated number of requests at the server.
     pub load: f64,
-    /// Requests it runs at a time.
+    /// Number of requests that it runs at the same time.
     pub slots: u32,
-    /// Time the server needs for prompts that it was sent and has not answered yet.
+    /// Prefill time of the prompts that were sent to it and are not answered yet.
     pub backlog: Duration,
-    /// Shared tokens of the prompt that it need not read again.
+    /// Tokens of the request's shared prompt parts that it has cached.
     pub cached_tokens: u64,
-    /// How often it failed of late, 0 to 1.
+    /// Recent failure rate, 0 to 1.
     pub failure_rate: f64,
-    /// Whether it stands in the entry's own zone.
+    /// Whether it is in the entry's own AvailabilityZone.
     pub is_same_zone: bool,
 }
 
-/// What is to be placed.
+/// The attempt to be placed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PlacementRequest {
-    /// Hash of the shared parts, if there are any worth keeping together.
+    /// Hash of the shared prompt parts; none if there are none or the route does not group requests by them.
     pub affinity: Option<u64>,
     /// Tokens of those parts.
     pub shared_tokens: u64,
-    /// Time the model takes to read one token.
+    /// Prefill time of one token.
     pub prefill_token_time: Duration,
-    /// Size of the request's body.
+    /// Size of the request body.
     pub bytes: usize,
-    /// What draws the servers that are weighed where there are no shared parts: a hash of the request.
+    /// Hash of the request; selects the shortlisted servers where there are no shared parts.
     pub request_hash: u64,
 }
 
-/// What a server costs besides its backlog; settings under `placement`.
+/// Cost terms other than the backlog, and the length of the shortlist; settings under `placement`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlacementConfig {
-    /// For each request that runs at the server.
+    /// Cost of each request that runs at the server.
     pub running: Duration,
-    /// For each request beyond its slots.
+    /// Cost of each request beyond the server's slots.
     pub waiting: Duration,
-    /// For a failure, as often as the server fails.
+    /// Cost of a failed attempt; multiplied by the server's failure rate.
     pub failure: Duration,
-    /// For leaving the AvailabilityZone.
+    /// Cost of leaving the AvailabilityZone.
     pub far: Duration,
-    /// For each 1,024 bytes of a body that leaves the AvailabilityZone.
+    /// Cost of each 1,024 bytes of a body that leaves the AvailabilityZone.
     pub far_kilobyte: Duration,
-    /// For each shared token that is read again, beyond the time that takes.
+    /// Cost of each shared token that is prefilled again, in addition to its prefill time.
     pub reread_token: Duration,
-    /// Mean backlog of the servers from which on leaving the zone is charged less.
+    /// Mean backlog of the servers above which the cost of leaving the zone is reduced.
     pub spare_backlog: Duration,
-    /// Servers that are weighed in the zone, and as many outgroup.
+    /// Number of servers shortlisted by rank in the zone, and as many in other zones.
     pub choices: usize,
 }
 
 impl Default for PlacementConfig {
     fn default() -> Self {
         Self {
-            // Steps of the engines grow by 1.5 % for each running request: 6 ms in half a second.
+            // Engine steps take 1.5 % longer for each running request: 6 ms in half a second.
             running: Duration::from_millis(6),
-            // Mean work of the application servers.
+            // Mean processing time of a request at the application servers.
             waiting: Duration::from_millis(60),
-            // A failed attempt costs the time until it shows and one of the few attempts.
+            // A failed attempt costs the time until the failure is detected, and one of the few attempts.
             failure: Duration::from_millis(400),
-            // The way itself is a millisecond; the rest is for the headers and the answer, a kilobyte.
+            // The network latency is 1 ms; the rest stands for the headers and the answer, a kilobyte.
             far: Duration::from_millis(15),
-            // On a par with reading 830 tokens again, as the users price them (310 to 980). Against a
-            // charge whatever the size, a third less goes between zones (tests/play/placing.rs). With 9 ms
-            // quiet days earned 0.03 less where prompts are longest; with 40 ms no more, and days with load
-            // 0.008 less where they are shorter (docs/decisions/0011).
+            // Equal to prefilling 830 tokens again; the users' prices equate a kilobyte to 310 to 980 tokens.
+            // A third less traffic goes between zones than with a cost independent of the size
+            // (tests/play/placing.rs). With 9 ms the score of quiet days was 0.03 lower where prompts are
+            // longest; with 40 ms it was no higher, and that of days with load was 0.008 lower where prompts
+            // are shorter (docs/decisions/0011).
             far_kilobyte: Duration::from_millis(25),
-            // Puts 830 tokens on a par with a kilobyte that leaves the zone.
+            // Makes 830 tokens cost as much as a kilobyte that leaves the zone.
             reread_token: Duration::from_micros(30),
-            // A tenth of the shortest objective of a stream met so far: up to it nothing is late. Unlike
-            // servers earn 1 % more by it in tests/play; charged less from no backlog on, quiet days
-            // earned 0.02 less where prompts are longest (docs/decisions/0011).
+            // A tenth of the shortest stream objective seen so far: with less backlog nothing is late. It
+            // raises the score of unequal servers by 1 % in tests/play. Reducing the cost from zero backlog
+            // on lowered the score of quiet days by 0.02 where prompts are longest (docs/decisions/0011).
             spare_backlog: Duration::from_millis(200),
-            // With 103 entries before 107 engines and 2.5 times the load, 130 of 57,000 requests were never
-            // taken instead of 1,118 with all servers weighed, and chats were in time in 0.70 instead of 0.64
-            // of all; on quiet days there is no difference.
+            // With 103 entries, 107 engines and 2.5 times the load, 130 of 57,000 requests were never accepted,
+            // instead of 1,118 when all servers were compared, and 0.70 instead of 0.64 of the chats were in
+            // time. On quiet days there is no difference.
             choices: 4,
         }
     }
 }
 
-/// Hash of a server's id.
+/// Hash of the id of a server or a request.
 pub fn hash_id(id: &str) -> u64 {
     xxh3_64_with_seed(id.as_bytes(), 0)
 }
 
-/// Chooses among candidates.
+/// Index of the candidate with the lowest expected cost; none if there are no candidates.
 pub fn place(
     candidates: &[Candidate],
     request: &PlacementRequest,
@@ -117,7 +119,7 @@
     let cross_zone_cost = cross_zone_cost / (1.0 + excess_backlog);
     let prefill_cost = request.shared_tokens as f64 * request.prefill_token_time.as_secs_f64();
     let key = request.affinity.unwrap_or(request.request_hash);
-    // Rendezvous hashing: the highest rank is the key's home.
+    // Rendezvous hashing: the server with the highest rank owns the key.
     let rank = |c: &Candidate| xxh3_64_with_seed(&key.to_le_bytes(), c.id_hash);
     let ranks: Vec<u64> = candidates.iter().map(rank).collect();
     let is_cached_anywhere = candidates.iter().any(|c| c.cached_tokens > 0);
@@ -134,14 +136,14 @@
         let cross_zone_cost = if candidate.is_same_zone { 0.0 } else { cross_zone_cost };
         expected_wait(candidate, config) + prefill + cross_zone_cost
     };
-    // Servers as free as each other differ by rank; by their ids, one of them would get everything.
+    // Ties are broken by rank, which differs between requests; a fixed order would overload one server.
     let order =
         |a: &usize, b: &usize| cost(*a).total_cmp(&cost(*b)).then(ranks[*b].cmp(&ranks[*a]));
     shortlist(candidates, &ranks, config.choices).into_iter().min_by(order)
 }
 
-/// The servers that are weighed: the first by rank in the zone and outside, and those that keep some of
-/// the shared parts.
+/// Indices of the candidates to compare: the highest-ranked ones in the zone and in other zones, and all that
+/// have some of the shared parts cached.
 fn shortlist(candidates: &[Candidate], ranks: &[u64], max_per_group: usize) -> Vec<usize> {
     let (mut same_zone, mut other_zones): (Vec<usize>, Vec<usize>) =
         (0..candidates.len()).partition(|i| candidates[*i].is_same_zone);
@@ -158,8 +160,8 @@
     shortlist
 }
 
-/// How far the servers' mean backlog lies beyond what they read with time to spare, in multiples of
-/// that: a shorter wait is then worth more bytes between zones.
+/// How far the mean backlog exceeds `spare`, in multiples of it. The cost of leaving the zone falls with this
+/// value, since under load a shorter wait is worth more traffic between zones.
 fn excess_backlog(candidates: &[Candidate], spare: Duration) -> f64 {
     let backlogs = candidates.iter().map(|candidate| candidate.backlog);
     let mean = backlogs.clone().sum::<Duration>().as_secs_f64() / backlogs.count().max(1) as f64;
@@ -167,8 +169,8 @@
     (mean - spare).max(0.0) / spare
 }
 
-/// The server that keeps the shared parts: one for all zones where reading them takes longer than
-/// leaving the zone costs, one in each zone otherwise.
+/// The server chosen by rendezvous hashing to cache the shared parts: one for all zones where their prefill
+/// costs more than leaving the zone, one in each zone otherwise.
 fn rendezvous_owner(
     candidates: &[Candidate],
     ranks: &[u64],
@@ -180,6 +182,7 @@
         .max_by_key(|i| ranks[*i])
 }
 
+/// Expected time in seconds until the server starts a new request, including the cost of a possible failure.
 fn expected_wait(candidate: &Candidate, config: &PlacementConfig) -> f64 {
     let slots = f64::from(candidate.slots.max(1));
     let waiting = (candidate.load + 1.0 - slots).max(0.0);
--- a/src/policy/prefix_cache.rs
+++ b/src/policy/prefix_cache.rs
@@ -1,9 +1,9 @@
-//! Which prompt parts a BackendServer still holds in its KV cache, as far as they were sent there.
+//! Estimate of which prompt parts a BackendServer has in its KV cache.
 //!
-//! A server keeps the parts of the prompts that it read until newer ones push them out. Whoever sends
-//! a prompt therefore knows what is kept where, and a request whose parts are kept need not be read
-//! again: reading is what the largest models spend most of their time on. The record ages as the
-//! server's memory does, by the tokens read since a part was last used.
+//! A server caches the parts of the prompts that it prefilled until newer ones evict them. An entry can
+//! therefore infer from the prompts it sent what is cached where, and cached parts need no prefill, on
+//! which the largest models spend most of their time. A recorded part expires as in the server's own cache,
+//! by the number of tokens prefilled since it was last used.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -11,64 +11,65 @@
 
 use crate::routing::PromptPart;
 
-/// Part of a server's memory that it reads before a part that was not used meanwhile counts as gone.
-/// Running requests take their room, too, and what other entries read there is known in part. With 0.5,
-/// 0.6 and 0.75 as many answers were in time in tests/play; the parts read again differ by a tenth.
+/// A part counts as evicted once the server has prefilled this fraction of its capacity since the last use.
+/// Running requests take up space, too, and the prompts of other entries are only partly known. With 0.5,
+/// 0.6 and 0.75 equally many answers were in time in tests/play; the parts prefilled again differ by a tenth.
 const RETENTION_FRACTION: f64 = 0.6;
-/// Memory of a server in tokens where the configuration has none; the least of the first sites.
+/// Cache capacity in tokens where the configuration gives none; the smallest of the first sites.
 const DEFAULT_CAPACITY: u64 = 470_000;
-/// Parts remembered for one server; 25 KB. Prompts here bring one or two shared parts of 140 to 13,000
-/// tokens each, so a server's memory is full before the record is.
+/// Maximum number of prefixes recorded for one server, 25 KB. Prompts have one or two shared parts of 140 to
+/// 13,000 tokens each, so the server's cache fills up before this record.
 const MAX_PREFIXES: usize = 512;
-/// Time after which other entries are informed again of a part that is still in use. They take a part as
-/// used when they are informed of it; in this time a busy server reads a tenth of what it keeps.
+/// Time after which a prefix that is still in use is reported to the other entries again. They consider it
+/// used at the time of the report; within this interval a busy server prefills a tenth of its capacity.
 const REPORT_INTERVAL: Duration = Duration::from_secs(4);
-/// Tokens of a prompt's shared parts from which on other entries are informed. A note takes 14 bytes to each of
-/// them: with a hundred entries, two in five in another AvailabilityZone, the users pay for that as much as
-/// for reading 220 tokens again. Seven in ten of their requests to models share less than this, and reported
-/// all of them seeds had no room for the rest (docs/decisions/0013).
+/// Minimum number of shared tokens in a prompt for a report to the other entries. A report takes 14 bytes to
+/// each of them: with a hundred entries, two in five in another AvailabilityZone, this costs the users as much
+/// as prefilling 220 tokens again. Seven in ten of their requests to models share fewer tokens than this;
+/// when they were all reported, seed entries had no capacity for the other reports (docs/decisions/0013).
 const MIN_REPORTED_TOKENS: u64 = 1_000;
 
 /// A prompt up to the end of one of its parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPrefix {
-    /// Hash of the model and of all parts up to this one: a part can be used again only behind the
+    /// Hash of the model and of all parts up to this one: a cached part can be reused only after the
     /// same parts and by the same model.
     pub hash: u32,
-    /// Tokens of this part.
+    /// Tokens of this part; in a report to other entries, of all parts up to this one.
     pub tokens: u64,
 }
 
-/// The marks of a prompt that other requests may share: all parts but the last, which is the
-/// request's own.
+/// The prefixes of a prompt that other requests may share: one for each part but the last, which is
+/// specific to the request.
 pub fn shared_prefixes(model: &str, parts: &[PromptPart]) -> Vec<PromptPrefix> {
     let shared = &parts[..parts.len().saturating_sub(1)];
     let mut hash = xxh3_64_with_seed(model.as_bytes(), 0);
     let to_prefix = |part: &PromptPart| {
         hash = xxh3_64_with_seed(&part.id.to_le_bytes(), hash);
-        // Cut to four bytes for the messages between entries; rarely two prompts share one, and then
-        // a server is believed to keep what it doesn't.
+        // Truncated to four bytes for the messages between entries. In the rare case of a collision a
+        // server is assumed to have cached a part that it has not.
         PromptPrefix { hash: hash as u32, tokens: part.tokens }
     };
     shared.iter().map(to_prefix).collect()
 }
 
+/// A recorded prefix.
 #[derive(Clone, Copy, Debug)]
 struct CachedPrefix {
     tokens: u64,
-    /// Tokens the server had read when the part was last used.
+    /// Number of tokens the server had prefilled when the prefix was last used.
     used_at: u64,
-    /// When other entries were last informed of it by this one.
+    /// When this entry last reported the prefix to the other entries.
     reported_at: Option<Duration>,
 }
 
-/// What one life of a server is believed to keep.
+/// Prompt prefixes that a server is assumed to have cached since it was last started.
 #[derive(Clone, Debug)]
 pub struct CachedPrefixes {
     prefixes: HashMap<u32, CachedPrefix>,
-    /// Tokens the server has read.
+    /// Number of tokens the server has prefilled.
     prefilled_tokens: u64,
-    /// Tokens that it has memory for.
+    /// Cache capacity in tokens.
     capacity: u64,
 }
 
@@ -79,13 +80,13 @@
 }
 
 impl CachedPrefixes {
-    /// How many of a prompt's parts the server keeps. One that is kept stands for all before it: it was
-    /// read behind them, and they were used whenever it was.
+    /// Number of a prompt's prefixes that are cached. A cached prefix implies the shorter ones: they were
+    /// prefilled before it and used whenever it was.
     pub fn cached_prefix_count(&self, prefixes: &[PromptPrefix]) -> usize {
         prefixes.iter().rposition(|prefix| self.is_cached(prefix.hash)).map_or(0, |last| last + 1)
     }
 
-    /// Tokens of a prompt that the server need not read: those of the parts it keeps.
+    /// Tokens of a prompt that need no prefill since they are cached.
     pub fn cached_tokens(&self, prefixes: &[PromptPrefix]) -> u64 {
         prefixes[..self.cached_prefix_count(prefixes)].iter().map(|prefix| prefix.tokens).sum()
     }
@@ -99,12 +100,12 @@
             < self.capacity as f64 * RETENTION_FRACTION
     }
 
-    /// Takes in how many tokens the server has memory for.
+    /// Sets the cache capacity in tokens.
     pub fn set_capacity(&mut self, tokens: u64) {
         self.capacity = tokens;
     }
 
-    /// Notes that a prompt was sent of which the server has to read so many tokens.
+    /// Records a prompt that was sent to the server, of which `uncached_tokens` need prefill.
     pub fn record_sent(&mut self, prefixes: &[PromptPrefix], uncached_tokens: u64) {
         self.prefilled_tokens += uncached_tokens;
         for prefix in prefixes {
@@ -116,8 +117,9 @@
         }
     }
 
-    /// What other entries should be informed of a prompt that was sent: its last shared part, which stands for
-    /// those before it, with the tokens of all; nothing where they were informed lately or it is short.
+    /// Returns what to report to the other entries about a prompt that was sent: its longest shared prefix,
+    /// which implies the shorter ones, with the tokens of all parts. None if the prefix is short or was
+    /// reported recently.
     pub fn take_report(
         &mut self,
         prefixes: &[PromptPrefix],
@@ -133,7 +135,7 @@
         Some(PromptPrefix { hash: last.hash, tokens })
     }
 
-    /// Takes in that another entry sent a part.
+    /// Records a prefix that another entry reports to have sent.
     pub fn record_peer_report(&mut self, hash: u32, tokens: u64) {
         if !self.is_cached(hash) {
             self.prefilled_tokens += tokens;
@@ -149,14 +151,14 @@
         }
     }
 
-    /// Forgets the parts of a prompt that was sent but not read after all.
+    /// Removes the prefixes of a prompt that was sent but not prefilled.
     pub fn forget(&mut self, prefixes: &[PromptPrefix]) {
         for prefix in prefixes {
             self.prefixes.remove(&prefix.hash);
         }
     }
 
-    /// Parts in the record, those included that count as gone.
+    /// Number of recorded prefixes, including expired ones.
     pub fn len(&self) -> usize {
         self.prefixes.len()
     }
@@ -166,7 +168,7 @@
         self.prefixes.is_empty()
     }
 
-    /// Tokens of all parts that count as kept.
+    /// Tokens of all prefixes that count as cached.
     pub fn total_tokens(&self) -> u64 {
         self.prefixes
             .values()
@@ -175,7 +177,7 @@
             .sum()
     }
 
-    /// Drops what counts as gone, and the half used longest ago if that is not enough.
+    /// Drops expired prefixes and, if too many remain, the least recently used half.
     fn evict_oldest(&mut self) {
         let mut prefixes = std::mem::take(&mut self.prefixes);
         prefixes.retain(|_, prefix| self.is_retained(prefix));
