--- a/src/policy/answer_timeout.rs
+++ b/src/policy/answer_timeout.rs
@@ -1,48 +1,49 @@
-//! How long a server's silence is tolerated before another one is tried.
+//! How long an attempt waits for its server before another one is tried.
 //!
-//! A server that still answers others is slow, and leaving it only makes more work; one from
-//! which nothing at all has come is taken as dark, and sooner.
+//! A server that still sends answers to other requests is only slow, and moving on to another server adds
+//! work. A server that is silent on all its connections is presumed unresponsive, after a shorter timeout.
 
 use std::time::Duration;
 
 use crate::routing::RouteKind;
 
-/// Silence of a server on all its connections after which it is taken as dark, where many answers are
-/// awaited there. Reading a long prompt holds the events of a healthy engine back by up to 0.8 s.
+/// Silence of a server on all its connections after which it counts as unresponsive, where many answers are
+/// pending there. The prefill of a long prompt delays the events of a healthy engine by up to 0.8 s.
 const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_100);
-/// What is tolerated beyond that, shared by the answers that are awaited there: the silence of one says
-/// little, as an engine that reads a prompt of 60,000 tokens makes fifteen tokens, an event, in 1.8 s. With
-/// 103 entries before 160 engines an entry awaits one or two at each, and of 46,000 attempts 1,469 were left
-/// at healthy engines, their prompts read anew.
+/// Additional timeout, divided by the number of pending answers. The silence of a single answer says little:
+/// an engine that prefills a prompt of 60,000 tokens takes 1.8 s for fifteen tokens, which make one event.
+/// With 103 entries and 160 engines an entry has one or two answers pending at each engine; without the
+/// additional timeout, 1,469 of 46,000 attempts were abandoned at healthy engines and their prompts
+/// prefilled again.
 const SHARED_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_300);
-/// Wait for a head as a multiple of the mean wait for such heads.
+/// Timeout for a response head, as a multiple of the mean time to such heads.
 const MEAN_HEAD_TIMES: u32 = 4;
-/// Least wait for a head from a server that answers others, as a part of the objective: a
-/// request that hangs may then still be in time elsewhere.
+/// Minimum timeout for a head from a server that answers other requests, as a fraction of the objective: a
+/// request that hangs may then still be answered in time by another server.
 const MIN_OBJECTIVE_FRACTION: f64 = 0.7;
-/// Wait for a stream's next event from a server that answers others, as a multiple of the longest pause
-/// that is on time. The stream is late by then, here or elsewhere, and elsewhere its prompt is read anew; a
-/// caller leaves after eight such pauses.
+/// Timeout for a stream's next event from a server that answers other requests, as a multiple of the longest
+/// gap that is in time. By then the stream is late on any server, and another one would have to prefill its
+/// prompt again; callers disconnect after eight such gaps.
 const GAP_FACTOR: f64 = 3.0;
-/// Pause assumed where the route declares none.
+/// Longest gap between events that is in time, where the route declares none.
 const DEFAULT_EVENT_GAP: Duration = Duration::from_millis(1_200);
 
-/// The two waits.
+/// Timeouts of a pending answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerTimeouts {
-    /// With a server that is silent on all its connections.
+    /// For a server that is silent on all its connections.
     pub silent: Duration,
-    /// With a server that answers others.
+    /// For a server that answers other requests.
     pub slow: Duration,
 }
 
-/// Silence after which a server is dark where so many answers are awaited.
+/// Silence after which a server with this number of pending answers counts as unresponsive.
 fn silence_timeout(pending_answers: u32) -> Duration {
     MIN_SILENCE_TIMEOUT + SHARED_SILENCE_TIMEOUT / pending_answers.max(1)
 }
 
-/// Wait for an answer's head where another server may be tried after; `awaited` counts the answers that
-/// are awaited at the server.
+/// Timeouts for a response head where another server may be tried afterwards. `pending_answers` counts all
+/// answers that this entry expects from the server.
 pub fn head_timeouts(
     kind: RouteKind,
     objective: Duration,
@@ -60,7 +61,7 @@
     AnswerTimeouts { silent: silent + prefill_time, slow: slow.max(silent) }
 }
 
-/// Wait for a stream's next event where the stream may go on at another server.
+/// Timeouts for a stream's next event where another server may continue the stream.
 pub fn event_timeouts(allowed_gap: Option<Duration>, pending_answers: u32) -> AnswerTimeouts {
     let slow = allowed_gap.unwrap_or(DEFAULT_EVENT_GAP).mul_f64(GAP_FACTOR);
     AnswerTimeouts { silent: silence_timeout(pending_answers), slow }
--- a/src/policy/escalation.rs
+++ b/src/policy/escalation.rs
@@ -1,88 +1,89 @@
-//! Whether a cascade's answer is passed on or asked again of a larger model.
+//! Whether a cascade passes an answer on or escalates the request to its largest model.
 //!
-//! The model's own confidence decides. An answer below the threshold goes straight to the largest
-//! model: the middle one costs half as much and is seldom good enough where the smallest was not
-//! (docs/decisions/0008 has the figures). The largest model is also ten times slower, and what it reads
-//! holds up all other answers of its server. So the threshold falls with the wait that is expected
-//! there now, first for what is least urgent (docs/decisions/0012).
+//! The decision rests on the model's own confidence. Below the threshold a request goes straight to the
+//! largest model: the middle one costs half as much and is seldom good enough where the smallest was not
+//! (docs/decisions/0008 has the figures). The largest model is also ten times slower, and its prefills delay
+//! all other answers of its server. The threshold therefore falls with the wait that is currently expected
+//! there, first for the least urgent requests (docs/decisions/0012).
 
 use std::time::Duration;
 
-/// When an answer is good enough; settings under `cascade`.
+/// Thresholds of the escalation; settings under `cascade`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EscalationConfig {
     /// Confidence, 0 to 100, from which an answer is passed on.
     pub confident: f64,
-    /// The same under full pressure.
+    /// The threshold under full pressure.
     pub confident_under_pressure: f64,
-    /// The same where the larger model's answer would be late for its prompt alone.
+    /// The threshold where the largest model's answer would be late because of its own prefill alone.
     pub confident_if_late: f64,
-    /// Expected wait for the largest model, as a part of the objective, at which pressure begins.
+    /// Expected wait for the largest model, as a fraction of the objective, at which pressure begins.
     pub pressure_from: f64,
-    /// Expected wait at which pressure is full.
+    /// Expected wait, as a fraction of the objective, at which pressure is full.
     pub pressure_full: f64,
 }
 
 impl Default for EscalationConfig {
     fn default() -> Self {
         Self {
-            // Of 45, 52, 60 and 75 the best in trials on both first sites (docs/decisions/0008).
+            // The best of 45, 52, 60 and 75 in trials on both first sites (docs/decisions/0008).
             confident: 52.0,
-            // A late answer earns about a third of one in time: an answer that is right one time
-            // in five is worth less, but costs others nothing.
+            // A late answer is worth about a third of one in time. An answer that is right one time
+            // in five is worth less, but does not delay others.
             confident_under_pressure: 20.0,
-            // A late answer earns 0.3 of one in time at both users.
+            // For both users, a late answer is worth 0.3 of one in time.
             confident_if_late: 30.0,
-            // The largest model is asked only as fast as it can begin: in an overload of three times the
-            // load with a third of the servers away, 0.88 of the answers are in time instead of 0.78
-            // without pressure (tests/play/overload.rs). Other ranges: docs/decisions/0012.
+            // Limits escalations to the rate at which the largest model can start them: in an overload of
+            // three times the load with a third of the servers lost, 0.88 of the answers are in time instead
+            // of 0.78 without pressure (tests/play/overload.rs). Other ranges: docs/decisions/0012.
             pressure_from: 0.05,
             pressure_full: 0.25,
         }
     }
 }
 
-/// Wait behind others, as a part of the objective, from which a server counts as busy. With the reading
-/// counted in full everywhere, fewer answers are asked again on quiet days, too (docs/decisions/0012).
+/// Queueing time, as a fraction of the objective, from which a server counts as busy. When the prefill time
+/// counted in full on idle servers, too, fewer answers were escalated even on quiet days
+/// (docs/decisions/0012).
 const BUSY_WAIT_FRACTION: f64 = 0.05;
-/// Ranks over which the fall of the threshold is spread; the most urgent takes the least of it.
+/// Priorities over which the reduction of the threshold is spread; the most urgent has the smallest one.
 const PRIORITY_LEVELS: f64 = 3.0;
-/// Least time that must be left for the largest model; below it any answer beats none.
+/// Minimum time that must be left for the largest model; with less time, any answer is better than none.
 const MIN_TIME_LEFT: Duration = Duration::from_secs(1);
 
-/// Part of the time left in which the larger model has to begin; the rest is for its events, which take
-/// it about as long as reading the prompt.
+/// Fraction of the time left within which the largest model has to begin its answer; the rest is for its
+/// events, which take about as long as the prefill.
 const MAX_START_TIME_FRACTION: f64 = 0.5;
-/// Objectives after a request's arrival by which the larger model has to begin: up to there a better
-/// answer is worth the wait, and readers of a stream leave after about four.
+/// Number of objectives after a request's arrival within which the largest model has to begin its answer.
+/// Until then a better answer is worth the wait; readers of a stream leave after about four objectives.
 const MAX_START_OBJECTIVES: f64 = 2.0;
 
-/// What is known when an answer's head is here.
+/// What is known about a request when the response head of a stage has arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StageAnswer {
     /// Stage that answered, from 0.
     pub stage: usize,
-    /// Stages of the cascade.
+    /// Number of stages of the cascade.
     pub stages: usize,
-    /// The model's opinion of its answer; none if it gave none.
+    /// Confidence of the model in its answer; none if it reported none.
     pub confidence: Option<u8>,
-    /// Runs that the request may still cause.
+    /// Number of attempts that the request may still make.
     pub attempts_left: u32,
     /// Time until the caller's deadline.
     pub time_left: Duration,
-    /// Time to the first event that the operator aims at.
+    /// The operator's objective for the time to the first event.
     pub objective: Duration,
-    /// Time until the largest model's first event, if it is asked now at the best server.
+    /// Expected time until the largest model's first event, if the best server is asked now.
     pub expected_first_event: Duration,
-    /// The same if nothing else were to be read there before.
+    /// The same if that server had no other prompts to prefill before.
     pub expected_idle_first_event: Duration,
     /// Time since the request arrived.
     pub elapsed: Duration,
-    /// Rank of the request, 0 the most urgent.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: u8,
 }
 
-/// The stage to ask instead, or none to pass the answer on.
+/// The stage to escalate to, or none to pass the answer on.
 pub fn escalate(answer: &StageAnswer, config: &EscalationConfig) -> Option<usize> {
     let largest = answer.stages.checked_sub(1)?;
     let confidence = f64::from(answer.confidence?);
@@ -91,8 +92,8 @@
         .then_some(largest)
 }
 
-/// How long the larger model may take to begin while this answer is kept in hand. Without an end to
-/// that wait, a caller whose deadline passes meanwhile gets nothing though an answer was there.
+/// How long the largest model may take to begin while this answer is held back. Without a limit, a caller
+/// whose deadline passes meanwhile would get nothing although an answer was available.
 pub fn escalation_timeout(answer: &StageAnswer) -> Duration {
     let by_objective =
         answer.objective.mul_f64(MAX_START_OBJECTIVES).saturating_sub(answer.elapsed);
@@ -106,9 +107,9 @@
         answer.expected_first_event.saturating_sub(answer.expected_idle_first_event).as_secs_f64()
             / objective;
     if answer.elapsed + answer.expected_first_event > answer.objective {
-        // Where others wait, an answer that comes late takes from them what they could have in time. On
-        // two days of three times the load for 12 s, with a third of the servers away, 0.60 and 0.62 of
-        // the worth was earned instead of 0.35 and 0.40 (docs/decisions/0012).
+        // On a busy server a late answer takes capacity from those that could still be in time. On two days
+        // with three times the load for 12 s and a third of the servers lost, 0.60 and 0.62 of the possible
+        // score was reached instead of 0.35 and 0.40 (docs/decisions/0012).
         return if queueing < BUSY_WAIT_FRACTION {
             config.confident_if_late.min(config.confident)
         } else {
@@ -116,7 +117,7 @@
         };
     }
     let prefill = answer.expected_idle_first_event.as_secs_f64() / objective;
-    // Reading takes from others only where others wait.
+    // Prefill delays others only where others wait.
     let wait = queueing + prefill * (queueing / BUSY_WAIT_FRACTION).min(1.0);
     let pressure = ((wait - config.pressure_from)
         / (config.pressure_full - config.pressure_from).max(1e-3))
--- a/src/policy/exposure.rs
+++ b/src/policy/exposure.rs
@@ -1,53 +1,53 @@
-//! How much of a service's traffic a version under roll-out gets, by time alone.
+//! Share of a service's traffic that a roll-out sends to the new version, as a function of time alone.
 //!
-//! The share of a session follows from a hash of its key, so all entries agree without talking,
-//! and the share only grows, so no session moves back. In the first half, in which its operator
-//! forbids to move a running session, no session is on trial, only requests without one: an entry
-//! can't distinguish a session that has just begun from one that others have served. It stays small until
-//! shortly before the end, so that a bad version is found on few requests. docs/decisions/0008.
+//! A hash of its key decides whether a session is in the share, so that all entries agree without
+//! communication, and the share only grows, so that no session moves back. In the first half, when the
+//! operator does not allow running sessions to move, only requests without a session take part in the trial:
+//! an entry can't distinguish a new session from one that other entries have served. The share stays small
+//! until shortly before the end, so that a bad version is found with few requests (docs/decisions/0008).
 
 use std::time::Duration;
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How a roll-out's share grows; settings under `roll_out`.
+/// How the share of the new version grows over a roll-out; settings under `roll_out`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExposureConfig {
-    /// Share of the requests without a session until it begins to grow.
+    /// Share of the requests without a session during the trial.
     pub trial_share: f64,
-    /// Part of the time from which sessions are on trial.
+    /// Fraction of the duration from which sessions take part in the trial.
     pub sessions_from: f64,
-    /// Part of the time at which the share begins to grow.
+    /// Fraction of the duration at which the trial ends and the share begins to grow.
     pub grows_from: f64,
-    /// Part of the time at which all traffic is on the new version.
+    /// Fraction of the duration from which all traffic runs on the new version.
     pub all_from: f64,
-    /// Part of the time from which the roll-out may be called completed.
+    /// Fraction of the duration from which the roll-out may be completed.
     pub complete_from: f64,
 }
 
 impl Default for ExposureConfig {
     fn default() -> Self {
         Self {
-            // A version may be bad without showing it on a trial, so the trial and the end together
-            // stay below the least exposure that any deployment allows, 0.15 of the requests in
-            // the whole time: 0.06 of 0.92 and all of 0.08 make 0.135.
+            // A version may be bad without showing it in the trial, so the trial and the end together
+            // stay below the smallest exposure limit of any deployment, 0.15 of the requests of the
+            // whole roll-out: 0.06 of 0.92 and all of 0.08 make 0.135.
             trial_share: 0.06,
-            // The first half and a little more: entries agree on a roll-out's age to 5 ms on a quiet
-            // day, and to the 250 ms between two reads of the orders otherwise.
+            // The first half and a little more: entries agree on a roll-out's age to within 5 ms on a
+            // quiet day, and to within the 250 ms between two reads of the orders otherwise.
             sessions_from: 0.52,
             grows_from: 0.92,
             all_from: 0.93,
-            // All requests on the new version for a second show what the trial did not.
+            // A second with all requests on the new version shows what the trial did not.
             complete_from: 0.96,
         }
     }
 }
 
 impl ExposureConfig {
-    /// Share of the sessions that are on trial at a part of the time. In its shorter time the trial
-    /// gets as many requests as with [`Self::trial_share`] from the begin on, so that it shows as
-    /// much and exposes no more; it begins with few, for what a large fleet sends to a bad version
-    /// until its entries know: on 32 days with a bad version 449 requests, 609 with the mean at once.
+    /// Share of the sessions during the trial. The trial of sessions is shorter, but gets as many requests as
+    /// with [`Self::trial_share`] from the start, so that it shows as much and exposes no more. Its share
+    /// grows from zero, to limit what a large fleet sends to a bad version before its entries detect it: 449
+    /// requests on 32 days with a bad version, instead of 609 with the mean share from the beginning.
     fn session_trial_share(&self, progress: f64) -> f64 {
         let trial_length = (self.grows_from - self.sessions_from).max(1e-3);
         let mean = self.trial_share * self.grows_from / trial_length;
@@ -55,6 +55,7 @@
         (2.0 * mean * trial_progress).min(1.0)
     }
 
+    /// Share of the traffic on the new version: `trial_share` during the trial, then growing to 1.
     fn share_at(&self, progress: f64, trial_share: f64) -> f64 {
         if progress < self.grows_from {
             return trial_share;
@@ -72,11 +73,11 @@
 
 /// Share of the sessions that run on the new version.
 ///
-/// It needs no memory of sessions: their requests come through any entry, and what one entry
-/// remembers is not known where the next request arrives. With notes at the entries and a trial from
-/// the begin on, three to four running sessions were moved in the first half of a good roll-out (32
-/// entries, 300 requests of sessions a second); 217 of 218 requests that went to the new version met
-/// an entry without a note of their session.
+/// It uses no record of sessions: their requests arrive at any entry, and what one entry records is not
+/// known to the entry that receives the next request. With such records and a trial from the start, three to
+/// four running sessions were moved in the first half of a good roll-out (32 entries, 300 session requests
+/// per second); 217 of 218 requests that went to the new version arrived at an entry without a record of
+/// their session.
 pub fn session_share(elapsed: Duration, duration: Duration, config: &ExposureConfig) -> f64 {
     let progress = progress_at(elapsed, duration);
     config.share_at(progress, config.session_trial_share(progress))
@@ -87,23 +88,24 @@
     progress_at(elapsed, duration) >= config.complete_from
 }
 
-/// Whether all requests may run on the new version by now.
+/// Whether the trial is over, so that the share grows towards all requests.
 pub fn is_past_trial(elapsed: Duration, duration: Duration, config: &ExposureConfig) -> bool {
     progress_at(elapsed, duration) >= config.grows_from
 }
 
-/// Whether a session runs on the new version at this share.
+/// Whether a session is in the share that runs on the new version.
 pub fn is_in_share(session: &str, version: &str, share: f64) -> bool {
     hash_fraction(session, version) < share
 }
 
-/// A number from 0 up to 1 that is always the same for a session and a purpose.
+/// Hash of a session and a purpose, as a number from 0 up to but not including 1.
 pub fn hash_fraction(session: &str, purpose: &str) -> f64 {
     let salt = xxh3_64_with_seed(purpose.as_bytes(), 0);
     let hash = xxh3_64_with_seed(session.as_bytes(), salt);
     (hash >> 11) as f64 / (1u64 << 53) as f64
 }
 
+/// Elapsed fraction of a roll-out's duration.
 fn progress_at(elapsed: Duration, duration: Duration) -> f64 {
     elapsed.as_secs_f64() / duration.as_secs_f64().max(1e-3)
 }
--- a/src/policy/timing.rs
+++ b/src/policy/timing.rs
@@ -1,45 +1,47 @@
-//! How long a model takes to read prompt tokens and to begin its answer, learned from answers.
+//! Estimate of a model's prefill time and of the time until its answers begin, learned from answers.
 
 use std::time::Duration;
 
-/// Time a token takes until answers have shown it: the largest model on the first engines.
+/// Initial prefill time per token, in seconds: that of the largest model on the first engines.
 const INITIAL_PREFILL_TOKEN_TIME: f64 = 27e-6;
-/// Prompts shorter than this say more about the rest of the way than about reading.
+/// Minimum number of prompt tokens for an update of the prefill time; for shorter prompts, other delays
+/// dominate.
 const MIN_PROMPT_TOKENS: u64 = 1_000;
-/// Part of the time to the first event that does not depend on the prompt, seconds.
+/// Part of the time to the first event that does not depend on the prompt, in seconds.
 const FIXED_HEAD_TIME: f64 = 0.050;
-/// Step towards a faster reading: waiting only makes readings slower, so fast ones are truer.
+/// Smoothing factor towards a shorter prefill time. Queueing can only lengthen a measurement, so short ones
+/// are more accurate.
 const DECREASE_STEP: f64 = 0.2;
-/// Step towards a slower reading.
+/// Smoothing factor towards a longer prefill time.
 const INCREASE_STEP: f64 = 0.005;
-/// Stretch until answers have shown it.
+/// Initial load factor.
 const INITIAL_LOAD_FACTOR: f64 = 1.2;
-/// Stretches are taken from this range: a lost server or a part that was kept after all shows nothing
-/// about how busy servers are.
+/// Measured load factors are clamped to this range: a lost server, or a part that was cached contrary to the
+/// estimate, shows nothing about the servers' load.
 const LOAD_FACTOR_RANGE: (f64, f64) = (0.3, 5.0);
-/// Step of the mean time to an answer's head.
+/// Smoothing factor of the load factor and of the means.
 const MEAN_STEP: f64 = 0.05;
 
-/// An answer that takes so many times longer than expected counts against its version; bad ones
-/// take several times as long, and waits behind others seldom double the time.
+/// An answer whose head takes this many times longer than expected counts against its version. Bad versions
+/// take several times as long, while queueing seldom doubles the time.
 const SLOW_HEAD_FACTOR: f64 = 4.0;
-/// A stream whose events take so many times longer than the mean counts against its version. Sound
-/// ones do so, too, beside long prompts; the old version's rate of them is what is compared with.
+/// A stream whose events take this many times longer than the mean counts against its version. Streams of a
+/// good version do so, too, beside long prompts; the rate is therefore compared with that of the old version.
 const SLOW_STREAM_FACTOR: f64 = 2.0;
-/// No stream is judged before this, seconds.
+/// Time before which no stream counts as slow, in seconds.
 const MIN_SLOW_STREAM_TIME: f64 = 0.3;
-/// No answer sooner than this is slow, whatever was expected, seconds.
+/// Time before which no head counts as slow, whatever was expected, in seconds.
 const MIN_SLOW_HEAD_TIME: f64 = 0.1;
 
-/// What was learned about one model, or about a service without models.
+/// Timing of one model, or of a service without models; all times are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TimingEstimate {
     prefill_token_time: f64,
-    /// How many times longer heads take than the prompts before them and their own need for
-    /// reading: running streams take their part of each step.
+    /// Ratio of the time to a head to the prefill time of its prompt and of those before it. Running streams
+    /// raise it, since they take up part of each engine step.
     load_factor: f64,
     mean_head_time: Option<f64>,
-    /// Mean time between two events of a stream.
+    /// Mean time between two events of a stream; none before the first stream.
     mean_event_interval: Option<f64>,
 }
 
@@ -55,8 +57,8 @@
 }
 
 impl TimingEstimate {
-    /// Notes the time from a request to its answer's head. The server had to read so many tokens of
-    /// its prompt, after other prompts that took so long.
+    /// Records the time from a request to its response head. The server had to prefill `prompt_tokens` of its
+    /// prompt, after other prompts that took `ahead`.
     pub fn record_head(&mut self, prompt_tokens: u64, ahead: Duration, took: Duration) {
         let needed = ahead.as_secs_f64() + self.prefill_token_time * prompt_tokens as f64;
         if needed > FIXED_HEAD_TIME {
@@ -75,7 +77,7 @@
         self.prefill_token_time += (token_time - self.prefill_token_time) * step;
     }
 
-    /// Whether an answer's head took several times longer than such heads do.
+    /// Whether a response head took several times longer than expected.
     pub fn is_slow_head(&self, prompt_tokens: u64, took: Duration) -> bool {
         let Some(mean) = self.mean_head_time else {
             return false;
@@ -86,14 +88,14 @@
         took.as_secs_f64() > (mean.max(prefill_time) * SLOW_HEAD_FACTOR).max(MIN_SLOW_HEAD_TIME)
     }
 
-    /// Notes a stream's mean time between two events.
+    /// Records a stream's mean time between two events.
     pub fn record_event_interval(&mut self, event_interval: Duration) {
         let event_interval = event_interval.as_secs_f64();
         let mean = self.mean_event_interval.get_or_insert(event_interval);
         *mean += (event_interval - *mean) * MEAN_STEP;
     }
 
-    /// Whether so many pauses between events took several times longer than they do.
+    /// Whether this number of intervals between events took several times longer than usual.
     pub fn is_slow_stream(&self, intervals: u32, took: Duration) -> bool {
         let Some(mean) = self.mean_event_interval else {
             return false;
@@ -102,23 +104,23 @@
         took.as_secs_f64() > expected.max(MIN_SLOW_STREAM_TIME)
     }
 
-    /// Time for one prompt token on an engine with nothing else to read.
+    /// Prefill time of one token on an engine with no other prompts.
     pub fn prefill_token_time(&self) -> Duration {
         Duration::from_secs_f64(self.prefill_token_time)
     }
 
-    /// Time to read a prompt on an engine with nothing else to read.
+    /// Prefill time of a prompt on an engine with no other prompts.
     pub fn prefill_time(&self, prompt_tokens: u64) -> Duration {
         Duration::from_secs_f64(self.prefill_token_time * prompt_tokens as f64)
     }
 
-    /// Time until the head of an answer that is asked for now, after prompts that take so long.
+    /// Expected time to the response head of a request sent now, after prompts that take `ahead`.
     pub fn expected_head_time(&self, prompt_tokens: u64, ahead: Duration) -> Duration {
         let needed = ahead.as_secs_f64() + self.prefill_token_time * prompt_tokens as f64;
         Duration::from_secs_f64(FIXED_HEAD_TIME + needed * self.load_factor)
     }
 
-    /// Mean time to an answer's head; none before the first answer.
+    /// Mean time to a response head; none before the first answer.
     pub fn mean_head_time(&self) -> Option<Duration> {
         self.mean_head_time.map(Duration::from_secs_f64)
     }
