--- a/src/policy/charge.rs
+++ b/src/policy/charge.rs
@@ -1,4 +1,4 @@
-//! Charge records and how copies of them are merged, so that each request is billed once.
+//! Charge records, and how their copies are merged so that each request is billed once.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,10 +6,10 @@
 
 use crate::ids::{MicroCost, OrganisationId, RequestId, ServerId, VersionId};
 
-/// Length of a settlement window: requests that arrived in the same window settle together.
+/// Length of a settlement window: requests that arrived in the same window are settled together.
 pub const WINDOW_MS: u128 = 10_000;
 
-/// How much of its answer the caller got.
+/// How much of the answer was delivered to the caller.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -18,16 +18,16 @@
     /// The whole answer.
     #[default]
     Whole,
-    /// A part: the caller hung up or the answer was cut; what was delivered is charged.
+    /// A part, since the caller disconnected or the answer was cut off; the delivered part is charged.
     Part,
-    /// The agent's copy; the entry went away before it confirmed its own record.
+    /// Not known: this is the agent's copy, and the entry was lost before it confirmed its own record.
     Presumed,
 }
 
-/// One attempt as charged.
+/// One charged attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ChargedAttempt {
-    /// Version that ran.
+    /// Version that ran the attempt.
     pub version: VersionId,
     /// BackendServer it ran on.
     pub server: ServerId,
@@ -35,51 +35,51 @@
     pub tokens_in: u64,
     /// Generated tokens.
     pub tokens_out: u64,
-    /// Cost.
+    /// Cost of the attempt.
     pub cost: MicroCost,
 }
 
-/// The one charge of one request.
+/// The charge of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ChargeRecord {
     /// The request.
     pub request: RequestId,
-    /// Who is charged.
+    /// Organisation that is charged.
     pub organisation: OrganisationId,
-    /// Attempts whose work the caller's answer needed, in order.
+    /// Attempts that the caller's answer required, in order.
     pub attempts: Vec<ChargedAttempt>,
-    /// How much was delivered.
+    /// How much of the answer was delivered.
     pub delivery: Delivery,
 }
 
 impl ChargeRecord {
-    /// Sum over the attempts.
+    /// Total cost of the attempts.
     pub fn cost(&self) -> MicroCost {
         self.attempts.iter().map(|attempt| attempt.cost).sum()
     }
 }
 
-/// Settlement window a request falls into, from the arrival time in its id.
+/// Number of the settlement window of a request, from the arrival time in its id.
 pub fn settlement_window(request: RequestId) -> u64 {
     let ms = crate::ids::request_arrival_time(request).as_millis();
     u64::try_from(ms / WINDOW_MS).unwrap_or(u64::MAX)
 }
 
-/// What an organisation owes.
+/// Sums of an organisation's charges.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Totals {
-    /// Requests charged.
+    /// Number of charged requests.
     pub requests: u64,
     /// Prompt tokens.
     pub tokens_in: u64,
     /// Generated tokens.
     pub tokens_out: u64,
-    /// Cost.
+    /// Cost of all requests.
     pub cost: MicroCost,
 }
 
 impl Totals {
-    /// Adds one record.
+    /// Adds a record.
     pub fn add(&mut self, record: &ChargeRecord) {
         self.requests += 1;
         self.tokens_in += record.attempts.iter().map(|a| a.tokens_in).sum::<u64>();
@@ -88,7 +88,7 @@
     }
 }
 
-/// Merges copies of records by request; the entry's own record goes before an agent's copy.
+/// Merges copies of records by request; the entry's own record takes precedence over an agent's copy.
 pub fn merge(records: impl IntoIterator<Item = ChargeRecord>) -> BTreeMap<RequestId, ChargeRecord> {
     let mut merged: BTreeMap<RequestId, ChargeRecord> = BTreeMap::new();
     for record in records {
@@ -101,12 +101,13 @@
     merged
 }
 
+/// Whether `new` replaces `held`: first by the order of [`Delivery`], then by the larger number of attempts.
 fn takes_precedence(new: &ChargeRecord, held: &ChargeRecord) -> bool {
     (new.delivery, usize::MAX - new.attempts.len())
         < (held.delivery, usize::MAX - held.attempts.len())
 }
 
-/// Totals to add for the records that have not been settled before, and their ids.
+/// Computes the totals of the records that are not settled yet, and returns the ids of these records.
 pub fn settle(
     merged: &BTreeMap<RequestId, ChargeRecord>,
     settled: &BTreeSet<RequestId>,
--- a/src/policy/fair_queue.rs
+++ b/src/policy/fair_queue.rs
@@ -1,35 +1,36 @@
 //! Weighted fair queue of attempts, by organisation and priority.
 //!
-//! Start-time fair queueing: each organisation's next attempt has a virtual start that moves on
-//! by cost over weight; the smallest goes first. A full queue drops from the longest line, so
-//! one large organisation can't push the small ones out.
+//! Start-time fair queueing: each organisation's next attempt has a virtual start time, which advances by
+//! cost over weight; the earliest is served first. A full queue drops attempts of the organisation with the
+//! most waiting attempts relative to its weight, so that a large organisation can't crowd out small ones.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::ids::OrganisationId;
 
-/// One waiting attempt.
+/// An attempt in the queue.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueuedAttempt<T> {
-    /// Whom it counts against.
+    /// Organisation that the attempt belongs to.
     pub organisation: OrganisationId,
-    /// Higher goes first within an organisation.
+    /// Priority; higher ones are served first within an organisation.
     pub priority: i32,
     /// Expected work, in any unit that is the same for all.
     pub cost: f64,
-    /// Share of the organisation.
+    /// Weight of the organisation.
     pub weight: f64,
     /// The attempt.
     pub item: T,
 }
 
+/// Waiting attempts of one organisation, and the virtual start time of the next one.
 #[derive(Clone, Debug)]
 struct OrganisationQueue<T> {
     next_start: f64,
     attempts: VecDeque<QueuedAttempt<T>>,
 }
 
-/// The queue.
+/// Bounded fair queue.
 #[derive(Clone, Debug)]
 pub struct FairQueue<T> {
     queues: BTreeMap<OrganisationId, OrganisationQueue<T>>,
@@ -39,22 +40,22 @@
 }
 
 impl<T> FairQueue<T> {
-    /// An empty queue for `capacity` attempts.
+    /// Creates an empty queue for `capacity` attempts.
     pub fn new(capacity: usize) -> Self {
         Self { queues: BTreeMap::new(), virtual_time: 0.0, len: 0, capacity }
     }
 
-    /// Attempts waiting.
+    /// Number of waiting attempts.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether nothing waits.
+    /// Whether no attempt is waiting.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Adds an attempt; when full, returns the one that has to go instead.
+    /// Adds an attempt; if the queue is full, returns the attempt that is dropped.
     pub fn push(&mut self, attempt: QueuedAttempt<T>) -> Option<T> {
         let queue = self
             .queues
@@ -70,7 +71,7 @@
         if self.len <= self.capacity { None } else { self.drop_from_longest() }
     }
 
-    /// Takes the attempt whose organisation is furthest behind its share.
+    /// Takes the next attempt of the organisation with the earliest virtual start time.
     pub fn pop(&mut self) -> Option<T> {
         let (_, queue) = self
             .queues
@@ -86,7 +87,7 @@
         Some(attempt.item)
     }
 
-    /// Takes out everything that `leaves` picks.
+    /// Removes and returns the attempts that `is_removed` selects.
     pub fn remove_if(&mut self, mut is_removed: impl FnMut(&T) -> bool) -> Vec<T> {
         let mut removed = Vec::new();
         for queue in self.queues.values_mut() {
@@ -99,6 +100,7 @@
         removed
     }
 
+    /// Drops the last attempt of the organisation with the most waiting attempts relative to its weight.
     fn drop_from_longest(&mut self) -> Option<T> {
         let weight_of = |queue: &OrganisationQueue<T>| {
             queue.attempts.front().map_or(1.0, |attempt| attempt.weight)
--- a/src/policy/gate.rs
+++ b/src/policy/gate.rs
@@ -1,4 +1,4 @@
-//! The agent's gate: the last check before an attempt starts, and the memory of what it refused.
+//! Admission gate of an agent: the last check before an attempt starts, and the record of refused attempts.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -9,14 +9,14 @@
 
 use crate::{ids::Revision, policy::attempt::AttemptKey};
 
-/// Attempts remembered after they ended or were refused.
+/// Maximum number of ended or refused attempts that are remembered.
 const MAX_REMEMBERED: usize = 65_536;
 
 /// Why an attempt was not started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefuseReason {
-    /// The version takes no new requests.
+    /// The version accepts no new requests.
     Withdrawn,
     /// The organisation may not use the version or the server.
     NotAllowed,
@@ -28,20 +28,20 @@
     Cancelled,
     /// Its deadline passed in the queue.
     DeadlinePassed,
-    /// The version is not loaded here.
+    /// The version is not loaded on this server.
     NotLoaded,
-    /// The agent is behind the revision the attempt was decided on and can't catch up.
+    /// The agent's configuration is older than the revision the attempt was decided on and can't be updated.
     Behind,
-    /// The BackendServer could not be reached at all.
+    /// The BackendServer could not be reached.
     Unreachable,
 }
 
-/// Where an attempt stands at the agent.
+/// State of an attempt at the agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum GateState {
-    /// Waits until the agent has the revision it was decided on.
+    /// Waits until the agent has the configuration revision that the attempt was decided on.
     Behind,
-    /// Waits for a place.
+    /// Waits for a free slot.
     Queued,
     /// Handed to the BackendServer.
     Started,
@@ -51,14 +51,14 @@
     Ended,
 }
 
-/// What the agent's configuration says about an attempt now.
+/// What the agent's current configuration says about an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct GateView {
     /// Revision in force at the agent.
     pub revision: Revision,
-    /// Whether that revision lets the organisation use version and server.
+    /// Whether that revision allows the organisation to use the version and the server.
     pub allowed: bool,
-    /// Whether that revision has the version available.
+    /// Whether the version is available in that revision.
     pub available: bool,
     /// Whether the server is leaving.
     pub leaving: bool,
@@ -67,19 +67,19 @@
 /// What to do with an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum GateDecision {
-    /// Put it into the queue.
+    /// Add it to the queue.
     Queue,
     /// Start it now.
     Start,
-    /// Ask for the missing changes, then offer it again.
+    /// Request the missing configuration changes, then offer it again.
     Pull,
     /// Tell the entry that it has not run.
     Refuse(RefuseReason),
-    /// A copy of something already here; do nothing.
+    /// Do nothing: it is a copy of a known attempt, or in a state that does not allow the operation.
     Ignore,
 }
 
-/// All attempts an agent remembers.
+/// States of the attempts that an agent remembers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Gate {
     attempts: BTreeMap<AttemptKey, GateState>,
@@ -87,22 +87,22 @@
 }
 
 impl Gate {
-    /// Where an attempt stands, if it is remembered.
+    /// State of an attempt, if it is remembered.
     pub fn state(&self, key: AttemptKey) -> Option<GateState> {
         self.attempts.get(&key).copied()
     }
 
-    /// Attempts remembered.
+    /// Number of remembered attempts.
     pub fn len(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no attempt is remembered.
     pub fn is_empty(&self) -> bool {
         self.attempts.is_empty()
     }
 
-    /// Offers an attempt that was decided on at `decided`.
+    /// Offers an attempt that the entry decided on at revision `decided`.
     pub fn offer(&mut self, key: AttemptKey, decided: Revision, view: GateView) -> GateDecision {
         match self.attempts.get(&key) {
             Some(GateState::Refused(reason)) => return GateDecision::Refuse(*reason),
@@ -123,7 +123,7 @@
         GateDecision::Queue
     }
 
-    /// Takes an attempt from the queue; the configuration is checked again.
+    /// Takes an attempt from the queue to start it; the configuration is checked again.
     pub fn take(&mut self, key: AttemptKey, view: GateView) -> GateDecision {
         match self.attempts.get(&key) {
             Some(GateState::Queued) => {}
@@ -139,7 +139,7 @@
 
     /// Refuses an attempt unless it has started, and remembers the refusal.
     ///
-    /// An attempt never seen is refused too, so that a late copy of it can not start.
+    /// An unknown attempt is refused, too, so that a late copy of it can't start.
     pub fn refuse(&mut self, key: AttemptKey, reason: RefuseReason) -> GateDecision {
         match self.attempts.get(&key) {
             Some(GateState::Started | GateState::Ended) => return GateDecision::Ignore,
@@ -151,7 +151,7 @@
         GateDecision::Refuse(reason)
     }
 
-    /// Notes that a started attempt has ended.
+    /// Records that a started attempt has ended.
     pub fn end(&mut self, key: AttemptKey) {
         if self.attempts.get(&key) == Some(&GateState::Started) {
             self.attempts.insert(key, GateState::Ended);
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Takes a start back: the BackendServer was not reached, so nothing ran.
+    /// Reverts a start: the BackendServer was not reached, so nothing ran.
     pub fn revert_start(&mut self, key: AttemptKey) -> GateDecision {
         if self.attempts.get(&key) != Some(&GateState::Started) {
             return GateDecision::Ignore;
@@ -169,13 +169,14 @@
         GateDecision::Refuse(RefuseReason::Unreachable)
     }
 
-    /// Attempts that wait for a revision or a place.
+    /// Attempts that wait for a revision or a free slot.
     pub fn waiting(&self) -> Vec<AttemptKey> {
         let waits = |state: &GateState| matches!(state, GateState::Behind | GateState::Queued);
         self.attempts.iter().filter(|(_, state)| waits(state)).map(|(key, _)| *key).collect()
     }
 
-    /// Forgets the oldest settled attempts; links deliver in order, so copies come soon or never.
+    /// Adds a finished attempt to those remembered and forgets the oldest ones. Links deliver in order, so
+    /// copies arrive soon or never.
     fn remember_finished(&mut self, key: AttemptKey) {
         self.finished.push_back(key);
         while self.finished.len() > MAX_REMEMBERED {
@@ -187,6 +188,7 @@
     }
 }
 
+/// Reason to refuse an attempt, if there is one.
 fn refusal_reason(view: GateView) -> Option<RefuseReason> {
     if view.leaving {
         return Some(RefuseReason::Leaving);
@@ -197,7 +199,7 @@
     (!view.allowed).then_some(RefuseReason::NotAllowed)
 }
 
-/// Whether an attempt that has waited this long can still answer in time.
+/// Whether an attempt that has waited this long can still be answered in time.
 pub fn is_before_deadline(waited: Duration, deadline: Duration) -> bool {
     waited < deadline
 }
--- a/src/policy/lease.rs
+++ b/src/policy/lease.rs
@@ -1,30 +1,30 @@
-//! Leases in the table service, with fencing numbers.
+//! Leases in the table service, with fencing tokens.
 //!
-//! No clocks are compared across processes. A holder counts its validity from before it sent
-//! the renewal, less a margin; others take over only after they have seen the same row for the
-//! whole lease time on their own clock.
+//! Clocks are not compared across processes. A holder counts the validity of its lease from before it sent
+//! the renewal, less a margin; others take over only after they have seen an unchanged row for the
+//! whole lease duration on their own clock.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// The row of a lease.
+/// Row of a lease in the table.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRow {
     /// Incarnation of the holder, in hex.
     pub holder: Box<str>,
-    /// Grows by one with each new holder; every write under the lease is conditional on it.
+    /// Fencing token: grows by one with each new holder; every write under the lease is conditional on it.
     pub fencing: u64,
-    /// Grows with each renewal, so that watchers see that the holder lives.
+    /// Grows with each renewal, so that other processes see that the holder is alive.
     pub renewals: u64,
 }
 
-/// Time of a lease and what the holder leaves unused of it.
+/// Duration of a lease and its safety margin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTiming {
-    /// Time a watcher waits before it takes over.
+    /// Time for which another process has to see an unchanged row before it takes over.
     pub duration: Duration,
-    /// Part of it the holder does not use.
+    /// Last part of the duration, in which the holder no longer relies on the lease.
     pub margin: Duration,
 }
 
@@ -34,13 +34,14 @@
     }
 }
 
-/// What a process knows about one lease; times are on its own monotonic clock.
+/// What a process knows about a lease; times are on its own monotonic clock.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LeaseView {
     observed: Option<ObservedRow>,
     held: Option<HeldLease>,
 }
 
+/// The row as last read or written, and when this version was first seen.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ObservedRow {
     row: LeaseRow,
@@ -48,28 +49,29 @@
     since: Duration,
 }
 
+/// Fencing token of the lease that this process holds, and until when it may rely on it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct HeldLease {
     fencing: u64,
     until: Duration,
 }
 
-/// What to do about a lease.
+/// Next action on a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum LeaseAction {
-    /// Write this row if the row still has this version, or is absent.
+    /// Write a row if the stored one still has the expected version.
     Write {
         /// Row to write.
         row: LeaseRow,
-        /// Version the row must have; none means absent.
+        /// Version that the stored row must have; none if it must be absent.
         expected: Option<u64>,
     },
-    /// Someone else holds it; look again later.
+    /// Another process holds the lease; check again later.
     Wait,
 }
 
 impl LeaseView {
-    /// Notes the row as read at `now`.
+    /// Records the row as read at `now`.
     pub fn observe(&mut self, row: Option<(LeaseRow, u64)>, now: Duration) {
         let Some((row, version)) = row else {
             self.observed = None;
@@ -101,7 +103,7 @@
         LeaseAction::Write { row, expected }
     }
 
-    /// Notes that our write committed; `sent` is the time just before it was sent.
+    /// Records that a write of this process was committed; `sent` is the time just before it was sent.
     pub fn record_commit(
         &mut self,
         row: LeaseRow,
@@ -114,12 +116,12 @@
         self.observed = Some(ObservedRow { row, version, since: sent });
     }
 
-    /// Notes that our write failed its condition: what we thought we held is gone.
+    /// Records that a write of this process failed its condition, so it no longer holds the lease.
     pub fn record_conflict(&mut self) {
         self.held = None;
     }
 
-    /// Fencing number under which this process may act now.
+    /// Fencing token under which this process may act now; none if it does not hold the lease.
     pub fn fencing_token(&self, now: Duration) -> Option<u64> {
         self.held.as_ref().filter(|held| now < held.until).map(|held| held.fencing)
     }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,11 +1,11 @@
-//! Retry budgets: retries are a bounded share of first tries, so failures can't multiply load.
+//! Retry budgets: retries are a bounded fraction of first attempts, so that failures can't multiply the load.
 
-/// Retries that one first try pays for.
+/// Number of retries that each first attempt allows.
 const RETRY_RATIO: f64 = 0.1;
-/// Retries that can be saved up.
+/// Maximum number of retries that can be accumulated.
 const MAX_TOKENS: f64 = 20.0;
 
-/// Budget of one entry for one organisation.
+/// Retry budget of one organisation at one entry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
     tokens: f64,
@@ -18,12 +18,12 @@
 }
 
 impl RetryBudget {
-    /// Notes a first try.
+    /// Records a first attempt.
     pub fn deposit(&mut self) {
         self.tokens = (self.tokens + RETRY_RATIO).min(MAX_TOKENS);
     }
 
-    /// Takes one retry from the budget; false when it is used up.
+    /// Takes one retry from the budget; false if the budget is exhausted.
     pub fn try_withdraw(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
--- a/src/policy/roll_out.rs
+++ b/src/policy/roll_out.rs
@@ -1,4 +1,4 @@
-//! Roll-outs: which version a new session gets, and when a version is held or moved on.
+//! Roll-outs of model versions: which version a new session gets, and when the guard holds or advances one.
 
 use crate::{
     policy::exposure::is_in_share,
@@ -6,10 +6,10 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Outcomes of one version, as sums that only grow within one agent's life.
+/// Outcome counts of one version; they only grow until the agent restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Evidence {
-    /// Answers, whole or failed.
+    /// Answers, complete or failed.
     pub answers: u64,
     /// Answers that failed.
     pub failures: u64,
@@ -20,7 +20,7 @@
 }
 
 impl Evidence {
-    /// Adds another agent's sums.
+    /// Adds the counts of another agent.
     #[must_use]
     pub fn plus(self, other: Evidence) -> Evidence {
         Evidence {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// What came after an earlier reading; an agent that started anew counts from zero.
+    /// Counts since an earlier reading; zero, not negative, after a restart of an agent, which counts from zero.
     #[must_use]
     pub fn since(self, earlier: Evidence) -> Evidence {
         Evidence {
@@ -51,12 +51,12 @@
     }
 }
 
-/// Standard errors added to the old version's rate: it is an estimate too, and taking it as
-/// exact held 36 of 1,000 good versions in `tests/policy.rs`.
+/// Number of standard errors added to the old version's rate. That rate is an estimate, too; taken as
+/// exact, 36 of 1,000 good versions were held in `tests/policy.rs`.
 const OLD_RATE_MARGIN: f64 = 1.0;
 
-/// The margin alone lifts a rate no further: without any evidence about the old version, a new
-/// one that fails everything must still be found.
+/// The margin raises a rate at most to this value: a new version that always fails must be found even without
+/// any evidence about the old one.
 const MAX_RATE_WITH_MARGIN: f64 = 0.5;
 
 /// Upper estimate of a rate, never 0 or 1.
@@ -68,10 +68,10 @@
     rate.max(raised).min(0.99)
 }
 
-/// What the evidence says about a new version.
+/// What the evidence shows about a new version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Finding {
-    /// Not enough yet.
+    /// Not enough evidence yet.
     Undecided,
     /// No worse, as far as this step can show.
     NoWorse,
@@ -79,23 +79,23 @@
     Worse,
 }
 
-/// Independent chances of a false hold in a roll-out of a thousand answers. Calibrated with
+/// Number of independent chances of a false hold in a roll-out of a thousand answers. Calibrated with
 /// `mintmoor load --guard-curve`: a setting of 0.01 held 7 of 1,000 good versions.
 const FALSE_HOLD_CHANCES: f64 = 100.0;
-/// Rises looked for, as multiples of the tolerated one: a large rise is found sooner by a test
-/// that expects it.
+/// Rate increases that are tested for, as multiples of the tolerated one: a test that expects a large
+/// increase finds it sooner.
 const RISE_FACTORS: [f64; 3] = [1.0, 2.0, 4.0];
 
-/// Part of the bound from which a version is suspicious. A completed roll-out can't be taken back,
-/// and one that is not completed costs little.
+/// Fraction of the decision bound from which a version is suspicious. A completed roll-out can't be reverted,
+/// while not completing one costs little.
 const SUSPICION_FRACTION: f64 = 0.4;
 
-/// Cumulative-sum test of a new version against the old one.
+/// Cumulative-sum (CUSUM) test of a new version against the old one.
 ///
-/// The log-likelihood ratio of "worse" against "the same" is summed over failures and over
-/// ratings, for each of the rises; a sum below zero starts anew, so that good answers before a
-/// version turns bad do not hide it. Crossing the bound set by the false-hold rate finds it worse.
-/// The old version's rate is taken from its upper side, see [`OLD_RATE_MARGIN`].
+/// The log-likelihood ratio of "worse" against "the same" is summed over failures and over ratings, for each
+/// of the [`RISE_FACTORS`]. Sums never fall below zero, so that good answers before a version turns bad do not
+/// hide it. The version is found worse when a sum reaches the bound given by the false-hold rate. For the old
+/// version an upper estimate of the rate is used, see [`OLD_RATE_MARGIN`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct VersionTest {
     seen: Evidence,
@@ -105,7 +105,7 @@
 }
 
 impl VersionTest {
-    /// Takes in what has come since the last time; a version once found worse stays so.
+    /// Adds the evidence since the last call; a version once found worse stays so.
     pub fn observe(&mut self, old: Evidence, new: Evidence, guard: &Guard) {
         let added = new.since(self.seen);
         self.seen = new;
@@ -121,13 +121,13 @@
         }
     }
 
-    /// Whether the evidence points to a worse version, though it does not prove one.
+    /// Whether the evidence suggests that the version is worse, even if it does not prove it.
     pub fn is_suspicious(&self, guard: &Guard) -> bool {
         let max = self.failure_sums.iter().chain(&self.poor_sums).fold(0.0, |a: f64, b| a.max(*b));
         self.is_worse || max >= decision_bound(guard) * SUSPICION_FRACTION
     }
 
-    /// What has been found.
+    /// Result of the test so far.
     pub fn finding(&self, guard: &Guard) -> Finding {
         if self.is_worse {
             return Finding::Worse;
@@ -137,11 +137,12 @@
     }
 }
 
-/// Sum from which a version is found worse.
+/// Sum from which a version counts as worse.
 fn decision_bound(guard: &Guard) -> f64 {
     (FALSE_HOLD_CHANCES / guard.false_hold.max(1e-9)).ln()
 }
 
+/// Log-likelihood ratio of the rate `base + rise` against `base`, given `bad` of `all` answers.
 fn log_likelihood_ratio(bad: u64, all: u64, base: f64, rise: f64) -> f64 {
     let worse = (base + rise).min(0.999);
     let bad_part = bad as f64 * (worse / base).ln();
@@ -149,18 +150,18 @@
     bad_part + good_part
 }
 
-/// What the guard writes, if anything.
+/// Change that the guard makes to a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum GuardStep {
-    /// Nothing.
+    /// No change.
     Stay,
     /// Hold the new version.
     Hold,
-    /// Go to the next step, or finish after the last.
+    /// Go to the next step, or finish after the last one.
     Advance,
 }
 
-/// Decides the guard's next write for a roll-out.
+/// Determines the guard's next change to a roll-out.
 pub fn guard_step(roll_out: &RollOut, finding: Finding) -> GuardStep {
     match (roll_out.state, finding) {
         (RollOutState::Running | RollOutState::Paused, Finding::Worse) => GuardStep::Hold,
@@ -169,7 +170,7 @@
     }
 }
 
-/// The roll-out after the guard's write.
+/// The roll-out after a change by the guard.
 pub fn apply_step(roll_out: &RollOut, step: GuardStep) -> RollOut {
     let mut next = roll_out.clone();
     match step {
@@ -183,7 +184,7 @@
 
 /// Whether a new session gets the new version.
 ///
-/// The same session always draws the same number, so a growing share only ever adds sessions.
+/// The hash of a session never changes, so a growing share only adds sessions.
 pub fn takes_new_version(roll_out: &RollOut, session: &str, held: bool) -> bool {
     if held {
         return false;
