--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -1,4 +1,4 @@
-//! One routing decision at growing pools: `cargo bench --bench decision`.
+//! Cost of a routing decision by the size of the pool: `cargo bench --bench decision`.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// Version of a new session, then a server out of that version's pool.
+/// Chooses the version of a new session, then a server from the pool of that version.
 #[divan::bench(args = [20, 200, 2100])]
 fn decide(bencher: Bencher, engines: usize) {
     let names: Vec<String> = (0..engines).map(|i| format!("host-{i}")).collect();
@@ -57,7 +57,7 @@
     });
 }
 
-/// One placement on the users' platform: the servers' records are read and one is chosen.
+/// Places an attempt on the users' platform: builds the candidates from the servers' records and chooses one.
 #[divan::bench(args = [20, 200, 2_100])]
 fn place_an_attempt(bencher: Bencher, servers: usize) {
     let members: Vec<Member> = (0..servers)
@@ -78,7 +78,7 @@
     });
 }
 
-/// Which of the servers are available, before one is placed.
+/// Determines which servers are available, before a placement.
 #[divan::bench(args = [20, 200, 2_100])]
 fn check_availability(bencher: Bencher, servers: usize) {
     let members: Vec<Member> = (0..servers)
@@ -93,7 +93,7 @@
     });
 }
 
-/// Which of the servers that take few requests may be sent one from here, before one is placed.
+/// Determines which rate-limited servers this entry may send a request to, before a placement.
 #[divan::bench(args = [20, 200, 2_100])]
 fn open_limited_servers(bencher: Bencher, servers: usize) {
     let place = Place { rank: 17, entries: 360 };
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Pure decisions of the request path: placement, budgets, exposure, escalation, patience, stops.
+//! Tests of the pure decisions for a request: placement, send budget, exposure, escalation, timeouts, shutdown.
 
 use std::time::Duration;
 
@@ -36,12 +36,12 @@
     }
 }
 
-/// Six servers, the first three near.
+/// Six servers, the first three of them in the entry's zone.
 fn pool() -> Vec<Candidate> {
     (0..6).map(|i| candidate(&format!("i-{i}"), i < 3)).collect()
 }
 
-/// Work for the largest model, which reads slowly.
+/// A request to the largest model, whose prefill is slow.
 fn request(affinity: u64, shared_tokens: u64) -> PlacementRequest {
     PlacementRequest {
         affinity: Some(affinity),
@@ -56,7 +56,8 @@
     place(candidates, request, &PlacementConfig::default())
 }
 
-/// News of the load is old; the server that was free then would get all that comes meanwhile.
+/// Load information is old. If all servers were compared, the one that was idle at the time would get all
+/// requests until the next report.
 #[test]
 fn concurrent_requests_do_not_all_go_to_the_idle_server() {
     let mut servers: Vec<Candidate> = (0..40).map(|i| candidate(&format!("i-{i}"), true)).collect();
@@ -72,7 +73,7 @@
         sent[place(&servers, &request, &config).unwrap()] += 1;
     }
 
-    // The free one is among the four choices of one request in ten.
+    // The idle server is on the shortlist of four for one request in ten.
     assert!((300..500).contains(&sent[0]), "{sent:?}");
     assert!(sent[1..].iter().all(|n| (20..300).contains(n)), "{sent:?}");
 }
@@ -269,11 +270,11 @@
     assert_eq!(estimate.peer_backlog(MS), Duration::from_secs(9));
     assert!(
         estimate.peer_backlog_for_placement(MS) < Duration::from_secs(1),
-        "bounded in the choice"
+        "bounded in placement"
     );
 }
 
-/// What all entries together may send beyond the ratio, and how many they are.
+/// Repeats that all entries together may send beyond the ratio.
 const TOTAL_EXTRA: f64 = 52.0;
 const ENTRIES: usize = 8;
 
@@ -283,8 +284,8 @@
 }
 
 proptest! {
-    /// Over any number of entries and any order of requests and repeats, no window has more
-    /// repeats than the ratio of its requests, or of those in the window before, and the extra.
+    /// For any order of requests and repeats at the entries, no window has more repeats than the ratio
+    /// of the requests in it and in the window before, plus the extra ones.
     #[test]
     fn repeats_of_all_entries_stay_within_the_shared_budget(
         steps in prop::collection::vec((0usize..ENTRIES, any::<bool>(), 0u64..400), 1..600),
@@ -307,7 +308,7 @@
         }
     }
 
-    /// However the bytes are cut, the events are the same, and nothing partial is given out.
+    /// The events do not depend on how the bytes are divided into chunks, and no partial event is returned.
     #[test]
     fn events_do_not_depend_on_chunk_boundaries(
         texts in prop::collection::vec("[a-z :]{0,12}", 1..12),
@@ -332,7 +333,7 @@
         prop_assert!(!splitter.is_inside_event());
     }
 
-    /// A share only grows, so a session that is on the new version stays there.
+    /// The share only grows, so a session on the new version stays there.
     #[test]
     fn a_session_never_returns_to_the_old_version(session in "[a-z0-9]{1,12}", a in 0u64..30_000, b in 0u64..30_000) {
         let duration = Duration::from_secs(24);
@@ -414,7 +415,7 @@
     assert!(at(300, 2) < at(250, 2));
     assert!(at(300, 2) < at(300, 0));
     assert!((at(1_500, 2) - config.confident_under_pressure).abs() < 1e-9);
-    assert!(at(5_000, 2) < 1e-9, "late because others wait");
+    assert!(at(5_000, 2) < 1e-9, "late, and others wait");
 }
 
 #[test]
@@ -438,7 +439,7 @@
     let idle = StageAnswer { expected_idle_first_event: late.expected_first_event, ..late };
 
     assert_eq!(escalate(&late, &config), None);
-    assert_eq!(escalate(&idle, &config), Some(2), "nobody waits there");
+    assert_eq!(escalate(&idle, &config), Some(2), "no other requests wait");
     let long_late = StageAnswer { elapsed: Duration::from_secs(5), ..late };
     assert_eq!(escalate(&long_late, &config), None);
 }
@@ -473,7 +474,7 @@
     let event_gap = Some(1_200 * MS);
     let silence_timeout = |awaited| event_timeouts(event_gap, awaited).silent;
 
-    // An engine that reads a prompt of 60,000 tokens makes an event in 1.8 s.
+    // During the prefill of a prompt of 60,000 tokens an engine sends an event every 1.8 s.
     assert!(silence_timeout(1) > 1_800 * MS);
     assert!(silence_timeout(2) < silence_timeout(1) && silence_timeout(16) < 1_200 * MS);
     assert_eq!(silence_timeout(0), silence_timeout(1));
@@ -573,5 +574,9 @@
     let together = Evidence { answers: 170, failures: 45, ..Evidence::default() };
     let mut mixed = VersionTest::default();
     mixed.observe(together, Evidence { answers: 8, failures: 5, ..Evidence::default() }, &guard);
-    assert_ne!(mixed.finding(&guard), Finding::Worse, "why the two are tested apart");
+    assert_ne!(
+        mixed.finding(&guard),
+        Finding::Worse,
+        "slow answers counted as failures hide the failing version"
+    );
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Pure decisions: choice, limits, queues, retries, outliers, roll-outs, cascades, membership.
+//! Tests of pure decisions: server choice, limits, queues, retries, outliers, roll-outs, cascades, membership.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -126,7 +126,11 @@
     }
     let first: Vec<i32> = (0..60).filter_map(|_| queue.pop()).collect();
     assert_eq!(dropped.get(&true), None, "a small organisation's attempt was dropped");
-    assert_eq!(first.iter().filter(|i| *i % 10 == 0).count(), 30, "all small ones go first");
+    assert_eq!(
+        first.iter().filter(|i| *i % 10 == 0).count(),
+        30,
+        "all attempts of small organisations are served first"
+    );
 }
 
 #[test]
@@ -199,11 +203,11 @@
     }
     assert!(server.is_ejected(now));
     now += rules.base_ejection;
-    assert!(!server.should_skip(now), "back for a trial");
+    assert!(!server.should_skip(now), "available for a trial request");
     server.note_chosen(now);
-    assert!(server.should_skip(now), "one request at a time");
+    assert!(server.should_skip(now), "only one trial request at a time");
     server.note_failure(&rules, now);
-    assert!(server.is_ejected(now + rules.base_ejection), "out for longer the second time");
+    assert!(server.is_ejected(now + rules.base_ejection), "ejected for longer the second time");
     now += rules.base_ejection * 2;
     server.note_chosen(now);
     server.note_answer(&rules);
@@ -215,11 +219,11 @@
     let rules = OutlierConfig::default();
     assert!(!honors_ejection(1, 1, &rules));
     assert!(!honors_ejection(8, 8, &rules));
-    assert!(!honors_ejection(5, 8, &rules), "not more than the share that may be out");
+    assert!(!honors_ejection(5, 8, &rules), "more servers than may be ejected");
     assert!(honors_ejection(1, 8, &rules));
 }
 
-/// Finding after one look at the evidence.
+/// Finding after a single observation.
 fn finding(old: Evidence, new: Evidence, guard: &Guard) -> Finding {
     let mut test = VersionTest::default();
     test.observe(old, new, guard);
@@ -247,7 +251,7 @@
     let guard = Guard { step_samples: u64::MAX, ..Guard::default() };
     let old = evidence(10_000, 0, 2_500);
     let mut test = VersionTest::default();
-    // Five hundred answers as good as the old version's, then only poor ones.
+    // 500 answers as good as those of the old version, followed by poor ones only.
     for i in 1..=500 {
         test.observe(old, evidence(i, 0, i / 4), &guard);
     }
@@ -302,11 +306,11 @@
         |pass| [StageOutlook { cost: 100.0, pass }, StageOutlook { cost: 1_000.0, pass: 0.97 }];
     assert_eq!(start_stage(&stages(0.75), 0.9, false), 0);
     assert_eq!(start_stage(&stages(0.05), 0.9, false), 1);
-    assert_eq!(start_stage(&stages(0.75), 0.9, true), 1, "one stage has to meet the target");
+    assert_eq!(start_stage(&stages(0.75), 0.9, true), 1, "a single stage has to meet the target");
     assert!((expected_cost(&stages(0.75)) - 350.0).abs() < 1e-9);
 }
 
-/// Answers of a cheap stage that passes three of four, the rest escalated unless it is paid for.
+/// A cheap stage passes three of four answers; the others are escalated unless the quality credit covers them.
 #[test]
 fn the_mean_rating_stays_at_the_target_with_few_escalations() {
     let cascade: Box<str> = "p/c".into();
@@ -325,7 +329,7 @@
     }
     let mean = sum / f64::from(answers);
     assert!((0.895..0.91).contains(&mean), "{mean}");
-    // All poor ones would be a quarter; reaching 0.9 needs less.
+    // Escalating every poor answer would be a quarter; a mean of 0.9 needs fewer.
     assert!(escalated < answers * 18 / 100, "{escalated} escalated");
 }
 
@@ -444,5 +448,7 @@
     assert_eq!(with(Scope::Global), 2);
     assert_eq!(with(Scope::Zone), 8);
     let stranger = host("stranger", "r", "z0", Role::Entry);
-    assert!(is_assigned(&stranger, &entries, "poll", 2, Scope::Zone), "not in the list: does it");
+    assert!(is_assigned(&stranger, &entries, "poll", 2, Scope::Zone),
+        "an entry that is not in the list has every duty"
+    );
 }
