--- a/tests/model/charge.rs
+++ b/tests/model/charge.rs
@@ -1,8 +1,8 @@
-//! Charge and settle: one entry, one agent, two settlers, three requests.
+//! Model of charging and settlement: one entry, one agent, two settlers, three requests.
 //!
-//! The entry and the agent crash, replies of the stores are lost, batches come late, and the
-//! lease passes between settlers in the middle of their work. Every delivered answer is billed
-//! once in the end, unless entry and agent both died with it.
+//! The entry and the agent may crash, replies of the stores may be lost, batches may arrive late, and the
+//! lease may pass to the other settler at any time. Every delivered answer is eventually billed exactly once,
+//! unless both the entry and the agent crash before its record is written.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -26,15 +26,15 @@
     DeleteBeforeTotals,
 }
 
-/// Writer and number of a batch; a repeated write keeps both.
+/// Writer and number of a batch; a repeated write uses the same name.
 type BatchName = (&'static str, u8);
 type Records = BTreeSet<RequestId>;
 
-/// A settler's pass, step by step.
+/// Progress of a settler in its current pass.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum SettlerState {
     Idle,
-    /// Has read the row, its ids and these batches.
+    /// Has read the window's row, the ids in it and the batches that are not settled yet.
     Read {
         row_version: u8,
         lease: u8,
@@ -47,20 +47,22 @@
 struct State {
     entry_up: bool,
     agent_up: bool,
-    /// Records in the entry's memory and copies at the agent.
+    /// Records in the entry's memory.
     buffer: Records,
+    /// Copies of records at the agent.
     copies: Records,
-    /// The batch the entry is writing.
+    /// Batch that the entry is writing.
     pending: Option<(BatchName, Records)>,
     next_batch: u8,
     delivered: Records,
     batches: BTreeMap<BatchName, Records>,
-    /// Version of the window's row, its batches and the ids it names.
+    /// Version of the window's row.
     row_version: u8,
+    /// Batches and ids that the row lists as settled.
     settled_batches: BTreeSet<BatchName>,
     settled_ids: Records,
     billed: BTreeMap<RequestId, u8>,
-    /// Settler that holds the lease, as a fencing number.
+    /// Fencing token of the lease; its remainder is the index of the settler that holds it.
     lease: u8,
     settlers: [SettlerState; SETTLERS],
     lost_replies: u8,
@@ -104,7 +106,7 @@
     if state.lease < 2 {
         let mut next = state.clone();
         next.lease += 1;
-        steps.push(("the lease passes on", next));
+        steps.push(("the lease passes to the other settler", next));
     }
     steps
 }
@@ -124,7 +126,7 @@
         let records = std::mem::take(&mut next.buffer);
         next.pending = Some((("entry", state.next_batch), records));
         next.next_batch += 1;
-        steps.push(("the entry names a batch", next));
+        steps.push(("the entry creates a batch", next));
     }
     if let Some((name, records)) = &state.pending {
         let mut written = state.clone();
@@ -152,7 +154,7 @@
         let mut next = state.clone();
         let records = std::mem::take(&mut next.copies);
         next.batches.insert(("agent", 0), records);
-        steps.push(("the agent rescues the entry's records", next));
+        steps.push(("the agent writes the records of a crashed entry", next));
     }
     let mut crashed = state.clone();
     crashed.agent_up = false;
@@ -205,7 +207,7 @@
     }
 }
 
-/// A settled batch that is still there, or was written again, is deleted.
+/// Deletes settled batches that are still stored or were written again.
 fn delete_settled_batches(state: &State, steps: &mut Vec<Step<State>>) {
     let mut next = state.clone();
     next.batches.retain(|name, _| !state.settled_batches.contains(name));
@@ -237,7 +239,7 @@
     state.settled_batches.extend(batches.keys().copied());
 }
 
-/// Nothing more can happen by itself: everything written has been settled.
+/// Whether all records have been written and settled, so that no work is pending.
 fn is_quiescent(state: &State) -> bool {
     let adopted = state.entry_up || state.copies.is_empty();
     let flushed = state.buffer.is_empty() && state.pending.is_none() && adopted;
--- a/tests/model/claim.rs
+++ b/tests/model/claim.rs
@@ -1,7 +1,8 @@
-//! Claim and attempt: two entries, one idempotency key, two agents.
+//! Model of claims and attempts: two entries, one idempotency key, two agents.
 //!
-//! The network loses, delays, duplicates and reorders frames; entries crash; links are cut;
-//! replies of the store are lost; agents refuse. At most one run, and "not run" is true.
+//! The network may lose, delay, duplicate and reorder frames; entries may crash, links break, replies of the
+//! store get lost, and agents refuse. The request runs at most once, and if a caller is told that it has not
+//! run, it has not.
 
 use mintmoor::policy::{
     attempt::{
@@ -40,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
     Idle,
-    /// The insert is on its way to the store, over a row of this version.
+    /// The insert has been sent to the store, to replace a row of this version if there is one.
     Inserting(Option<u64>),
     ReadingBack,
     Sending,
@@ -104,10 +105,10 @@
     state.frames.sort();
 }
 
-/// Faults in one run; two took 688,610 states and held as well.
+/// Maximum number of faults in one run. With two, the model has 688,610 states and holds as well.
 const MAX_FAULTS: u8 = 1;
 
-/// Causes a fault, if one may still happen.
+/// State after a fault, unless the maximum number of faults has been reached.
 fn with_fault(state: &State, change: impl FnOnce(&mut State)) -> Option<State> {
     if state.faults >= MAX_FAULTS {
         return None;
@@ -127,7 +128,7 @@
     if state.now == 0 {
         let mut next = state.clone();
         next.now = HELD_UNTIL;
-        steps.push(("held claims count as abandoned", next));
+        steps.push(("held claims expire", next));
     }
     steps
 }
@@ -137,7 +138,7 @@
         Phase::Idle => {
             let mut next = state.clone();
             next.entries[i].phase = Phase::Inserting(None);
-            steps.push(("a caller asks", next));
+            steps.push(("a caller sends the request", next));
         }
         Phase::Inserting(expected) => insert_steps(state, i, *expected, mutation, steps),
         Phase::ReadingBack => {
@@ -246,11 +247,11 @@
             RequestOutcome::Done => CallerAnswer::Answer,
             RequestOutcome::Unknown => CallerAnswer::Unknown,
         });
-        steps.push(("the entry tells its caller", next));
+        steps.push(("the entry responds to its caller", next));
     }
 }
 
-/// The entry writes down how the claimed request ended.
+/// The entry stores the outcome of the claimed request in the claim.
 fn finish_claim_step(state: &State, i: usize, answer: CallerAnswer, steps: &mut Vec<Step<State>>) {
     let entry = &state.entries[i];
     let Some((claim, _)) = state.row.as_ref().filter(|_| !entry.claim_finished) else {
@@ -285,7 +286,8 @@
             .map(|next| ("a frame is lost", next)),
         );
         steps.extend(
-            with_fault(state, |next| push(next, *frame)).map(|next| ("a frame is doubled", next)),
+            with_fault(state, |next| push(next, *frame))
+                .map(|next| ("a frame is duplicated", next)),
         );
         deliver(delivered, *frame, mutation, steps);
     }
@@ -296,23 +298,23 @@
         Frame::Start { entry, number } => {
             let mut leaving = next.clone();
             offer(&mut next, entry, number, false, mutation);
-            steps.push(("an agent takes an attempt", next));
+            steps.push(("an agent receives an attempt", next));
             offer(&mut leaving, entry, number, true, mutation);
-            steps.push(("an agent that leaves gets an attempt", leaving));
+            steps.push(("a leaving agent receives an attempt", leaving));
         }
         Frame::Cancel { entry, number } => {
             let gate = &mut next.gates[usize::from(number) % AGENTS];
             let decision = gate.refuse(key(entry, number), RefuseReason::Cancelled);
             answer_refusal(&mut next, entry, number, decision, mutation);
-            steps.push(("an agent gets a cancel", next));
+            steps.push(("an agent receives a cancellation", next));
         }
         Frame::Refused { entry, number } => {
             record(&mut next, usize::from(entry), number, AttemptEvent::Refused);
-            steps.push(("the entry learns of a refusal", next));
+            steps.push(("the entry receives a refusal", next));
         }
         Frame::Ended { entry, number } => {
             record(&mut next, usize::from(entry), number, AttemptEvent::Ended);
-            steps.push(("the entry gets the answer", next));
+            steps.push(("the entry receives the answer", next));
         }
     }
 }
--- a/tests/model/config.rs
+++ b/tests/model/config.rs
@@ -1,5 +1,5 @@
-//! Configuration and gate: a version is withdrawn and brought back while two entries and two
-//! agents learn of it in any order, from the store and from each other, and restart.
+//! Model of configuration and admission: a version is withdrawn and made available again while two entries and
+//! two agents receive the changes in any order, from the store and from each other, and restart.
 
 use mintmoor::{
     ids::Revision,
@@ -26,7 +26,7 @@
     AcceptsOlderRevision,
 }
 
-/// A start on its way, or held at an agent.
+/// A start that is being sent or waits at an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct SentStart {
     number: u8,
@@ -36,10 +36,11 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    /// Newest revision the store has.
+    /// Newest revision in the store.
     head: Revision,
+    /// Revision that each process has.
     held: [Revision; PROCESSES],
-    /// Highest revision each life of a process has held.
+    /// Highest revision that each process has had since it started.
     highest: [Revision; PROCESSES],
     restarts: u8,
     sent: Vec<SentStart>,
@@ -72,7 +73,7 @@
     log
 }
 
-/// Revision held after a peer at `from` offered all its changes to one at `held`.
+/// Revision of a process at `held` after a peer at `from` has offered all its changes.
 fn after_update(held: Revision, from: Revision, mutation: Mutation) -> Revision {
     if mutation == Mutation::AcceptsOlderRevision {
         return from;
@@ -125,7 +126,7 @@
 
 fn propagation_steps(state: &State, mutation: Mutation, steps: &mut Vec<Step<State>>) {
     for entry in 0..2 {
-        // A lagging replica of the store may show any older head.
+        // A lagging replica of the store may return any older head.
         for shown in 1..=state.head {
             let mut next = state.clone();
             set_held(&mut next, entry, after_update(state.held[entry], shown, mutation));
@@ -133,8 +134,8 @@
         }
         for agent in AGENTS {
             for (from, to, name) in [
-                (entry, agent, "an agent learns from an entry"),
-                (agent, entry, "an entry learns from an agent"),
+                (entry, agent, "an agent receives changes from an entry"),
+                (agent, entry, "an entry receives changes from an agent"),
             ] {
                 let mut next = state.clone();
                 set_held(&mut next, to, after_update(state.held[to], state.held[from], mutation));
@@ -154,12 +155,12 @@
         next.held[process] = 0;
         next.highest[process] = 0;
         if let Some(agent) = process.checked_sub(AGENTS.start) {
-            // A new life has an empty gate, and its links are new: nothing old reaches it.
+            // A restarted agent has an empty gate and new links, so no earlier start reaches it.
             next.gates[agent] = Gate::default();
             next.sent.retain(|sent| usize::from(sent.agent) != agent);
             next.at_agent.retain(|sent| usize::from(sent.agent) != agent);
         }
-        steps.push(("a process is replaced", next));
+        steps.push(("a process restarts", next));
     }
 }
 
@@ -180,13 +181,13 @@
         let mut next = state.clone();
         next.sent.remove(at);
         offer(&mut next, *sent, mutation);
-        steps.push(("an agent gets a request", next));
+        steps.push(("an agent receives a request", next));
     }
     for (at, sent) in state.at_agent.iter().enumerate() {
         let mut next = state.clone();
         next.at_agent.remove(at);
         retry_waiting(&mut next, *sent, mutation);
-        steps.push(("an agent looks at a waiting request again", next));
+        steps.push(("an agent checks a waiting request again", next));
     }
 }
 
@@ -232,7 +233,7 @@
         return;
     }
     let agent = state.held[AGENTS.start + usize::from(sent.agent)];
-    // The newer of the two views has to allow the version: one of the two knowing is enough.
+    // Both the newer of the two revisions and the one of the agent must have the version available.
     if !is_available(agent.max(sent.decided)) || !is_available(agent) {
         state.violation = Some("a withdrawn version got a new request");
     }
--- a/tests/model/lease.rs
+++ b/tests/model/lease.rs
@@ -1,8 +1,8 @@
-//! Lease and fencing: two processes, one lease, a protected row and an engine that checks.
+//! Model of leases and fencing: two processes, one lease and a protected row.
 //!
-//! Processes pause without knowing it, replies are lost, writes are delayed. No two processes
-//! believe at the same time that they hold the lease, and no late write of an earlier holder
-//! takes effect after a later holder's.
+//! Processes may pause without noticing, replies may be lost and writes delayed. No two processes consider
+//! themselves the holder of the lease at the same time, and no late write of an earlier holder takes effect
+//! after a write of a later one.
 
 use std::time::Duration;
 
@@ -27,11 +27,11 @@
 struct Process {
     view: LeaseView,
     version: u64,
-    /// A renewal or take-over on its way: the row, the version it expects, when it was sent.
+    /// A renewal or takeover that was sent: the row, the expected version and the time of sending.
     lease_write: Option<(LeaseRow, Option<u64>, u64)>,
-    /// The reply to a write that took effect: the row, its version, when the write was sent.
+    /// The reply to a write that took effect: the row, its version and the time when the write was sent.
     reply: Option<(LeaseRow, u64, u64)>,
-    /// A protected write on its way, with the version and fencing number it was permitted under.
+    /// A protected write that was sent: the version of the lease row and the fencing token that permitted it.
     protected_write: Option<(u64, u64)>,
 }
 
@@ -41,7 +41,7 @@
     row: Option<(LeaseRow, u64)>,
     last_version: u64,
     processes: [Process; PROCESSES],
-    /// Fencing number of the last protected write that took effect.
+    /// Fencing token of the last protected write that took effect.
     last_protected_fencing: u64,
     faults: u8,
     violation: Option<&'static str>,
@@ -96,8 +96,8 @@
     steps
 }
 
-/// Two processes may not both believe that they hold the lease. With the margin this is true
-/// even for a holder whose clock runs one tick behind.
+/// Checks that at most one process considers itself the holder of the lease. The margin guarantees this even
+/// if the clock of one process is one tick behind.
 fn check_holders(state: &mut State) {
     let delayed = at(state.now.saturating_sub(1));
     let holds = |i: usize, now| state.processes[i].view.fencing_token(now).is_some();
@@ -108,7 +108,7 @@
     }
 }
 
-/// Reading, planning and writing the lease row; the write's answer may be late or lost.
+/// Reads and writes of the lease row; the reply to a write may be late or lost.
 fn lease_steps(state: &State, i: usize, mutation: Mutation, steps: &mut Vec<Step<State>>) {
     if let Some((row, version, sent)) = state.processes[i].reply.clone() {
         let mut next = state.clone();
@@ -155,7 +155,7 @@
     steps.push(("a lease write takes effect", next));
 }
 
-/// A protected write: permitted now, carried out at any later time.
+/// Protected writes, which take effect at any time after they were permitted.
 fn protected_write_steps(
     state: &State,
     i: usize,
