--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -278,7 +278,7 @@
 const TOTAL_EXTRA: f64 = 52.0;
 const ENTRIES: usize = 8;
 
-fn send_terms() -> RetryLimits {
+fn retry_limits() -> RetryLimits {
     let extra = TOTAL_EXTRA / ENTRIES as f64;
     RetryLimits { ratio: 0.9, extra, window: Duration::from_secs(10) }
 }
@@ -287,24 +287,24 @@
     /// For any order of requests and repeats at the entries, no window has more repeats than the ratio
     /// of the requests in it and in the window before, plus the extra ones.
     #[test]
-    fn repeats_of_all_entries_stay_within_the_shared_budget(
+    fn retries_of_all_entries_stay_within_the_shared_budget(
         steps in prop::collection::vec((0usize..ENTRIES, any::<bool>(), 0u64..400), 1..600),
     ) {
         let mut entries = vec![WindowedRetryBudget::default(); ENTRIES];
-        let (mut now, mut requests, mut repeats) = (Duration::ZERO, Vec::new(), Vec::new());
+        let (mut now, mut requests, mut retries) = (Duration::ZERO, Vec::new(), Vec::new());
         for (entry, is_request, pause) in steps {
             now += Duration::from_millis(pause);
             if is_request {
-                entries[entry].note_request(&send_terms(), now);
+                entries[entry].note_request(&retry_limits(), now);
                 requests.push(now);
-            } else if entries[entry].try_retry(&send_terms(), now) {
-                repeats.push(now);
+            } else if entries[entry].try_retry(&retry_limits(), now) {
+                retries.push(now);
             }
-            let from = now.saturating_sub(send_terms().window);
-            let earlier = from.saturating_sub(send_terms().window);
-            let in_window = repeats.iter().filter(|at| **at >= from).count() as f64;
+            let from = now.saturating_sub(retry_limits().window);
+            let earlier = from.saturating_sub(retry_limits().window);
+            let in_window = retries.iter().filter(|at| **at >= from).count() as f64;
             let asked = requests.iter().filter(|at| **at >= earlier).count() as f64;
-            prop_assert!(in_window <= send_terms().ratio * asked + TOTAL_EXTRA);
+            prop_assert!(in_window <= retry_limits().ratio * asked + TOTAL_EXTRA);
         }
     }
 
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -195,32 +195,32 @@
 
 #[test]
 fn ejection_grows_with_each_failed_trial() {
-    let rules = OutlierConfig::default();
+    let config = OutlierConfig::default();
     let mut server = OutlierDetector::default();
     let mut now = Duration::from_secs(1);
-    for _ in 0..rules.consecutive_failures {
-        server.note_failure(&rules, now);
+    for _ in 0..config.consecutive_failures {
+        server.note_failure(&config, now);
     }
     assert!(server.is_ejected(now));
-    now += rules.base_ejection;
+    now += config.base_ejection;
     assert!(!server.should_skip(now), "available for a trial request");
     server.note_chosen(now);
     assert!(server.should_skip(now), "only one trial request at a time");
-    server.note_failure(&rules, now);
-    assert!(server.is_ejected(now + rules.base_ejection), "ejected for longer the second time");
-    now += rules.base_ejection * 2;
+    server.note_failure(&config, now);
+    assert!(server.is_ejected(now + config.base_ejection), "ejected for longer the second time");
+    now += config.base_ejection * 2;
     server.note_chosen(now);
-    server.note_answer(&rules);
+    server.note_answer(&config);
     assert!(!server.should_skip(now));
 }
 
 #[test]
 fn ejections_are_ignored_when_too_few_servers_remain() {
-    let rules = OutlierConfig::default();
-    assert!(!honors_ejection(1, 1, &rules));
-    assert!(!honors_ejection(8, 8, &rules));
-    assert!(!honors_ejection(5, 8, &rules), "more servers than may be ejected");
-    assert!(honors_ejection(1, 8, &rules));
+    let config = OutlierConfig::default();
+    assert!(!honors_ejection(1, 1, &config));
+    assert!(!honors_ejection(8, 8, &config));
+    assert!(!honors_ejection(5, 8, &config), "more servers than may be ejected");
+    assert!(honors_ejection(1, 8, &config));
 }
 
 /// Finding after a single observation.
@@ -350,14 +350,14 @@
 
 #[test]
 fn lifecycle_states_are_entered_only_once() {
-    let mut life = lifecycle::start();
+    let mut machine = lifecycle::start();
     for event in [LifecycleEvent::Ready, LifecycleEvent::Leave, LifecycleEvent::Ready] {
-        life.handle(&event);
+        machine.handle(&event);
     }
-    assert!(matches!(life.state(), LifecycleState::Leaving {}));
-    life.handle(&LifecycleEvent::Idle);
-    life.handle(&LifecycleEvent::Leave);
-    assert!(matches!(life.state(), LifecycleState::Stopped {}));
+    assert!(matches!(machine.state(), LifecycleState::Leaving {}));
+    machine.handle(&LifecycleEvent::Idle);
+    machine.handle(&LifecycleEvent::Leave);
+    assert!(matches!(machine.state(), LifecycleState::Stopped {}));
 }
 
 fn agents(count: usize) -> Vec<Host> {
@@ -447,8 +447,9 @@
         |scope| entries.iter().filter(|e| is_assigned(e, &entries, "poll", 2, scope)).count();
     assert_eq!(with(Scope::Global), 2);
     assert_eq!(with(Scope::Zone), 8);
-    let stranger = host("stranger", "r", "z0", Role::Entry);
-    assert!(is_assigned(&stranger, &entries, "poll", 2, Scope::Zone),
+    let unlisted = host("unlisted", "r", "z0", Role::Entry);
+    assert!(
+        is_assigned(&unlisted, &entries, "poll", 2, Scope::Zone),
         "an entry that is not in the list has every duty"
     );
 }
