--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -274,7 +274,7 @@
     );
 }
 
-/// Repeats that all entries together may send beyond the ratio.
+/// Retries that all entries together may send beyond the ratio.
 const TOTAL_EXTRA: f64 = 52.0;
 const ENTRIES: usize = 8;
 
@@ -284,7 +284,7 @@
 }
 
 proptest! {
-    /// For any order of requests and repeats at the entries, no window has more repeats than the ratio
+    /// For any order of requests and retries at the entries, no window has more retries than the ratio
     /// of the requests in it and in the window before, plus the extra ones.
     #[test]
     fn retries_of_all_entries_stay_within_the_shared_budget(
