--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -63,8 +63,8 @@
     let members: Vec<Member> = (0..servers)
         .map(|i| Member::new(backend_server(i), Duration::ZERO, Duration::ZERO))
         .collect();
-    let terms = PlacementConfig::default();
-    let work = PlacementRequest {
+    let config = PlacementConfig::default();
+    let request = PlacementRequest {
         affinity: Some(7),
         shared_tokens: 5_000,
         prefill_token_time: Duration::from_micros(3),
@@ -74,7 +74,7 @@
     let now = Duration::from_secs(60);
     bencher.bench(|| {
         let candidates: Vec<_> = members.iter().map(|m| m.candidate("zone-3", &[], now)).collect();
-        place(&candidates, &work, &terms)
+        place(&candidates, &request, &config)
     });
 }
 
--- a/tests/model/config.rs
+++ b/tests/model/config.rs
@@ -46,7 +46,7 @@
     sent: Vec<SentStart>,
     at_agent: Vec<SentStart>,
     gates: [Gate; 2],
-    decided: u8,
+    requests: u8,
     violation: Option<&'static str>,
 }
 
@@ -98,7 +98,7 @@
         sent: Vec::new(),
         at_agent: Vec::new(),
         gates: Default::default(),
-        decided: 0,
+        requests: 0,
         violation: None,
     }
 }
@@ -166,13 +166,13 @@
 
 fn request_steps(state: &State, mutation: Mutation, steps: &mut Vec<Step<State>>) {
     for entry in 0..2 {
-        if state.decided < 2 && is_available(state.held[entry]) {
+        if state.requests < 2 && is_available(state.held[entry]) {
             for agent in 0..2 {
                 let mut next = state.clone();
                 let decided = state.held[entry];
-                next.sent.push(SentStart { number: state.decided, agent, decided });
+                next.sent.push(SentStart { number: state.requests, agent, decided });
                 next.sent.sort();
-                next.decided += 1;
+                next.requests += 1;
                 steps.push(("an entry sends a request", next));
             }
         }
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -65,9 +65,9 @@
     let config = PlacementConfig::default();
     let mut sent = [0; 40];
 
-    for draw in 0..4_000 {
+    for number in 0..4_000 {
         let request = PlacementRequest {
-            request_hash: hash_id(&draw.to_string()),
+            request_hash: hash_id(&number.to_string()),
             ..PlacementRequest::default()
         };
         sent[place(&servers, &request, &config).unwrap()] += 1;
@@ -173,10 +173,10 @@
     sender.record_sent(&long, 2_010);
     sender.record_sent(&short, 510);
 
-    let note = sender.take_report(&long, MS).unwrap();
-    receiver.record_peer_report(note.hash, note.tokens);
+    let report = sender.take_report(&long, MS).unwrap();
+    receiver.record_peer_report(report.hash, report.tokens);
 
-    assert_eq!(note.tokens, 2_000);
+    assert_eq!(report.tokens, 2_000);
     assert_eq!(receiver.cached_tokens(&long), 2_000);
     assert_eq!(receiver.cached_tokens(&prefixes(&[1, 2, 3])), 2_000);
     assert_eq!(sender.take_report(&short, MS), None);
@@ -394,12 +394,12 @@
 
 #[test]
 fn escalation_times_out_after_two_objectives_or_half_of_the_time_left() {
-    let patient = StageAnswer { time_left: 20_000 * MS, elapsed: 100 * MS, ..answer(20) };
-    let hurried = StageAnswer { time_left: 3_000 * MS, ..patient };
-    let late = StageAnswer { elapsed: 5_000 * MS, ..patient };
+    let ample_time = StageAnswer { time_left: 20_000 * MS, elapsed: 100 * MS, ..answer(20) };
+    let short_deadline = StageAnswer { time_left: 3_000 * MS, ..ample_time };
+    let late = StageAnswer { elapsed: 5_000 * MS, ..ample_time };
 
-    assert_eq!(escalation_timeout(&patient), 3_900 * MS);
-    assert_eq!(escalation_timeout(&hurried), 1_500 * MS);
+    assert_eq!(escalation_timeout(&ample_time), 3_900 * MS);
+    assert_eq!(escalation_timeout(&short_deadline), 1_500 * MS);
     assert_eq!(escalation_timeout(&late), Duration::ZERO);
 }
 
@@ -472,7 +472,7 @@
 #[test]
 fn the_silence_timeout_is_longer_for_fewer_pending_answers() {
     let event_gap = Some(1_200 * MS);
-    let silence_timeout = |awaited| event_timeouts(event_gap, awaited).silent;
+    let silence_timeout = |pending| event_timeouts(event_gap, pending).silent;
 
     // During the prefill of a prompt of 60,000 tokens an engine sends an event every 1.8 s.
     assert!(silence_timeout(1) > 1_800 * MS);
@@ -505,10 +505,10 @@
 
 #[test]
 fn a_stopping_entry_accepts_what_it_can_finish() {
-    let left = Duration::from_secs(3);
+    let time_left = Duration::from_secs(3);
 
-    assert!(can_finish(&route(RouteKind::AtMostOnce), left));
-    assert!(!can_finish(&route(RouteKind::Stream), left));
+    assert!(can_finish(&route(RouteKind::AtMostOnce), time_left));
+    assert!(!can_finish(&route(RouteKind::Stream), time_left));
     assert!(can_finish(&route(RouteKind::Stream), Duration::from_secs(5)));
 }
 
@@ -571,9 +571,13 @@
     test.observe(old, new, &guard);
 
     assert_eq!(test.finding(&guard), Finding::Worse);
-    let together = Evidence { answers: 170, failures: 45, ..Evidence::default() };
+    let old_with_slow = Evidence { answers: 170, failures: 45, ..Evidence::default() };
     let mut mixed = VersionTest::default();
-    mixed.observe(together, Evidence { answers: 8, failures: 5, ..Evidence::default() }, &guard);
+    mixed.observe(
+        old_with_slow,
+        Evidence { answers: 8, failures: 5, ..Evidence::default() },
+        &guard,
+    );
     assert_ne!(
         mixed.finding(&guard),
         Finding::Worse,
