--- a/tests/model/charge.rs
+++ b/tests/model/charge.rs
@@ -16,6 +16,7 @@
 const REQUESTS: [RequestId; 3] = [1, 2, 3];
 const SETTLERS: usize = 2;
 
+/// Defect that is built into the protocol; the model has to find each of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutation {
     None,
@@ -248,6 +249,7 @@
         && state.settlers.iter().all(|settler| *settler == SettlerState::Idle)
 }
 
+/// The invariant that a state violates, if any.
 fn violated_invariant(state: &State) -> Option<&'static str> {
     if state.billed.values().any(|count| *count > 1) {
         return Some("a request was billed twice");
--- a/tests/model/claim.rs
+++ b/tests/model/claim.rs
@@ -20,6 +20,7 @@
 const MAX_ATTEMPTS: usize = 2;
 const HELD_UNTIL: u64 = 10;
 
+/// Defect that is built into the protocol; the model has to find each of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutation {
     None,
@@ -49,6 +50,7 @@
     Crashed,
 }
 
+/// What the entry has told its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum CallerAnswer {
     Answer,
@@ -73,6 +75,7 @@
     entries: [Entry; ENTRIES],
     gates: [Gate; AGENTS],
     frames: Vec<Frame>,
+    /// Number of times that the request of each entry has run.
     runs: [u8; ENTRIES],
     faults: u8,
 }
@@ -359,6 +362,7 @@
     *attempt = advance(*attempt, event);
 }
 
+/// The invariant that a state violates, if any.
 fn violated_invariant(state: &State) -> Option<&'static str> {
     if state.runs.iter().sum::<u8>() > 1 {
         return Some("the request ran twice");
--- a/tests/model/config.rs
+++ b/tests/model/config.rs
@@ -17,6 +17,7 @@
 const NEWEST: Revision = 3;
 const WITHDRAWN_AT: Revision = 2;
 
+/// Defect that is built into the protocol; the model has to find each of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutation {
     None,
@@ -43,9 +44,12 @@
     /// Highest revision that each process has had since it started.
     highest: [Revision; PROCESSES],
     restarts: u8,
+    /// Starts that no agent has received yet.
     sent: Vec<SentStart>,
+    /// Starts that wait at an agent.
     at_agent: Vec<SentStart>,
     gates: [Gate; 2],
+    /// Number of requests that the entries have sent.
     requests: u8,
     violation: Option<&'static str>,
 }
@@ -218,6 +222,7 @@
     }
 }
 
+/// The agent checks a waiting start again: it has a newer revision or takes the start from its queue.
 fn retry_waiting(state: &mut State, sent: SentStart, mutation: Mutation) {
     let gate = &state.gates[usize::from(sent.agent)];
     if gate.state(key(sent)) == Some(GateState::Behind) {
--- a/tests/model/lease.rs
+++ b/tests/model/lease.rs
@@ -14,6 +14,7 @@
 const LAST_TICK: u64 = 7;
 const LAST_VERSION: u64 = 3;
 
+/// Defect that is built into the protocol; the model has to find each of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutation {
     None,
