--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Pure decisions of the request path: placement, budgets, exposure, escalation, patience, stops.
+//! Tests of the pure decisions for a request: placement, send budget, exposure, escalation, timeouts, shutdown.
 
 use std::time::Duration;
 
@@ -36,12 +36,12 @@
     }
 }
 
-/// Six servers, the first three near.
+/// Six servers, the first three of them in the entry's zone.
 fn pool() -> Vec<Candidate> {
     (0..6).map(|i| candidate(&format!("i-{i}"), i < 3)).collect()
 }
 
-/// Work for the largest model, which reads slowly.
+/// A request to the largest model, whose prefill is slow.
 fn request(affinity: u64, shared_tokens: u64) -> PlacementRequest {
     PlacementRequest {
         affinity: Some(affinity),
@@ -56,7 +56,8 @@
     place(candidates, request, &PlacementConfig::default())
 }
 
-/// News of the load is old; the server that was free then would get all that comes meanwhile.
+/// Load information is old. If all servers were compared, the one that was idle at the time would get all
+/// requests until the next report.
 #[test]
 fn concurrent_requests_do_not_all_go_to_the_idle_server() {
     let mut servers: Vec<Candidate> = (0..40).map(|i| candidate(&format!("i-{i}"), true)).collect();
@@ -64,15 +65,15 @@
     let config = PlacementConfig::default();
     let mut sent = [0; 40];
 
-    for draw in 0..4_000 {
+    for number in 0..4_000 {
         let request = PlacementRequest {
-            request_hash: hash_id(&draw.to_string()),
+            request_hash: hash_id(&number.to_string()),
             ..PlacementRequest::default()
         };
         sent[place(&servers, &request, &config).unwrap()] += 1;
     }
 
-    // The free one is among the four choices of one request in ten.
+    // The idle server is on the shortlist of four for one request in ten.
     assert!((300..500).contains(&sent[0]), "{sent:?}");
     assert!(sent[1..].iter().all(|n| (20..300).contains(n)), "{sent:?}");
 }
@@ -172,10 +173,10 @@
     sender.record_sent(&long, 2_010);
     sender.record_sent(&short, 510);
 
-    let note = sender.take_report(&long, MS).unwrap();
-    receiver.record_peer_report(note.hash, note.tokens);
+    let report = sender.take_report(&long, MS).unwrap();
+    receiver.record_peer_report(report.hash, report.tokens);
 
-    assert_eq!(note.tokens, 2_000);
+    assert_eq!(report.tokens, 2_000);
     assert_eq!(receiver.cached_tokens(&long), 2_000);
     assert_eq!(receiver.cached_tokens(&prefixes(&[1, 2, 3])), 2_000);
     assert_eq!(sender.take_report(&short, MS), None);
@@ -269,45 +270,45 @@
     assert_eq!(estimate.peer_backlog(MS), Duration::from_secs(9));
     assert!(
         estimate.peer_backlog_for_placement(MS) < Duration::from_secs(1),
-        "bounded in the choice"
+        "bounded in placement"
     );
 }
 
-/// What all entries together may send beyond the ratio, and how many they are.
+/// Retries that all entries together may send beyond the ratio.
 const TOTAL_EXTRA: f64 = 52.0;
 const ENTRIES: usize = 8;
 
-fn send_terms() -> RetryLimits {
+fn retry_limits() -> RetryLimits {
     let extra = TOTAL_EXTRA / ENTRIES as f64;
     RetryLimits { ratio: 0.9, extra, window: Duration::from_secs(10) }
 }
 
 proptest! {
-    /// Over any number of entries and any order of requests and repeats, no window has more
-    /// repeats than the ratio of its requests, or of those in the window before, and the extra.
+    /// For any order of requests and retries at the entries, no window has more retries than the ratio
+    /// of the requests in it and in the window before, plus the extra ones.
     #[test]
-    fn repeats_of_all_entries_stay_within_the_shared_budget(
+    fn retries_of_all_entries_stay_within_the_shared_budget(
         steps in prop::collection::vec((0usize..ENTRIES, any::<bool>(), 0u64..400), 1..600),
     ) {
         let mut entries = vec![WindowedRetryBudget::default(); ENTRIES];
-        let (mut now, mut requests, mut repeats) = (Duration::ZERO, Vec::new(), Vec::new());
+        let (mut now, mut requests, mut retries) = (Duration::ZERO, Vec::new(), Vec::new());
         for (entry, is_request, pause) in steps {
             now += Duration::from_millis(pause);
             if is_request {
-                entries[entry].record_request(&send_terms(), now);
+                entries[entry].record_request(&retry_limits(), now);
                 requests.push(now);
-            } else if entries[entry].try_retry(&send_terms(), now) {
-                repeats.push(now);
+            } else if entries[entry].try_retry(&retry_limits(), now) {
+                retries.push(now);
             }
-            let from = now.saturating_sub(send_terms().window);
-            let earlier = from.saturating_sub(send_terms().window);
-            let in_window = repeats.iter().filter(|at| **at >= from).count() as f64;
+            let from = now.saturating_sub(retry_limits().window);
+            let earlier = from.saturating_sub(retry_limits().window);
+            let in_window = retries.iter().filter(|at| **at >= from).count() as f64;
             let asked = requests.iter().filter(|at| **at >= earlier).count() as f64;
-            prop_assert!(in_window <= send_terms().ratio * asked + TOTAL_EXTRA);
+            prop_assert!(in_window <= retry_limits().ratio * asked + TOTAL_EXTRA);
         }
     }
 
-    /// However the bytes are cut, the events are the same, and nothing partial is given out.
+    /// The events do not depend on how the bytes are divided into chunks, and no partial event is returned.
     #[test]
     fn events_do_not_depend_on_chunk_boundaries(
         texts in prop::collection::vec("[a-z :]{0,12}", 1..12),
@@ -332,7 +333,7 @@
         prop_assert!(!splitter.is_inside_event());
     }
 
-    /// A share only grows, so a session that is on the new version stays there.
+    /// The share only grows, so a session on the new version stays there.
     #[test]
     fn a_session_never_returns_to_the_old_version(session in "[a-z0-9]{1,12}", a in 0u64..30_000, b in 0u64..30_000) {
         let duration = Duration::from_secs(24);
@@ -393,12 +394,12 @@
 
 #[test]
 fn escalation_times_out_after_two_objectives_or_half_of_the_time_left() {
-    let patient = StageAnswer { time_left: 20_000 * MS, elapsed: 100 * MS, ..answer(20) };
-    let hurried = StageAnswer { time_left: 3_000 * MS, ..patient };
-    let late = StageAnswer { elapsed: 5_000 * MS, ..patient };
+    let ample_time = StageAnswer { time_left: 20_000 * MS, elapsed: 100 * MS, ..answer(20) };
+    let short_deadline = StageAnswer { time_left: 3_000 * MS, ..ample_time };
+    let late = StageAnswer { elapsed: 5_000 * MS, ..ample_time };
 
-    assert_eq!(escalation_timeout(&patient), 3_900 * MS);
-    assert_eq!(escalation_timeout(&hurried), 1_500 * MS);
+    assert_eq!(escalation_timeout(&ample_time), 3_900 * MS);
+    assert_eq!(escalation_timeout(&short_deadline), 1_500 * MS);
     assert_eq!(escalation_timeout(&late), Duration::ZERO);
 }
 
@@ -414,7 +415,7 @@
     assert!(at(300, 2) < at(250, 2));
     assert!(at(300, 2) < at(300, 0));
     assert!((at(1_500, 2) - config.confident_under_pressure).abs() < 1e-9);
-    assert!(at(5_000, 2) < 1e-9, "late because others wait");
+    assert!(at(5_000, 2) < 1e-9, "late, and others wait");
 }
 
 #[test]
@@ -438,7 +439,7 @@
     let idle = StageAnswer { expected_idle_first_event: late.expected_first_event, ..late };
 
     assert_eq!(escalate(&late, &config), None);
-    assert_eq!(escalate(&idle, &config), Some(2), "nobody waits there");
+    assert_eq!(escalate(&idle, &config), Some(2), "no other requests wait");
     let long_late = StageAnswer { elapsed: Duration::from_secs(5), ..late };
     assert_eq!(escalate(&long_late, &config), None);
 }
@@ -471,9 +472,9 @@
 #[test]
 fn the_silence_timeout_is_longer_for_fewer_pending_answers() {
     let event_gap = Some(1_200 * MS);
-    let silence_timeout = |awaited| event_timeouts(event_gap, awaited).silent;
+    let silence_timeout = |pending| event_timeouts(event_gap, pending).silent;
 
-    // An engine that reads a prompt of 60,000 tokens makes an event in 1.8 s.
+    // During the prefill of a prompt of 60,000 tokens an engine sends an event every 1.8 s.
     assert!(silence_timeout(1) > 1_800 * MS);
     assert!(silence_timeout(2) < silence_timeout(1) && silence_timeout(16) < 1_200 * MS);
     assert_eq!(silence_timeout(0), silence_timeout(1));
@@ -504,10 +505,10 @@
 
 #[test]
 fn a_stopping_entry_accepts_what_it_can_finish() {
-    let left = Duration::from_secs(3);
+    let time_left = Duration::from_secs(3);
 
-    assert!(can_finish(&route(RouteKind::AtMostOnce), left));
-    assert!(!can_finish(&route(RouteKind::Stream), left));
+    assert!(can_finish(&route(RouteKind::AtMostOnce), time_left));
+    assert!(!can_finish(&route(RouteKind::Stream), time_left));
     assert!(can_finish(&route(RouteKind::Stream), Duration::from_secs(5)));
 }
 
@@ -570,8 +571,16 @@
     test.observe(old, new, &guard);
 
     assert_eq!(test.finding(&guard), Finding::Worse);
-    let together = Evidence { answers: 170, failures: 45, ..Evidence::default() };
+    let old_with_slow = Evidence { answers: 170, failures: 45, ..Evidence::default() };
     let mut mixed = VersionTest::default();
-    mixed.observe(together, Evidence { answers: 8, failures: 5, ..Evidence::default() }, &guard);
-    assert_ne!(mixed.finding(&guard), Finding::Worse, "why the two are tested apart");
+    mixed.observe(
+        old_with_slow,
+        Evidence { answers: 8, failures: 5, ..Evidence::default() },
+        &guard,
+    );
+    assert_ne!(
+        mixed.finding(&guard),
+        Finding::Worse,
+        "slow answers counted as failures hide the failing version"
+    );
 }
