--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -1,9 +1,9 @@
-//! The request path of an entry on the users' platform.
+//! Request path of an entry that runs on the users' platform.
 //!
-//! A request is admitted ([`serve`]), tried at one BackendServer after another ([`choice`],
-//! [`dispatch`], [`attempt`]), model after model in a cascade ([`stages`]), and its answer passed on
-//! ([`relay`]). What the platform's store says is followed on the control thread ([`feed`], [`roll_out_driver`]),
-//! or learned from another entry ([`peer_follower`], [`peers`]). The design is in docs/decisions/0008.
+//! A request is admitted ([`serve`]) and sent to BackendServers until one responds ([`selection`], [`dispatch`],
+//! [`attempt`]). In a cascade, larger models are tried in turn ([`stages`]). The response is forwarded to the caller
+//! ([`relay`]). The control thread follows the platform's store ([`feed`], [`roll_out_driver`]) or another entry
+//! ([`peer_follower`], [`peers`]). The design is in docs/decisions/0008.
 
 mod advertised_limits;
 mod announcements;
