--- a/src/router/advertised_limits.rs
+++ b/src/router/advertised_limits.rs
@@ -39,8 +39,12 @@
         if head.kind == ResponseKind::NotRun && head.rate_limit == AdvertisedLimit::Nothing {
             return;
         }
-        let changed =
-            self.limits.record_answer(member.incarnation_hash(), head.rate_limit, sent_at, now);
+        let changed = self.shared_limits.record_answer(
+            member.incarnation_hash(),
+            head.rate_limit,
+            sent_at,
+            now,
+        );
         if let Some(changed) = changed {
             self.log_limit(changed, Source::Answer);
         }
@@ -48,14 +52,14 @@
 
     /// Applies the limits that another entry reports.
     pub(crate) fn apply_limit_updates(&self, reported: &[LimitUpdate]) {
-        for changed in self.limits.apply_updates(reported, self.now()) {
+        for changed in self.shared_limits.apply_updates(reported, self.now()) {
             self.log_limit(changed, Source::Entry);
         }
     }
 
     /// Limits of the known servers, as part of the state dump.
     pub(crate) fn dump_limits(&self) -> Value {
-        self.limits.dump(&self.fleet.load(), self.now())
+        self.shared_limits.dump(&self.fleet.load(), self.now())
     }
 
     /// Logs that a server's limit has changed or has been lifted.
--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -162,7 +162,8 @@
     plan: &AttemptPlan<'_>,
     can_fail_over: impl FnMut() -> bool,
 ) -> Result<OpenResponse, AttemptError> {
-    let prefill_time = router.readings.get(plan.latency_key).prefill_time(plan.uncached_tokens);
+    let prefill_time =
+        router.speed_estimates.get(plan.latency_key).prefill_time(plan.uncached_tokens);
     let ahead = plan.member.backlog(router.now());
     let mut outstanding = OutstandingGuard::new(plan.member, prefill_time);
     let sent_at = router.now();
@@ -182,9 +183,9 @@
     let head = parse_response_head(parts.status, &parts.headers, &ctx.req.head.id);
     record_response_head(router, plan.member, &head, &ctx.req.head.id, sent_at);
     let (tokens, took) = (plan.uncached_tokens, began.elapsed());
-    let is_slow = router.readings.get(plan.latency_key).is_slow_head(tokens, took);
+    let is_slow = router.speed_estimates.get(plan.latency_key).is_slow_head(tokens, took);
     if head.kind == ResponseKind::Success {
-        router.readings.record_head_time(plan.latency_key, tokens, ahead, took);
+        router.speed_estimates.record_head_time(plan.latency_key, tokens, ahead, took);
     }
     if let Some(load) = head.load {
         plan.member.state().load.record_report(load, router.now());
@@ -207,7 +208,9 @@
     drop(state);
     if let Some(prefix) = to_report {
         let tokens = u32::try_from(prefix.tokens).unwrap_or(u32::MAX);
-        router.kept.record_own(ReportedPrefix(plan.member.short_hash(), prefix.hash, tokens), now);
+        router
+            .prefix_reports
+            .record_own(ReportedPrefix(plan.member.short_hash(), prefix.hash, tokens), now);
     }
 }
 
--- a/src/router/availability.rs
+++ b/src/router/availability.rs
@@ -58,7 +58,7 @@
         let table = self.table.load();
         let cold =
             table.as_ref().as_ref().and_then(|table| table.cold_starts.get(service)).copied();
-        let advertised_limits = self.limits.view();
+        let advertised_limits = self.shared_limits.view();
         let is_any_limited = cold.is_some() || advertised_limits.is_some();
         AvailabilityCheck {
             router: self,
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -141,7 +141,7 @@
 ) -> Result<OpenResponse, AttemptError> {
     let allows_failover = ctx.route.is_idempotent() && ctx.runs_left() > 1;
     let key = latency_key(ctx, params);
-    let timing = router.readings.get(key);
+    let timing = router.speed_estimates.get(key);
     let prefixes = prefixes(ctx, params);
     let prompt_tokens = ctx.req.head.prompt_tokens;
     let cached_prefix_count = member.state().prefixes.cached_prefix_count(&prefixes);
--- a/src/router/feed.rs
+++ b/src/router/feed.rs
@@ -85,7 +85,7 @@
 
     fn record_failure(&mut self, router: &Router, table: Table, cause: &str) {
         router.metrics.count_store_error("follow");
-        router.views.record_failure(table);
+        router.table_views.record_failure(table);
         if !self.is_lost {
             self.is_lost = true;
             event::STORE_UNREACHABLE.log(format_args!("table={table:?} cause=\"{cause}\""));
@@ -138,7 +138,7 @@
             self.reachability.record_restored(self.table, offer.version.era, router.now());
         }
         let is_amended = is_restored && restore::restore_lost_rows(router, self.table, &mut rows);
-        router.views.update_amended(self.table, &rows, offer.is_whole, is_amended);
+        router.table_views.update_amended(self.table, &rows, offer.is_whole, is_amended);
         apply(rows, extent, &self.reachability);
         true
     }
@@ -149,7 +149,7 @@
         router: &Router,
         apply: &mut impl FnMut(Rows, Extent, &StoreReachability),
     ) {
-        while let Some(update) = router.link.take(self.table) {
+        while let Some(update) = router.peer_link.take(self.table) {
             apply_update(router, update, self, apply);
         }
     }
@@ -165,7 +165,7 @@
         self.reachability.record_answer(self.table, router.now());
         self.apply_pending(router, apply);
         record_applied(router, self.table);
-        match router.link.next(self.table).await {
+        match router.peer_link.next(self.table).await {
             Some(update) => apply_update(router, update, self, apply),
             None => wait_for_link(router, RELINK_WAIT).await,
         }
@@ -237,7 +237,7 @@
 /// waiting for that.
 fn record_applied(router: &Router, table: Table) {
     let was_fresh = router.is_view_fresh();
-    router.views.record_answer(table, router.now());
+    router.table_views.record_answer(table, router.now());
     if !was_fresh {
         router.wake_waiters();
     }
@@ -261,7 +261,7 @@
 /// asked if the wait times out.
 async fn wait_for_link(router: &Router, max_wait: Duration) {
     if router.may_follow() {
-        let _ = timeout(max_wait, router.link.wait_until_current()).await;
+        let _ = timeout(max_wait, router.peer_link.wait_until_current()).await;
     }
 }
 
@@ -275,7 +275,7 @@
     // The next step is the same whether the wait ended by a change or by the timeout.
     let _ = timeout(
         FOLLOWER_RETRY_PAUSE.saturating_sub(RETRY_PAUSE),
-        router.link.wait_for_change(table),
+        router.peer_link.wait_for_change(table),
     )
     .await;
 }
@@ -328,7 +328,7 @@
     let catch_up = router.settings.load().catch_up_time;
     let wait = match () {
         () if is_urgent => Duration::ZERO,
-        () if router.views.has_subscribers() => WAIT_WITH_FOLLOWERS,
+        () if router.table_views.has_subscribers() => WAIT_WITH_FOLLOWERS,
         () => catch_up.saturating_sub(CATCH_UP_MARGIN),
     };
     Ok(match store.poll_changes(table, after, wait).await? {
--- a/src/router/observability.rs
+++ b/src/router/observability.rs
@@ -13,12 +13,12 @@
     /// Updates the gauges that are not maintained as events occur.
     fn refresh_gauges(&self) {
         let now = self.now();
-        let age = now.saturating_sub(self.views.answered_at()).as_millis();
+        let age = now.saturating_sub(self.table_views.answered_at()).as_millis();
         self.metrics.feed_age.set(i64::try_from(age).unwrap_or(i64::MAX));
         let dropped = i64::try_from(dropped_lines()).unwrap_or(i64::MAX);
         self.metrics.log_lines_dropped.set(dropped);
         self.metrics.entries.set(self.entries().into());
-        let lost = i64::try_from(self.kept.lost()).unwrap_or(i64::MAX);
+        let lost = i64::try_from(self.prefix_reports.lost()).unwrap_or(i64::MAX);
         self.metrics.kept_notes_lost.set(lost);
         let lost = i64::try_from(self.quarantine.lost()).unwrap_or(i64::MAX);
         self.metrics.quarantine_notes_lost.set(lost);
@@ -35,7 +35,7 @@
         }
         let evacuated = self.evacuations.zones().len();
         self.metrics.evacuated_zones.set(i64::try_from(evacuated).unwrap_or(i64::MAX));
-        let rate_limited = i64::try_from(self.limits.rate_limited()).unwrap_or(i64::MAX);
+        let rate_limited = i64::try_from(self.shared_limits.rate_limited()).unwrap_or(i64::MAX);
         self.metrics.servers_rate_limited.set(rate_limited);
         let fleet = self.fleet.load();
         let announced: Vec<_> = fleet.members().map(|m| m.state().announced).collect();
@@ -69,7 +69,7 @@
             "entries": self.entries(),
             "follows_another_entry": self.follows_link(),
             "quarantine": self.quarantine.dump(self.now()),
-            "era": self.views.era(),
+            "era": self.table_views.era(),
             "place": self.place().map(|place| json!([place.rank, place.entries])),
             "evacuated": self.evacuations.dump(self.now()),
             "limits": self.dump_limits(),
--- a/src/router/own_place.rs
+++ b/src/router/own_place.rs
@@ -46,7 +46,7 @@
     pub(crate) fn place_of(&self, host: &str) -> Option<ReportedPlace> {
         let settings = self.settings.load();
         let own = ObservedEntry { host: &settings.host, is_settled: self.place().is_some() };
-        let Place { rank, entries } = self.loads.place(host, own, self.now())?;
+        let Place { rank, entries } = self.load_reports.place(host, own, self.now())?;
         Some(ReportedPlace {
             rank,
             entries,
--- a/src/router/peer_follower.rs
+++ b/src/router/peer_follower.rs
@@ -92,11 +92,11 @@
             seeds.next_index += 1;
         }
     }
-    let was_followed = router.link.set_current(false);
+    let was_followed = router.peer_link.set_current(false);
     if was_followed {
         event::PEER_LEFT.log(format_args!("peer={peer}"));
     }
-    router.link.clear();
+    router.peer_link.clear();
     // The next seed may have what this one no longer reports.
     let is_round_complete = seeds.next_index.is_multiple_of(others.len());
     others.len() > 1 && (was_followed || !is_round_complete)
@@ -114,7 +114,7 @@
     let mut wakes = router.clock.subscribe_suspensions();
     let deadline = Instant::now() + OPEN_TIMEOUT;
     let mut socket = timeout_at(deadline, connect(peer)).await.map_err(|_| timed_out())??;
-    let StoreVersion { era, revision: version } = router.views.oldest_version();
+    let StoreVersion { era, revision: version } = router.table_views.oldest_version();
     let own_zone = router.settings.load().zone.clone();
     let only_in = requires_own_zone.then(|| own_zone.clone());
     let host = router.settings.load().host.clone();
@@ -139,7 +139,7 @@
             return Err(host_suspended());
         }
         let is_current = apply_heartbeat(router, heartbeat)?;
-        if router.link.set_current(is_current) && is_current {
+        if router.peer_link.set_current(is_current) && is_current {
             event::PEER_FOLLOWED.log(format_args!("peer={peer}"));
         }
         if is_current {
@@ -172,11 +172,11 @@
         return Err(Error::Broken("expected a heartbeat".into()));
     };
     for update in updates {
-        if !router.link.push(update.decompress()?) {
+        if !router.peer_link.push(update.decompress()?) {
             return Err(Error::Broken("update queue is full".into()));
         }
     }
-    router.views.record_peer_message(router.now());
+    router.table_views.record_peer_message(router.now());
     if entries > 0 {
         router.record_entries(entries);
     }
@@ -184,8 +184,8 @@
         router.own_place.record(place, router.now());
     }
     let fleet = router.fleet.load_full();
-    router.loads.apply(&loads, &fleet, router.now());
-    router.kept.apply(&kept, &fleet);
+    router.load_reports.apply(&loads, &fleet, router.now());
+    router.prefix_reports.apply(&kept, &fleet);
     router.quarantine.apply_updates(&ends, router.now());
     router.apply_limit_updates(&limits);
     if is_informed && router.quarantine.mark_informed() {
--- a/src/router/peers.rs
+++ b/src/router/peers.rs
@@ -121,7 +121,7 @@
 
 impl Drop for RemoveReportOnDrop<'_> {
     fn drop(&mut self) {
-        self.router.loads.remove_report(self.host, self.link);
+        self.router.load_reports.remove_report(self.host, self.link);
     }
 }
 
@@ -132,14 +132,14 @@
     host: &str,
     mut report: Report,
 ) -> Result<()> {
-    let link = router.loads.next_link_id();
+    let link = router.load_reports.next_link_id();
     let _guard = RemoveReportOnDrop { router, host, link };
     let mut urgent = UrgentUpdates::new(router);
     loop {
         let (loads, now) = (report.loads, router.now());
-        router.loads.apply_report(host, link, loads, !report.is_new, now);
+        router.load_reports.apply_report(host, link, loads, !report.is_new, now);
         router.roll_outs.apply_evidence(host, report.evidence);
-        router.kept.apply_report(&report.kept, &router.fleet.load(), router.now());
+        router.prefix_reports.apply_report(&report.kept, &router.fleet.load(), router.now());
         router.quarantine.apply_updates(&report.ends, router.now());
         router.apply_limit_updates(&report.limits);
         report = loop {
@@ -174,22 +174,22 @@
     if !is_zone_accepted {
         return Ok(());
     }
-    let (mut updates, mut changes) = router.views.subscribe(version);
+    let (mut updates, mut changes) = router.table_views.subscribe(version);
     let (mut next_kept, mut next_end, mut next_limit) = (0, None, 0);
     let mut quarantine_changes = router.quarantine.changes();
-    let mut limit_changes = router.limits.urgent_changes();
+    let mut limit_changes = router.shared_limits.urgent_changes();
     loop {
         let is_current = router.is_current();
-        let loads = router.loads.sums(router.now());
-        let (kept, next) = router.kept.all_since(next_kept, router.now());
+        let loads = router.load_reports.sums(router.now());
+        let (kept, next) = router.prefix_reports.all_since(next_kept, router.now());
         next_kept = next;
         quarantine_changes.mark_unchanged();
         let (ends, next) = router.quarantine.all_since(next_end, router.now());
         next_end = Some(next);
         limit_changes.mark_unchanged();
-        let (limits, next) = router.limits.all_since(next_limit);
+        let (limits, next) = router.shared_limits.all_since(next_limit);
         next_limit = next;
-        let entries = router.loads.entry_count(router.now());
+        let entries = router.load_reports.entry_count(router.now());
         let place = router.place_of(host);
         let is_informed = router.quarantine.is_informed();
         let heartbeat = PeerMessage::Beat {
--- a/src/router/quarantine.rs
+++ b/src/router/quarantine.rs
@@ -61,8 +61,8 @@
     /// Whether this entry receives updates from no other entry.
     pub(crate) fn is_isolated(&self) -> bool {
         let now = self.now();
-        let is_reported = now < self.views.peer_message_at() + PEER_MESSAGE_LIFETIME;
-        !is_reported && self.loads.entry_count(now) <= 1
+        let is_reported = now < self.table_views.peer_message_at() + PEER_MESSAGE_LIFETIME;
+        !is_reported && self.load_reports.entry_count(now) <= 1
     }
 
     /// Waits until a request is refused.
--- a/src/router/quarantine_row.rs
+++ b/src/router/quarantine_row.rs
@@ -165,7 +165,7 @@
     let mut stored = None;
     loop {
         let is_restored =
-            stored.as_ref().is_some_and(|stored: &StoredRow| stored.era < router.views.era());
+            stored.as_ref().is_some_and(|stored: &StoredRow| stored.era < router.table_views.era());
         if is_restored {
             // The restored row may lack requests that were refused since the backup; the first
             // listed seed writes them again.
@@ -208,7 +208,7 @@
 /// Waits briefly for another entry to report refused requests.
 async fn wait_for_link(router: &Router) {
     if router.may_follow() {
-        let _ = timeout(FIRST_LINK_WAIT, router.link.wait_until_current()).await;
+        let _ = timeout(FIRST_LINK_WAIT, router.peer_link.wait_until_current()).await;
     }
 }
 
--- a/src/router/restore.rs
+++ b/src/router/restore.rs
@@ -37,7 +37,7 @@
         return false;
     }
     let mut is_amended = false;
-    for known in router.views.rows(table) {
+    for known in router.table_views.rows(table) {
         let stored = rows.rows.iter().position(|row| row.key == known.key);
         let is_lost = match stored {
             Some(stored) => is_older_configuration(&rows.rows[stored], &known),
--- a/src/router/roll_out_driver.rs
+++ b/src/router/roll_out_driver.rs
@@ -120,7 +120,7 @@
         let _ = timeout(CHECK_INTERVAL, router.roll_outs.wait_until_found()).await;
         checks += 1;
         apply_link_updates(router, &mut known);
-        let now_era = known.era.max(router.views.era());
+        let now_era = known.era.max(router.table_views.era());
         if now_era > era {
             era = now_era;
             known.enter_era(era);
@@ -206,14 +206,14 @@
 /// Applies rows about roll-outs that the followed entry forwarded.
 fn apply_link_updates(router: &Router, known: &mut KnownRows) {
     for table in [Table::Own, Table::Status] {
-        while let Some(update) = router.link.take(table) {
-            if update.version.era < router.views.era() {
+        while let Some(update) = router.peer_link.take(table) {
+            if update.version.era < router.table_views.era() {
                 continue;
             }
             let rows = update.into_rows();
             known.enter_era(rows.version.era);
             rows.rows.iter().for_each(|row| known.record(row));
-            router.views.update(table, &rows, true);
+            router.table_views.update(table, &rows, true);
             let running = router.roll_outs.running();
             running.iter().for_each(|order| apply_known(router, known, order, rows.now));
         }
@@ -237,7 +237,7 @@
         Ok(rows) => {
             known.enter_era(rows.version.era);
             rows.rows.iter().for_each(|row| known.record(row));
-            router.views.update(Table::Status, &rows, true);
+            router.table_views.update(Table::Status, &rows, true);
             running.iter().for_each(|order| apply_known(router, known, order, rows.now));
         }
         // The feeds log that the store is unreachable, and the next check follows soon.
@@ -338,8 +338,8 @@
         return Err(Error::Unreadable("the store was restored from a backup".into()));
     }
     own.rows.iter().chain(&status.rows).for_each(|row| known.record(row));
-    router.views.update(Table::Own, &own, true);
-    router.views.update(Table::Status, &status, true);
+    router.table_views.update(Table::Own, &own, true);
+    router.table_views.update(Table::Status, &status, true);
     Ok(status.now)
 }
 
@@ -377,7 +377,7 @@
         WriteOutcome::Written(_) => {
             let progress = verdict.status.progress;
             router.roll_outs.apply_store_state(&order.service, order.written_at, None, progress);
-            if router.is_seed() || router.views.has_subscribers() {
+            if router.is_seed() || router.table_views.has_subscribers() {
                 // Forwards the verdict to current and future followers.
                 read_rows(router, store, known).await?;
             }
--- a/src/router/seed_reporter.rs
+++ b/src/router/seed_reporter.rs
@@ -34,9 +34,9 @@
     let (reports, _) = watch::channel(Report::default());
     // Seeds also forward what they receive, since some entries may not reach all seeds.
     let (mut quarantine_changes, mut limit_changes) = if router.is_seed() {
-        (router.quarantine.changes(), router.limits.urgent_changes())
+        (router.quarantine.changes(), router.shared_limits.urgent_changes())
     } else {
-        (router.quarantine.own_changes(), router.limits.own_urgent_changes())
+        (router.quarantine.own_changes(), router.shared_limits.own_urgent_changes())
     };
     loop {
         let settings = router.settings.load_full();
@@ -51,16 +51,16 @@
         }
         let fleet = router.fleet.load();
         let evidence = router.roll_outs.evidence();
-        let loads = router.loads.collect_own(&fleet);
+        let loads = router.load_reports.collect_own(&fleet);
         let is_new = router.place().is_none();
         reports.send_replace(Report { loads, evidence, is_new, ..Report::default() });
         if router.is_seed() {
             let now = router.now();
-            router.record_entries(router.loads.entry_count(now));
+            router.record_entries(router.load_reports.entry_count(now));
             if let Some(place) = router.place_of(&settings.host) {
                 router.own_place.record(place, now);
             }
-            router.loads.apply(&router.loads.sums(now), &fleet, now);
+            router.load_reports.apply(&router.load_reports.sums(now), &fleet, now);
         }
         drop(fleet);
         let urgent = async {
@@ -104,7 +104,7 @@
     let (mut next_kept, mut next_end, mut next_limit) = (0, None, None);
     loop {
         let mut report = reports.borrow_and_update().clone();
-        (report.kept, next_kept) = router.kept.own_since(next_kept, router.now());
+        (report.kept, next_kept) = router.prefix_reports.own_since(next_kept, router.now());
         let (ends, next) = if router.is_seed() {
             router.quarantine.all_since(next_end, router.now())
         } else {
@@ -112,9 +112,9 @@
         };
         (report.ends, next_end) = (ends, Some(next));
         let (limits, next) = if router.is_seed() {
-            router.limits.all_since(next_limit.unwrap_or_default())
+            router.shared_limits.all_since(next_limit.unwrap_or_default())
         } else {
-            router.limits.own_since(next_limit)
+            router.shared_limits.own_since(next_limit)
         };
         (report.limits, next_limit) = (limits, Some(next));
         send_message(&mut socket, &PeerRequest::Report { host: host.into(), report }).await?;
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -137,7 +137,7 @@
     ctx: &RequestContext,
     params: AttemptParams<'_>,
 ) -> ExpectedLatency {
-    let timing = router.readings.get(latency_key(ctx, params));
+    let timing = router.speed_estimates.get(latency_key(ctx, params));
     let prompt_tokens = ctx.req.head.prompt_tokens;
     let (ahead, cached_tokens) = match select_server(router, ctx, params, |_| true) {
         Some(member) => {
@@ -168,7 +168,7 @@
     params: AttemptParams<'_>,
 ) -> PlacementRequest {
     let key = latency_key(ctx, params);
-    let prefill_token_time = router.readings.get(key).prefill_token_time();
+    let prefill_token_time = router.speed_estimates.get(key).prefill_token_time();
     let bytes = ctx.req.body.len();
     let parts = &ctx.req.head.prompt_parts;
     let request_hash = hash_id(&ctx.req.head.id);
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -77,23 +77,23 @@
     /// This entry's rank among all entries, by which limited sends are shared.
     pub(crate) own_place: OwnPlace,
     /// Rate limits that servers advertise in their responses.
-    pub(crate) limits: SharedLimits,
+    pub(crate) shared_limits: SharedLimits,
     /// Roll-outs and the evidence about their versions.
     pub roll_outs: RollOuts,
     /// The operator's policy settings.
     pub policy: RouteSettings,
     /// Last known contents of the store's tables.
-    pub(crate) views: TableViews,
+    pub(crate) table_views: TableViews,
     /// Load of the servers, as entries report it to each other.
-    pub(crate) loads: LoadReports,
+    pub(crate) load_reports: LoadReports,
     /// Prompt prefixes in the servers' caches, as entries report them to each other.
-    pub(crate) kept: PrefixReports,
+    pub(crate) prefix_reports: PrefixReports,
     /// Requests during which servers crashed, as entries report them to each other.
     pub(crate) quarantine: SharedQuarantine,
     /// Measured speed of the models.
-    pub(crate) readings: SpeedEstimates,
+    pub(crate) speed_estimates: SpeedEstimates,
     /// The link to another entry that this one follows instead of the store.
-    pub(crate) link: PeerLink,
+    pub(crate) peer_link: PeerLink,
     /// Prometheus metrics.
     pub metrics: Metrics,
     /// Retry budgets by service.
@@ -124,19 +124,19 @@
             fleet: ArcSwap::from_pointee(Fleet::default()),
             evacuations: Evacuations::default(),
             own_place: OwnPlace::default(),
-            limits: SharedLimits::default(),
+            shared_limits: SharedLimits::default(),
             roll_outs: RollOuts::new(policy.exposure),
             policy,
-            views: TableViews::default(),
-            loads: LoadReports::default(),
-            kept: PrefixReports::default(),
+            table_views: TableViews::default(),
+            load_reports: LoadReports::default(),
+            prefix_reports: PrefixReports::default(),
             quarantine: SharedQuarantine::default(),
-            link: PeerLink::default(),
+            peer_link: PeerLink::default(),
             metrics: Metrics::default(),
             retry_budgets: Mutex::default(),
             extra_share: Mutex::new(ExtraShare::new(CLOCK_ORIGIN)),
             overloads: Mutex::default(),
-            readings: SpeedEstimates::default(),
+            speed_estimates: SpeedEstimates::default(),
             lifecycle: Mutex::new(lifecycle::start()),
             in_flight: AtomicUsize::new(0),
             view_changed: Notify::new(),
@@ -164,7 +164,7 @@
         };
         event::HOST_RESUMED.log(format_args!("suspended_ms={}", suspended.as_millis()));
         // By now the followed entry has dropped its link to this one, and calls to the store have timed out.
-        self.link.set_current(false);
+        self.peer_link.set_current(false);
         self.view_changed.notify_waiters();
         true
     }
@@ -173,7 +173,7 @@
     /// time, the earlier data counts as fresh, as it does while the store is unreachable.
     pub(crate) fn is_view_fresh(&self) -> bool {
         let resumed_at = self.clock.last_resumed_at();
-        self.views.applied_at() >= resumed_at || self.now() >= resumed_at + MAX_REFRESH_WAIT
+        self.table_views.applied_at() >= resumed_at || self.now() >= resumed_at + MAX_REFRESH_WAIT
     }
 
     /// Whether this entry has received the list of quarantined requests, or the time to wait for it is over.
@@ -198,8 +198,8 @@
         if let Some(table) = self.table.load().as_ref() {
             fleet.set_cache_capacities(&table.kv_cache_tokens);
         }
-        self.kept.apply(&[], &fleet);
-        self.limits.forget_departed(&fleet, self.now());
+        self.prefix_reports.apply(&[], &fleet);
+        self.shared_limits.forget_departed(&fleet, self.now());
         self.fleet.store(Arc::new(fleet));
         self.view_changed.notify_waiters();
     }
@@ -217,17 +217,17 @@
 
     /// Whether this entry should follow another one: always, unless it is a seed that reaches the store.
     pub(crate) fn needs_link(&self) -> bool {
-        !self.is_seed() || self.views.is_store_lost() || self.table.load().is_none()
+        !self.is_seed() || self.table_views.is_store_lost() || self.table.load().is_none()
     }
 
     /// Whether this entry gets its data over the link to another entry instead of from the store.
     pub(crate) fn follows_link(&self) -> bool {
-        !self.is_seed() && self.link.is_current()
+        !self.is_seed() && self.peer_link.is_current()
     }
 
     /// Whether this entry's data is current, so that others may follow it.
     pub(crate) fn is_current(&self) -> bool {
-        self.table.load().is_some() && !self.views.is_store_lost()
+        self.table.load().is_some() && !self.table_views.is_store_lost()
     }
 
     /// Wakes waiting requests, so that they check their condition again.
--- a/src/router/urgent_updates.rs
+++ b/src/router/urgent_updates.rs
@@ -18,7 +18,7 @@
 impl<'a> UrgentUpdates<'a> {
     pub(super) fn new(router: &'a Router) -> Self {
         let (quarantine_changes, limit_changes) =
-            (router.quarantine.changes(), router.limits.urgent_changes());
+            (router.quarantine.changes(), router.shared_limits.urgent_changes());
         // What is already known is sent immediately.
         Self {
             router,
@@ -45,7 +45,7 @@
             self.has_changes = false;
             let router = self.router;
             let (ends, next_end) = router.quarantine.urgent_since(self.next_end, router.now());
-            let (limits, next_limit) = router.limits.all_since(self.next_limit);
+            let (limits, next_limit) = router.shared_limits.all_since(self.next_limit);
             (self.next_end, self.next_limit) = (next_end, next_limit);
             if !ends.is_empty() || !limits.is_empty() {
                 return PeerMessage::News { ends, limits };
