--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -170,7 +170,7 @@
     record_prompt_sent(router, plan);
     router.count_unavailable_send(plan.member, ctx.send_kind());
     // The runtime's clock stops during a suspension of the Host, which says nothing about the server's speed.
-    let began = Instant::now();
+    let started_at = Instant::now();
     let outcome = send_request(router, ctx, plan, can_fail_over).await;
     if let Err(e) = &outcome {
         record_error(router, plan.member, e);
@@ -182,10 +182,10 @@
     let (parts, body) = res.into_parts();
     let head = parse_response_head(parts.status, &parts.headers, &ctx.req.head.id);
     record_response_head(router, plan.member, &head, &ctx.req.head.id, sent_at);
-    let (tokens, took) = (plan.uncached_tokens, began.elapsed());
-    let is_slow = router.speed_estimates.get(plan.latency_key).is_slow_head(tokens, took);
+    let (tokens, elapsed) = (plan.uncached_tokens, started_at.elapsed());
+    let is_slow = router.speed_estimates.get(plan.latency_key).is_slow_head(tokens, elapsed);
     if head.kind == ResponseKind::Success {
-        router.speed_estimates.record_head_time(plan.latency_key, tokens, ahead, took);
+        router.speed_estimates.record_head_time(plan.latency_key, tokens, ahead, elapsed);
     }
     if let Some(load) = head.load {
         plan.member.state().load.record_report(load, router.now());
--- a/src/router/body.rs
+++ b/src/router/body.rs
@@ -69,14 +69,14 @@
 #[derive(Debug)]
 pub(crate) enum ResponseBody {
     /// Fully buffered.
-    Whole(Full<Bytes>),
+    Buffered(Full<Bytes>),
     /// Streamed event by event.
     Stream(StreamBody),
 }
 
 impl ResponseBody {
-    pub(crate) fn whole(bytes: impl Into<Bytes>) -> Self {
-        Self::Whole(Full::new(bytes.into()))
+    pub(crate) fn buffered(bytes: impl Into<Bytes>) -> Self {
+        Self::Buffered(Full::new(bytes.into()))
     }
 }
 
@@ -89,7 +89,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, StreamInterrupted>>> {
         match self.get_mut() {
-            Self::Whole(body) => {
+            Self::Buffered(body) => {
                 Pin::new(body).poll_frame(cx).map_err(|never: Infallible| match never {})
             }
             Self::Stream(stream) => stream.poll_part(cx),
@@ -98,7 +98,7 @@
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(body) => body.size_hint(),
+            Self::Buffered(body) => body.size_hint(),
             Self::Stream(_) => SizeHint::default(),
         }
     }
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -34,7 +34,7 @@
 
 /// Sends a request to servers until one succeeds. If none does, returns the last failure response of a server, or
 /// else a refusal.
-pub(crate) async fn send_until_answered(
+pub(crate) async fn send_with_failover(
     router: &Router,
     ctx: &mut RequestContext,
     params: AttemptParams<'_>,
--- a/src/router/listen.rs
+++ b/src/router/listen.rs
@@ -35,14 +35,14 @@
     listener: TcpListener,
     mut closing: watch::Receiver<bool>,
 ) {
-    let open = GracefulShutdown::new();
+    let connections = GracefulShutdown::new();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             _ = closing.wait_for(|closing| *closing) => break,
         };
         match accepted {
-            Ok((stream, _)) => serve_connection(&router, stream, &open),
+            Ok((stream, _)) => serve_connection(&router, stream, &connections),
             Err(e) => {
                 event::ACCEPT_FAILED.log(format_args!("cause=\"{e}\""));
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
@@ -50,11 +50,11 @@
         }
     }
     drop(listener);
-    open.shutdown().await;
+    connections.shutdown().await;
 }
 
 /// Serves the requests of one connection in a task of its own.
-fn serve_connection(router: &Arc<Router>, stream: TcpStream, open: &GracefulShutdown) {
+fn serve_connection(router: &Arc<Router>, stream: TcpStream, connections: &GracefulShutdown) {
     // Nagle's algorithm would hold back a small event until the caller has acknowledged the previous one.
     if let Err(e) = stream.set_nodelay(true) {
         event::ACCEPT_FAILED.log(format_args!("cause=\"{e}\""));
@@ -72,7 +72,7 @@
             TokioIo::new(stream),
             service_fn(move |req| serve(router.clone(), req, connected_at)),
         );
-    let connection = open.watch(connection);
+    let connection = connections.watch(connection);
     // Connection errors can be ignored: if a request was in flight, its handling fails as well.
     tokio::spawn(async move { drop(connection.await) });
 }
--- a/src/router/listing.rs
+++ b/src/router/listing.rs
@@ -56,9 +56,9 @@
         if extent.is_whole() {
             let listed: HashSet<&str> = rows.rows.iter().map(|row| &*row.key).collect();
             let known = self.servers.keys().chain(self.unreadable.keys());
-            let gone: Vec<Box<str>> =
+            let removed: Vec<Box<str>> =
                 known.filter(|id| !listed.contains(&***id)).cloned().collect();
-            for id in gone {
+            for id in removed {
                 self.remove(&id, removals_uncertain_until, now);
             }
         }
@@ -73,7 +73,7 @@
 
     /// Whether a row of a restored store is older than what is known: the server has written since, or has left.
     /// A row of a server that left is held back for [`RESTORED_ROW_HOLD`].
-    fn is_outdated(&mut self, server: &BackendServer, now: Duration) -> bool {
+    fn hold_if_outdated(&mut self, server: &BackendServer, now: Duration) -> bool {
         if let Some(known) = self.servers.get(&server.id) {
             return known.started_at == server.started_at && server.sequence < known.sequence;
         }
@@ -100,7 +100,7 @@
                     row.key, server.started_at
                 ));
             }
-            Ok(server) if extent == Extent::Restored && self.is_outdated(&server, now) => {}
+            Ok(server) if extent == Extent::Restored && self.hold_if_outdated(&server, now) => {}
             Ok(server) => {
                 self.missing.remove(&server.id);
                 self.unconfirmed.remove(&server.id);
--- a/src/router/observability.rs
+++ b/src/router/observability.rs
@@ -48,14 +48,14 @@
 
     /// Handlers for the admin address.
     pub(crate) fn admin(self: &Arc<Self>) -> Admin {
-        let (ready, dumped, shown) = (self.clone(), self.clone(), self.clone());
+        let (readiness, dump_state, metrics_state) = (self.clone(), self.clone(), self.clone());
         Admin {
             render: Arc::new(move || {
-                shown.refresh_gauges();
-                shown.metrics.render()
+                metrics_state.refresh_gauges();
+                metrics_state.metrics.render()
             }),
-            is_ready: Arc::new(move || ready.is_ready()),
-            dump: Arc::new(move || dumped.dump()),
+            is_ready: Arc::new(move || readiness.is_ready()),
+            dump: Arc::new(move || dump_state.dump()),
         }
     }
 
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -16,7 +16,7 @@
         EventSplitter, Member, Router,
         attempt::OpenResponse,
         body::{ResponseBody, StreamBody, StreamPart},
-        dispatch::{reserve_failover, send_until_answered},
+        dispatch::{reserve_failover, send_with_failover},
         refusal::Refusal,
         request_context::{AttemptParams, RequestContext},
         response_wait::{ResponseWait, wait_for_response},
@@ -64,7 +64,7 @@
     ctx: &mut RequestContext,
 ) -> Result<Response<ResponseBody>, Refusal> {
     loop {
-        let response = send_until_answered(router, ctx, AttemptParams::default()).await?;
+        let response = send_with_failover(router, ctx, AttemptParams::default()).await?;
         let server = response.member.clone();
         match read_until_deadline(router, ctx, response).await {
             Some(Ok(res)) => return Ok(res),
@@ -99,7 +99,7 @@
 
 /// A response with the status and headers of a server's response and an empty body.
 fn response_with_head(head: &ResponseHead) -> Response<ResponseBody> {
-    let mut res = Response::new(ResponseBody::whole(""));
+    let mut res = Response::new(ResponseBody::buffered(""));
     *res.status_mut() = head.status;
     *res.headers_mut() = head.headers.clone();
     res
@@ -122,7 +122,7 @@
         router.roll_outs.record_outcome(&response.member.server, outcome);
     }
     router.record_complete_answer(ctx);
-    *res.body_mut() = ResponseBody::whole(body.to_bytes());
+    *res.body_mut() = ResponseBody::buffered(body.to_bytes());
     response.finish(router.now());
     Ok(res)
 }
@@ -263,7 +263,7 @@
         }
         let model = self.model.clone();
         let params = AttemptParams { model: model.as_deref(), ..self.attempt_params() };
-        let response = send_until_answered(&self.router, &mut self.ctx, params).await.ok()?;
+        let response = send_with_failover(&self.router, &mut self.ctx, params).await.ok()?;
         (response.head.kind == ResponseKind::Success).then_some(response)
     }
 
--- a/src/router/response_wait.rs
+++ b/src/router/response_wait.rs
@@ -44,7 +44,7 @@
     tokio::select! {
         // `work` is polled first: data that has arrived is used even if the server has restarted since.
         biased;
-        output = wait_while_alive(router, wait, work, can_fail_over) => output,
+        output = wait_with_timeouts(router, wait, work, can_fail_over) => output,
         () = wait.member.wait_until_ended() => None,
         // Cancelling a quarantined request that the server has not begun to run spares the server.
         () = quarantined => None,
@@ -52,7 +52,7 @@
 }
 
 /// Waits for `work` until the deadline, or until the server has been slow or silent for too long.
-async fn wait_while_alive<F: Future>(
+async fn wait_with_timeouts<F: Future>(
     router: &Router,
     wait: &ResponseWait<'_>,
     mut work: Pin<&mut F>,
@@ -62,9 +62,9 @@
     let Some(timeouts) = wait.timeouts else {
         return router.clock.timeout_at(deadline, work).await;
     };
-    let began = router.now();
-    let slow_at = began + timeouts.slow;
-    let mut next_check = slow_at.min(began + timeouts.silent);
+    let started_at = router.now();
+    let slow_at = started_at + timeouts.slow;
+    let mut next_check = slow_at.min(started_at + timeouts.silent);
     loop {
         if let Some(output) = router.clock.timeout_at(deadline.min(next_check), work.as_mut()).await
         {
@@ -74,7 +74,7 @@
         if now >= deadline {
             return None;
         }
-        let silent_since = member.received_at().max(began);
+        let silent_since = member.received_at().max(started_at);
         // A server sends nothing while it processes a long prompt, so the prompts in its queue are allowed for.
         let silent_too_long_at = silent_since + timeouts.silent + member.backlog_for_placement(now);
         if (now >= slow_at || now >= silent_too_long_at) && can_fail_over() {
--- a/src/router/run.rs
+++ b/src/router/run.rs
@@ -169,8 +169,8 @@
     /// were cut off.
     pub async fn stop(self) -> usize {
         let router = &self.router;
-        let began = router.now();
-        let elapsed = || router.now().saturating_sub(began);
+        let started_at = router.now();
+        let elapsed = || router.now().saturating_sub(started_at);
         router.begin_stop();
         event::PROCESS_LEAVING.log(format_args!("in_flight={}", router.in_flight()));
         sleep(READINESS_LAG).await;
--- a/src/router/stages.rs
+++ b/src/router/stages.rs
@@ -7,7 +7,7 @@
     router::{
         Router,
         attempt::OpenResponse,
-        dispatch::send_until_answered,
+        dispatch::send_with_failover,
         refusal::Refusal,
         request_context::{AttemptParams, RequestContext},
         selection::estimate_latency,
@@ -37,7 +37,7 @@
         let model = cascade.get(stage).filter(|_| ctx.req.head.model.is_none()).cloned();
         let params =
             AttemptParams { model: model.as_deref(), last_event: ctx.req.head.last_event_id };
-        let next = send_until_answered(router, ctx, params).await;
+        let next = send_with_failover(router, ctx, params).await;
         ctx.head_deadline = None;
         let has_begun =
             matches!(&next, Ok(response) if response.head.kind == ResponseKind::Success);
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -246,8 +246,8 @@
                 let has_view = self.table.load().is_some() && !self.fleet.load().is_empty();
                 // While the store is unreachable the state can't be learned, so requests wait only for a limited
                 // time.
-                let lately = self.now().saturating_sub(MAX_VIEW_WAIT);
-                let is_known = !self.roll_outs.has_unknown(lately);
+                let recent = self.now().saturating_sub(MAX_VIEW_WAIT);
+                let is_known = !self.roll_outs.has_unknown(recent);
                 let is_received = self.is_view_fresh() && self.is_informed();
                 if has_view && is_known && is_received {
                     return;
@@ -273,10 +273,11 @@
 
     /// Whether a request on this route is still accepted: during a planned stop, only if it can finish in time.
     pub(crate) fn accepts(&self, route: &Route) -> bool {
-        let Some(began) = self.stop_started_at.get() else {
+        let Some(stop_started_at) = self.stop_started_at.get() else {
             return true;
         };
-        let end = *began + self.settings.load().shutdown_grace.saturating_sub(KILL_MARGIN);
+        let end =
+            *stop_started_at + self.settings.load().shutdown_grace.saturating_sub(KILL_MARGIN);
         can_finish(route, end.saturating_sub(self.now()))
     }
 
@@ -284,11 +285,12 @@
     /// only until it notices the stop, or if no other entry is ready; in the latter case the caller has to wait
     /// for the next process on this Host.
     pub(crate) fn leaving_retry_after(&self, connected_at: Duration) -> Duration {
-        let began = self.stop_started_at.get().copied().unwrap_or_default();
-        if connected_at < began + READINESS_LAG {
+        let stop_started_at = self.stop_started_at.get().copied().unwrap_or_default();
+        if connected_at < stop_started_at + READINESS_LAG {
             return RETRY_OTHER_ENTRY;
         }
-        (began + self.settings.load().shutdown_grace + RESTART_TIME).saturating_sub(self.now())
+        (stop_started_at + self.settings.load().shutdown_grace + RESTART_TIME)
+            .saturating_sub(self.now())
     }
 
     /// Whether the process is stopping or has stopped.
