--- a/src/router/availability.rs
+++ b/src/router/availability.rs
@@ -44,41 +44,41 @@
 #[derive(Debug)]
 pub(crate) struct AvailabilityCheck<'a> {
     router: &'a Router,
-    cold: Option<ColdStartLimit>,
+    cold_start_limit: Option<ColdStartLimit>,
     advertised_limits: Option<LimitView<'a>>,
     place: Option<Place>,
-    is_any_evacuated: bool,
-    drain: Duration,
+    has_evacuations: bool,
+    drain_time: Duration,
     now: Duration,
 }
 
 impl Router {
     /// Prepares a check of the servers of a service at the current time.
-    pub(crate) fn check_service(&self, service: &str) -> AvailabilityCheck<'_> {
+    pub(crate) fn availability_check(&self, service: &str) -> AvailabilityCheck<'_> {
         let table = self.table.load();
-        let cold =
+        let cold_start_limit =
             table.as_ref().as_ref().and_then(|table| table.cold_starts.get(service)).copied();
         let advertised_limits = self.shared_limits.view();
-        let is_any_limited = cold.is_some() || advertised_limits.is_some();
+        let is_any_limited = cold_start_limit.is_some() || advertised_limits.is_some();
         AvailabilityCheck {
             router: self,
-            cold,
+            cold_start_limit,
             advertised_limits,
             place: is_any_limited.then(|| self.place()).flatten(),
-            is_any_evacuated: self.evacuations.has_any(),
-            drain: self.settings.load().drain_time,
+            has_evacuations: self.evacuations.has_any(),
+            drain_time: self.settings.load().drain_time,
             now: self.now(),
         }
     }
 
     /// Acquires permission for one send to a server and counts it against the server's limit, if there is one.
     pub(crate) fn acquire_send(&self, member: &Member) -> SendPermit {
-        self.check_service(&member.server.service).acquire_send(member)
+        self.availability_check(&member.server.service).acquire_send(member)
     }
 
     /// Why a request that is about to be sent to a server must not be sent, if the server became unavailable.
     pub(crate) fn stops_send(&self, member: &Member) -> Option<UnavailableCause> {
-        self.check_service(&member.server.service).availability(member).stops_send()
+        self.availability_check(&member.server.service).availability(member).stops_send()
     }
 }
 
@@ -95,8 +95,9 @@
             }
         });
         let zone = &member.server.zone;
-        let is_evacuated = self.is_any_evacuated && self.router.evacuations.is_evacuated(zone);
-        let signals = Signals { is_evacuated, drain: self.drain, rate, ..member.signals(self.now) };
+        let is_evacuated = self.has_evacuations && self.router.evacuations.is_evacuated(zone);
+        let signals =
+            Signals { is_evacuated, drain: self.drain_time, rate, ..member.signals(self.now) };
         decide(&signals, self.now)
     }
 
@@ -153,8 +154,8 @@
     /// The rate at which a server accepts requests from all entries: the smaller of its rate while cold and the
     /// rate that it advertises. `None` if only its slots limit it.
     fn rate(&self, member: &Member, advertised: &KnownLimit) -> Option<Rate> {
-        let cold = self.cold.filter(|terms| self.is_cold(member, terms));
-        let cold = cold.map(|terms| terms.sends_per_second);
+        let cold = self.cold_start_limit.filter(|terms| self.is_cold(member, terms));
+        let cold = cold.map(|limit| limit.sends_per_second);
         cold.into_iter().chain(advertised.rate()).reduce(Rate::min)
     }
 
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -77,7 +77,7 @@
     ctx: &RequestContext,
     params: AttemptParams<'_>,
 ) -> Option<(UnavailableCause, Duration)> {
-    let check = router.check_service(&ctx.service);
+    let check = router.availability_check(&ctx.service);
     let fleet = router.fleet.load();
     let members = eligible_servers(router, ctx, params, &fleet).into_iter();
     let waits = members.filter_map(|member| {
@@ -97,7 +97,7 @@
     service: &str,
     members: Vec<&'a Arc<Member>>,
 ) -> Vec<&'a Arc<Member>> {
-    let check = router.check_service(service);
+    let check = router.availability_check(service);
     let checked = members.into_iter().map(|member| (member, check.availability(member)));
     let (mut usable, closed): (Vec<_>, Vec<_>) =
         checked.partition(|(_, availability)| !matches!(availability, Availability::Closed { .. }));
