--- a/src/router/availability.rs
+++ b/src/router/availability.rs
@@ -44,11 +44,16 @@
 #[derive(Debug)]
 pub(crate) struct AvailabilityCheck<'a> {
     router: &'a Router,
+    /// Limit on a cold server of the service; `None` if its servers start warm.
     cold_start_limit: Option<ColdStartLimit>,
+    /// Limits that servers advertise; `None` if there are none.
     advertised_limits: Option<LimitView<'a>>,
+    /// This entry's rank among the entries; read only if there is a limit to share.
     place: Option<Place>,
     has_evacuations: bool,
+    /// For how long a draining server continues to serve.
     drain_time: Duration,
+    /// Time of the check, on the entry's clock.
     now: Duration,
 }
 
