--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -163,7 +163,7 @@
             time_left: ctx.time_left(router),
             model: params.model,
             priority: ctx.priority(),
-            last_event_id: params.last_event,
+            last_event_id: params.last_event_id,
         },
         is_once_only: !ctx.route.is_idempotent(),
         latency_key: key,
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -52,7 +52,7 @@
     let mut res = response_with_head(&response.head);
     let (tx, rx) = mpsc::channel(RELAY_QUEUE);
     let timing = StreamTiming::new(ctx.arrived_at);
-    let relay = Relay { router: router.clone(), ctx, model, tx, last_event: None, timing };
+    let relay = Relay { router: router.clone(), ctx, model, tx, last_event_id: None, timing };
     let relay_task = tokio::spawn(relay.run(response));
     *res.body_mut() = ResponseBody::Stream(StreamBody::new(rx, relay_task));
     Ok(res)
@@ -205,7 +205,7 @@
     model: Option<Box<str>>,
     tx: mpsc::Sender<StreamPart>,
     /// Id of the last event that was relayed.
-    last_event: Option<u64>,
+    last_event_id: Option<u64>,
     timing: StreamTiming,
 }
 
@@ -227,7 +227,7 @@
                 return;
             }
             self.record_stream_error(&server, &e).await;
-            let (id, events) = (&self.ctx.req.head.id, self.last_event);
+            let (id, events) = (&self.ctx.req.head.id, self.last_event_id);
             event::STREAM_BROKEN.log(format_args!(
                 "request={id} fingerprint={} server={} last_event={events:?} cause=\"{e}\"",
                 self.ctx.fingerprint(),
@@ -269,8 +269,8 @@
 
     /// Parameters for resuming the stream at another server.
     fn attempt_params(&self) -> AttemptParams<'_> {
-        let last_event = self.last_event.or(self.ctx.req.head.last_event_id);
-        AttemptParams { model: self.model.as_deref(), last_event }
+        let last_event_id = self.last_event_id.or(self.ctx.req.head.last_event_id);
+        AttemptParams { model: self.model.as_deref(), last_event_id }
     }
 
     /// Relays the events of one server until its stream is complete.
@@ -314,7 +314,7 @@
                 self.check_order(event.id)?;
                 let sent = self.tx.send(StreamPart::Events(event.bytes)).await;
                 sent.map_err(|_| StreamError::CallerGone)?;
-                self.last_event = event.id.or(self.last_event);
+                self.last_event_id = event.id.or(self.last_event_id);
                 self.timing.record_event(self.router.now());
                 self.check_pace(&response, &mut run);
             }
@@ -352,7 +352,7 @@
     }
 
     fn latency_key(&self) -> &str {
-        latency_key(&self.ctx, AttemptParams { model: self.model.as_deref(), last_event: None })
+        latency_key(&self.ctx, AttemptParams { model: self.model.as_deref(), last_event_id: None })
     }
 
     /// Records the latency of a complete stream in metrics, and logs it if it missed its route's objectives.
@@ -381,7 +381,7 @@
 
     /// Checks that no event is missing between the last one and the one with this id.
     fn check_order(&self, id: Option<u64>) -> Result<(), StreamError> {
-        match (id, self.last_event) {
+        match (id, self.last_event_id) {
             (Some(id), Some(last)) if id != last + 1 => Err(StreamError::MissingEvent),
             _ => Ok(()),
         }
--- a/src/router/stages.rs
+++ b/src/router/stages.rs
@@ -36,7 +36,7 @@
     loop {
         let model = cascade.get(stage).filter(|_| ctx.req.head.model.is_none()).cloned();
         let params =
-            AttemptParams { model: model.as_deref(), last_event: ctx.req.head.last_event_id };
+            AttemptParams { model: model.as_deref(), last_event_id: ctx.req.head.last_event_id };
         let next = send_with_failover(router, ctx, params).await;
         ctx.head_deadline = None;
         let has_begun =
