--- a/src/router/request_context.rs
+++ b/src/router/request_context.rs
@@ -141,6 +141,6 @@
 pub(crate) struct AttemptParams<'a> {
     /// Model chosen by the cascade.
     pub(crate) model: Option<&'a str>,
-    /// Last event that the caller has received, after which a resumed stream continues.
+    /// Id of the last event that the caller has received, after which a resumed stream continues.
     pub(crate) last_event_id: Option<u64>,
 }
