--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -162,14 +162,15 @@
     plan: &AttemptPlan<'_>,
     can_fail_over: impl FnMut() -> bool,
 ) -> Result<OpenResponse, AttemptError> {
-    let prefill_time = router.readings.get(plan.latency_key).prefill_time(plan.uncached_tokens);
+    let prefill_time =
+        router.speed_estimates.get(plan.latency_key).prefill_time(plan.uncached_tokens);
     let ahead = plan.member.backlog(router.now());
     let mut outstanding = OutstandingGuard::new(plan.member, prefill_time);
     let sent_at = router.now();
     record_prompt_sent(router, plan);
     router.count_unavailable_send(plan.member, ctx.send_kind());
     // The runtime's clock stops during a suspension of the Host, which says nothing about the server's speed.
-    let began = Instant::now();
+    let started_at = Instant::now();
     let outcome = send_request(router, ctx, plan, can_fail_over).await;
     if let Err(e) = &outcome {
         record_error(router, plan.member, e);
@@ -181,10 +182,10 @@
     let (parts, body) = res.into_parts();
     let head = parse_response_head(parts.status, &parts.headers, &ctx.req.head.id);
     record_response_head(router, plan.member, &head, &ctx.req.head.id, sent_at);
-    let (tokens, took) = (plan.uncached_tokens, began.elapsed());
-    let is_slow = router.readings.get(plan.latency_key).is_slow_head(tokens, took);
+    let (tokens, elapsed) = (plan.uncached_tokens, started_at.elapsed());
+    let is_slow = router.speed_estimates.get(plan.latency_key).is_slow_head(tokens, elapsed);
     if head.kind == ResponseKind::Success {
-        router.readings.record_head_time(plan.latency_key, tokens, ahead, took);
+        router.speed_estimates.record_head_time(plan.latency_key, tokens, ahead, elapsed);
     }
     if let Some(load) = head.load {
         plan.member.state().load.record_report(load, router.now());
@@ -207,7 +208,9 @@
     drop(state);
     if let Some(prefix) = to_report {
         let tokens = u32::try_from(prefix.tokens).unwrap_or(u32::MAX);
-        router.kept.record_own(ReportedPrefix(plan.member.short_hash(), prefix.hash, tokens), now);
+        router
+            .prefix_reports
+            .record_own(ReportedPrefix(plan.member.short_hash(), prefix.hash, tokens), now);
     }
 }
 
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -34,7 +34,7 @@
 
 /// Sends a request to servers until one succeeds. If none does, returns the last failure response of a server, or
 /// else a refusal.
-pub(crate) async fn send_until_answered(
+pub(crate) async fn send_with_failover(
     router: &Router,
     ctx: &mut RequestContext,
     params: AttemptParams<'_>,
@@ -141,7 +141,7 @@
 ) -> Result<OpenResponse, AttemptError> {
     let allows_failover = ctx.route.is_idempotent() && ctx.runs_left() > 1;
     let key = latency_key(ctx, params);
-    let timing = router.readings.get(key);
+    let timing = router.speed_estimates.get(key);
     let prefixes = prefixes(ctx, params);
     let prompt_tokens = ctx.req.head.prompt_tokens;
     let cached_prefix_count = member.state().prefixes.cached_prefix_count(&prefixes);
@@ -163,7 +163,7 @@
             time_left: ctx.time_left(router),
             model: params.model,
             priority: ctx.priority(),
-            last_event_id: params.last_event,
+            last_event_id: params.last_event_id,
         },
         is_once_only: !ctx.route.is_idempotent(),
         latency_key: key,
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -16,7 +16,7 @@
         EventSplitter, Member, Router,
         attempt::OpenResponse,
         body::{ResponseBody, StreamBody, StreamPart},
-        dispatch::{reserve_failover, send_until_answered},
+        dispatch::{reserve_failover, send_with_failover},
         refusal::Refusal,
         request_context::{AttemptParams, RequestContext},
         response_wait::{ResponseWait, wait_for_response},
@@ -52,7 +52,7 @@
     let mut res = response_with_head(&response.head);
     let (tx, rx) = mpsc::channel(RELAY_QUEUE);
     let timing = StreamTiming::new(ctx.arrived_at);
-    let relay = Relay { router: router.clone(), ctx, model, tx, last_event: None, timing };
+    let relay = Relay { router: router.clone(), ctx, model, tx, last_event_id: None, timing };
     let relay_task = tokio::spawn(relay.run(response));
     *res.body_mut() = ResponseBody::Stream(StreamBody::new(rx, relay_task));
     Ok(res)
@@ -64,7 +64,7 @@
     ctx: &mut RequestContext,
 ) -> Result<Response<ResponseBody>, Refusal> {
     loop {
-        let response = send_until_answered(router, ctx, AttemptParams::default()).await?;
+        let response = send_with_failover(router, ctx, AttemptParams::default()).await?;
         let server = response.member.clone();
         match read_until_deadline(router, ctx, response).await {
             Some(Ok(res)) => return Ok(res),
@@ -99,7 +99,7 @@
 
 /// A response with the status and headers of a server's response and an empty body.
 fn response_with_head(head: &ResponseHead) -> Response<ResponseBody> {
-    let mut res = Response::new(ResponseBody::whole(""));
+    let mut res = Response::new(ResponseBody::buffered(""));
     *res.status_mut() = head.status;
     *res.headers_mut() = head.headers.clone();
     res
@@ -122,7 +122,7 @@
         router.roll_outs.record_outcome(&response.member.server, outcome);
     }
     router.record_complete_answer(ctx);
-    *res.body_mut() = ResponseBody::whole(body.to_bytes());
+    *res.body_mut() = ResponseBody::buffered(body.to_bytes());
     response.finish(router.now());
     Ok(res)
 }
@@ -205,7 +205,7 @@
     model: Option<Box<str>>,
     tx: mpsc::Sender<StreamPart>,
     /// Id of the last event that was relayed.
-    last_event: Option<u64>,
+    last_event_id: Option<u64>,
     timing: StreamTiming,
 }
 
@@ -227,7 +227,7 @@
                 return;
             }
             self.record_stream_error(&server, &e).await;
-            let (id, events) = (&self.ctx.req.head.id, self.last_event);
+            let (id, events) = (&self.ctx.req.head.id, self.last_event_id);
             event::STREAM_BROKEN.log(format_args!(
                 "request={id} fingerprint={} server={} last_event={events:?} cause=\"{e}\"",
                 self.ctx.fingerprint(),
@@ -263,14 +263,14 @@
         }
         let model = self.model.clone();
         let params = AttemptParams { model: model.as_deref(), ..self.attempt_params() };
-        let response = send_until_answered(&self.router, &mut self.ctx, params).await.ok()?;
+        let response = send_with_failover(&self.router, &mut self.ctx, params).await.ok()?;
         (response.head.kind == ResponseKind::Success).then_some(response)
     }
 
     /// Parameters for resuming the stream at another server.
     fn attempt_params(&self) -> AttemptParams<'_> {
-        let last_event = self.last_event.or(self.ctx.req.head.last_event_id);
-        AttemptParams { model: self.model.as_deref(), last_event }
+        let last_event_id = self.last_event_id.or(self.ctx.req.head.last_event_id);
+        AttemptParams { model: self.model.as_deref(), last_event_id }
     }
 
     /// Relays the events of one server until its stream is complete.
@@ -314,7 +314,7 @@
                 self.check_order(event.id)?;
                 let sent = self.tx.send(StreamPart::Events(event.bytes)).await;
                 sent.map_err(|_| StreamError::CallerGone)?;
-                self.last_event = event.id.or(self.last_event);
+                self.last_event_id = event.id.or(self.last_event_id);
                 self.timing.record_event(self.router.now());
                 self.check_pace(&response, &mut run);
             }
@@ -340,7 +340,7 @@
         // Slow runs are included in the mean: without them it would fall, and more runs would count as slow. A
         // version that is being rolled out must not influence the mean that it is measured by.
         if run.gaps > 0 && !roll_outs.is_on_trial(server) {
-            self.router.readings.record_pace(self.latency_key(), run.elapsed() / run.gaps);
+            self.router.speed_estimates.record_pace(self.latency_key(), run.elapsed() / run.gaps);
         }
         if !run.is_counted {
             roll_outs.record_outcome(server, RunOutcome::Good);
@@ -348,11 +348,11 @@
     }
 
     fn timing(&self) -> TimingEstimate {
-        self.router.readings.get(self.latency_key())
+        self.router.speed_estimates.get(self.latency_key())
     }
 
     fn latency_key(&self) -> &str {
-        latency_key(&self.ctx, AttemptParams { model: self.model.as_deref(), last_event: None })
+        latency_key(&self.ctx, AttemptParams { model: self.model.as_deref(), last_event_id: None })
     }
 
     /// Records the latency of a complete stream in metrics, and logs it if it missed its route's objectives.
@@ -381,7 +381,7 @@
 
     /// Checks that no event is missing between the last one and the one with this id.
     fn check_order(&self, id: Option<u64>) -> Result<(), StreamError> {
-        match (id, self.last_event) {
+        match (id, self.last_event_id) {
             (Some(id), Some(last)) if id != last + 1 => Err(StreamError::MissingEvent),
             _ => Ok(()),
         }
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -77,7 +77,7 @@
     ctx: &RequestContext,
     params: AttemptParams<'_>,
 ) -> Option<(UnavailableCause, Duration)> {
-    let check = router.check_service(&ctx.service);
+    let check = router.availability_check(&ctx.service);
     let fleet = router.fleet.load();
     let members = eligible_servers(router, ctx, params, &fleet).into_iter();
     let waits = members.filter_map(|member| {
@@ -97,7 +97,7 @@
     service: &str,
     members: Vec<&'a Arc<Member>>,
 ) -> Vec<&'a Arc<Member>> {
-    let check = router.check_service(service);
+    let check = router.availability_check(service);
     let checked = members.into_iter().map(|member| (member, check.availability(member)));
     let (mut usable, closed): (Vec<_>, Vec<_>) =
         checked.partition(|(_, availability)| !matches!(availability, Availability::Closed { .. }));
@@ -137,7 +137,7 @@
     ctx: &RequestContext,
     params: AttemptParams<'_>,
 ) -> ExpectedLatency {
-    let timing = router.readings.get(latency_key(ctx, params));
+    let timing = router.speed_estimates.get(latency_key(ctx, params));
     let prompt_tokens = ctx.req.head.prompt_tokens;
     let (ahead, cached_tokens) = match select_server(router, ctx, params, |_| true) {
         Some(member) => {
@@ -168,7 +168,7 @@
     params: AttemptParams<'_>,
 ) -> PlacementRequest {
     let key = latency_key(ctx, params);
-    let prefill_token_time = router.readings.get(key).prefill_token_time();
+    let prefill_token_time = router.speed_estimates.get(key).prefill_token_time();
     let bytes = ctx.req.body.len();
     let parts = &ctx.req.head.prompt_parts;
     let request_hash = hash_id(&ctx.req.head.id);
