--- a/src/router/roll_out_state.rs
+++ b/src/router/roll_out_state.rs
@@ -138,6 +138,7 @@
         is_running && !is_past_trial(self.age(now), self.order.duration, terms)
     }
 
+    /// Tests this entry's evidence and holds back the version if it is bad.
     pub(super) fn evaluate(&mut self) {
         self.test.observe(self.old, self.new, &GUARD);
         if self.test.finding(&GUARD) == Finding::Worse {
@@ -153,6 +154,7 @@
         self.others.values().fold((self.old, self.new), sum)
     }
 
+    /// Tests the evidence of all entries and holds back the version if it is bad.
     pub(super) fn evaluate_pooled(&mut self) {
         let (old, new) = self.pooled();
         self.pooled_test.observe(old, new, &GUARD);
@@ -179,6 +181,7 @@
         ));
     }
 
+    /// This entry's evidence, for its next report.
     pub(super) fn evidence(&self) -> VersionEvidence {
         VersionEvidence {
             service: self.order.service.clone(),
@@ -196,6 +199,7 @@
         new.answers >= MIN_ANSWERS && !tests.iter().any(|t| t.is_suspicious(&GUARD))
     }
 
+    /// The verdict that this entry can give now, if any.
     pub(super) fn verdict(&self, now: Duration, terms: &ExposureConfig) -> Option<Verdict> {
         if self.progress != RollOutProgress::Running {
             return None;
