--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -30,7 +30,7 @@
         Fleet, evacuations::Evacuations, load_reports::LoadReports, own_place::OwnPlace,
         peer_link::PeerLink, prefix_reports::PrefixReports, quarantine_row::TrialRequest,
         roll_out::RollOuts, shared_limits::SharedLimits, shared_quarantine::SharedQuarantine,
-        speed_estimates::SpeedEstimates, table_views::TableViews,
+        table_views::TableViews, timing_estimates::SpeedEstimates,
     },
     routing::{Route, RoutingTable},
     settings::RouteSettings,
