--- a/src/router/advertised_limits.rs
+++ b/src/router/advertised_limits.rs
@@ -60,9 +60,10 @@
 
     /// Logs that a server's limit has changed or has been lifted.
     fn log_limit(&self, changed: RateChange, source: Source) {
-        let RateChange { life, before, rate } = changed;
+        let RateChange { incarnation, before, rate } = changed;
         let fleet = self.fleet.load();
-        let server = fleet.by_incarnation(life).map_or("not in view", |member| &member.server.id);
+        let server =
+            fleet.by_incarnation(incarnation).map_or("not in view", |member| &member.server.id);
         let Some(rate) = rate else {
             event::RATE_LIMIT_ENDED
                 .log(format_args!("server={server} before={before:?} source={source:?}"));
--- a/src/router/availability.rs
+++ b/src/router/availability.rs
@@ -147,7 +147,7 @@
     /// What is known about the rate limit that a server advertises.
     fn advertised(&self, member: &Member) -> KnownLimit {
         let view = self.advertised_limits.as_ref();
-        view.map(|view| view.belief(member.incarnation_hash())).unwrap_or_default()
+        view.map(|view| view.limit(member.incarnation_hash())).unwrap_or_default()
     }
 
     /// The rate at which a server accepts requests from all entries: the smaller of its rate while cold and the
--- a/src/router/own_place.rs
+++ b/src/router/own_place.rs
@@ -11,25 +11,25 @@
 /// This entry's rank as reported by the seeds.
 #[derive(Debug, Default)]
 pub(crate) struct OwnPlace {
-    belief: Mutex<PlaceTracker>,
+    tracker: Mutex<PlaceTracker>,
 }
 
 impl OwnPlace {
     /// Records a rank reported by a seed.
     pub(crate) fn record(&self, reported: ReportedPlace, now: Duration) {
         let ReportedPlace { rank, entries, sees_all } = reported;
-        let mut belief = self.belief.lock().expect("no code panics while holding this lock");
-        belief.update(Place { rank, entries }, sees_all, now);
+        let mut tracker = self.tracker.lock().expect("no code panics while holding this lock");
+        tracker.update(Place { rank, entries }, sees_all, now);
     }
 
     /// Last reported number of entries that share, also before the rank is settled.
     pub(crate) fn entries(&self) -> Option<u32> {
-        self.belief.lock().expect("no code panics while holding this lock").entries()
+        self.tracker.lock().expect("no code panics while holding this lock").entries()
     }
 
     /// This entry's rank; none until it is settled.
     fn get(&self, now: Duration) -> Option<Place> {
-        self.belief.lock().expect("no code panics while holding this lock").get(now)
+        self.tracker.lock().expect("no code panics while holding this lock").get(now)
     }
 }
 
--- a/src/router/quarantine.rs
+++ b/src/router/quarantine.rs
@@ -27,23 +27,24 @@
 impl Router {
     /// Whether a request may be sent, is suspected or is refused, based on the servers that crashed
     /// during it.
-    pub(crate) fn standing(&self, ctx: &RequestContext) -> QuarantineStatus {
+    pub(crate) fn quarantine_status(&self, ctx: &RequestContext) -> QuarantineStatus {
         if self.quarantine.is_idle() {
             return QuarantineStatus::Free;
         }
-        self.quarantine.standing(&ctx.fingerprint(), self.now())
+        self.quarantine.status(&ctx.fingerprint(), self.now())
     }
 
     /// Whether a request is refused because of the servers that crashed during it.
     pub(crate) fn is_refused(&self, ctx: &RequestContext) -> bool {
-        !ctx.is_quarantine_trial && matches!(self.standing(ctx), QuarantineStatus::Refused { .. })
+        !ctx.is_quarantine_trial
+            && matches!(self.quarantine_status(ctx), QuarantineStatus::Refused { .. })
     }
 
     /// Claims the trial of a refused request, which is made by a single entry. The store is asked
     /// only if a trial is due.
     pub(crate) async fn claim_trial(&self, ctx: &RequestContext) -> bool {
-        let is_due =
-            self.standing(ctx) == QuarantineStatus::Refused { trial_in: Some(Duration::ZERO) };
+        let is_due = self.quarantine_status(ctx)
+            == QuarantineStatus::Refused { trial_in: Some(Duration::ZERO) };
         if !is_due {
             return false;
         }
@@ -77,14 +78,14 @@
 
     /// Records that a server answered a request completely, so the request does not crash servers.
     pub(crate) fn record_complete_answer(&self, ctx: &RequestContext) {
-        if self.standing(ctx) != QuarantineStatus::Free {
+        if self.quarantine_status(ctx) != QuarantineStatus::Free {
             self.quarantine.clear(ctx.fingerprint(), self.now());
         }
     }
 
     /// When the caller of a refused request may retry.
     pub(crate) fn refusal_retry_after(&self, ctx: &RequestContext) -> Duration {
-        match self.standing(ctx) {
+        match self.quarantine_status(ctx) {
             QuarantineStatus::Refused { trial_in: Some(trial_in) } => trial_in.max(MIN_RETRY_AFTER),
             _ => PERMANENT_RETRY_AFTER,
         }
--- a/src/router/quarantine_row.rs
+++ b/src/router/quarantine_row.rs
@@ -98,8 +98,8 @@
     }
 
     fn decode(&self, doc: &CaseDoc) -> Option<Case> {
-        let parse_end = |(life, ms): &(Box<str>, u64)| {
-            Some((IncarnationHash::from_str_radix(life, 16).ok()?, self.to_own(*ms)))
+        let parse_end = |(incarnation, ms): &(Box<str>, u64)| {
+            Some((IncarnationHash::from_str_radix(incarnation, 16).ok()?, self.to_own(*ms)))
         };
         Some(Case {
             fingerprint: Fingerprint(u128::from_str_radix(&doc.fingerprint, 16).ok()?),
@@ -124,8 +124,9 @@
     fn covers(&self, case: &Case) -> bool {
         let same_case = self.cases.iter().find(|stored| stored.fingerprint == case.fingerprint);
         same_case.is_some_and(|stored| {
-            let is_stored =
-                |life: &IncarnationHash| stored.ends.iter().any(|(known, _)| known == life);
+            let is_stored = |incarnation: &IncarnationHash| {
+                stored.ends.iter().any(|(known, _)| known == incarnation)
+            };
             let is_enough = stored.ends.len() >= MAX_ENDS;
             stored.trials >= case.trials
                 && (is_enough || case.ends.iter().all(|(l, _)| is_stored(l)))
@@ -134,8 +135,8 @@
 
     /// Whether the row has a case that was cleared since.
     fn has_cleared(&self, router: &Router) -> bool {
-        let standing = |case: &Case| router.quarantine.standing(&case.fingerprint, router.now());
-        self.cases.iter().any(|case| standing(case) == QuarantineStatus::Free)
+        let status = |case: &Case| router.quarantine.status(&case.fingerprint, router.now());
+        self.cases.iter().any(|case| status(case) == QuarantineStatus::Free)
     }
 
     /// Applies the row as the store returned it.
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -340,7 +340,9 @@
         // Slow runs are included in the mean: without them it would fall, and more runs would count as slow. A
         // version that is being rolled out must not influence the mean that it is measured by.
         if run.gaps > 0 && !roll_outs.is_on_trial(server) {
-            self.router.readings.record_pace(self.latency_key(), run.elapsed() / run.gaps);
+            self.router
+                .readings
+                .record_event_interval(self.latency_key(), run.elapsed() / run.gaps);
         }
         if !run.is_counted {
             roll_outs.record_outcome(server, RunOutcome::Good);
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -31,7 +31,7 @@
     let mut members = eligible_servers(router, ctx, params, &fleet);
     members.retain(|member| is_allowed(&member.server.id));
     let members = available_servers(router, &ctx.service, members);
-    if router.standing(ctx) != QuarantineStatus::Free {
+    if router.quarantine_status(ctx) != QuarantineStatus::Free {
         return select_for_suspect(ctx, &members).cloned();
     }
     let prefixes = prefixes(ctx, params);
--- a/src/router/shared_limits.rs
+++ b/src/router/shared_limits.rs
@@ -41,20 +41,20 @@
 pub(crate) struct LimitUpdate(IncarnationHash, u32, u32, Option<Rate>);
 
 impl LimitUpdate {
-    fn encode(life: IncarnationHash, news: LimitReport) -> Self {
-        Self(life, news.changes, news.repeats, news.rate)
+    fn encode(incarnation: IncarnationHash, report: LimitReport) -> Self {
+        Self(incarnation, report.changes, report.repeats, report.rate)
     }
 
     fn decode(self) -> (IncarnationHash, LimitReport) {
-        let Self(life, change, again, rate) = self;
+        let Self(incarnation, changes, repeats, rate) = self;
         let rate = rate.filter(|rate| rate.is_finite() && *rate > 0.0);
-        (life, LimitReport { changes: change, repeats: again, rate })
+        (incarnation, LimitReport { changes, repeats, rate })
     }
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct ServerLimit {
-    belief: KnownLimit,
+    limit: KnownLimit,
     /// Sequence number of the last change.
     sequence: u64,
     /// Whether the last change came from the server itself, not from another entry.
@@ -70,14 +70,14 @@
 
 impl Inner {
     fn rate_limited(&self) -> usize {
-        self.servers.values().filter(|known| known.belief.rate().is_some()).count()
+        self.servers.values().filter(|known| known.limit.rate().is_some()).count()
     }
 }
 
 /// A change of the rate that a server advertises.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RateChange {
-    pub(crate) life: IncarnationHash,
+    pub(crate) incarnation: IncarnationHash,
     pub(crate) before: Option<Rate>,
     pub(crate) rate: Option<Rate>,
 }
@@ -134,7 +134,7 @@
     /// change, if any.
     pub(crate) fn record_answer(
         &self,
-        life: IncarnationHash,
+        incarnation: IncarnationHash,
         advertised: AdvertisedLimit,
         sent_at: Duration,
         now: Duration,
@@ -142,14 +142,14 @@
         if self.rate_limited() == 0 && !matches!(advertised, AdvertisedLimit::Rate(_)) {
             return None;
         }
-        self.update(life, true, |belief| belief.record_answer(advertised, sent_at, now))
+        self.update(incarnation, true, |limit| limit.record_answer(advertised, sent_at, now))
     }
 
     /// Applies another entry's updates. Returns the changes.
     pub(crate) fn apply_updates(&self, reported: &[LimitUpdate], now: Duration) -> Vec<RateChange> {
         let apply = |reported: &LimitUpdate| {
-            let (life, news) = reported.decode();
-            self.update(life, false, |belief| belief.merge(news, now))
+            let (incarnation, report) = reported.decode();
+            self.update(incarnation, false, |limit| limit.merge(report, now))
         };
         reported.iter().filter_map(apply).collect()
     }
@@ -157,25 +157,25 @@
     /// Updates what is known of a server's limit and publishes a change.
     fn update(
         &self,
-        life: IncarnationHash,
+        incarnation: IncarnationHash,
         is_own: bool,
         apply: impl FnOnce(&mut KnownLimit) -> Option<LimitChange>,
     ) -> Option<RateChange> {
         let mut inner = self.lock();
-        let mut known = inner.servers.get(&life).copied().unwrap_or_default();
-        let before = known.belief.rate();
-        let change = apply(&mut known.belief);
+        let mut known = inner.servers.get(&incarnation).copied().unwrap_or_default();
+        let before = known.limit.rate();
+        let change = apply(&mut known.limit);
         let Some(change) = change else {
             // The update may have set the time of receipt, also without a change of the limit.
-            if let Some(stored) = inner.servers.get_mut(&life) {
-                stored.belief = known.belief;
+            if let Some(stored) = inner.servers.get_mut(&incarnation) {
+                stored.limit = known.limit;
             }
             return None;
         };
-        let rate = known.belief.rate();
+        let rate = known.limit.rate();
         (known.sequence, known.is_own) = (inner.next_sequence, is_own);
         inner.next_sequence += 1;
-        inner.servers.insert(life, known);
+        inner.servers.insert(incarnation, known);
         self.rate_limited.store(inner.rate_limited(), Ordering::Release);
         drop(inner);
         if change == LimitChange::Urgent {
@@ -184,7 +184,7 @@
                 self.own_urgent.send_modify(|changes| *changes += 1);
             }
         }
-        (before != rate).then_some(RateChange { life, before, rate })
+        (before != rate).then_some(RateChange { incarnation, before, rate })
     }
 
     /// Limits that this entry received from servers and that changed at `sequence` or later, and
@@ -216,8 +216,8 @@
         let next =
             changed.get(MAX_PER_MESSAGE).map_or(inner.next_sequence, |(_, known)| known.sequence);
         changed.truncate(MAX_PER_MESSAGE);
-        let reported = |(life, known): (&IncarnationHash, &ServerLimit)| {
-            Some(LimitUpdate::encode(*life, known.belief.report()?))
+        let reported = |(incarnation, known): (&IncarnationHash, &ServerLimit)| {
+            Some(LimitUpdate::encode(*incarnation, known.limit.report()?))
         };
         (changed.into_iter().filter_map(reported).collect(), next)
     }
@@ -225,12 +225,12 @@
     /// The limits section of the state dump.
     pub(crate) fn dump(&self, fleet: &Fleet, now: Duration) -> Value {
         let inner = self.lock();
-        let describe = |(life, known): (&IncarnationHash, &ServerLimit)| {
-            let member = fleet.by_incarnation(*life)?;
-            let received_ms = now.saturating_sub(known.belief.received_at()).as_millis() as u64;
+        let describe = |(incarnation, known): (&IncarnationHash, &ServerLimit)| {
+            let member = fleet.by_incarnation(*incarnation)?;
+            let received_ms = now.saturating_sub(known.limit.received_at()).as_millis() as u64;
             Some(json!({
                 "server": member.server.id,
-                "rate": known.belief.rate()?,
+                "rate": known.limit.rate()?,
                 "received_ms": received_ms,
                 "received_here": known.is_own,
             }))
@@ -241,8 +241,9 @@
     /// Removes limits of servers outside the fleet that were last updated more than [`RETENTION`]
     /// ago.
     pub(crate) fn forget_departed(&self, fleet: &Fleet, now: Duration) {
-        let is_kept = |life: &IncarnationHash, known: &mut ServerLimit| {
-            fleet.by_incarnation(*life).is_some() || now < known.belief.received_at() + RETENTION
+        let is_kept = |incarnation: &IncarnationHash, known: &mut ServerLimit| {
+            fleet.by_incarnation(*incarnation).is_some()
+                || now < known.limit.received_at() + RETENTION
         };
         let mut inner = self.lock();
         inner.servers.retain(is_kept);
@@ -258,7 +259,7 @@
 
 impl LimitView<'_> {
     /// What is known of the limit of one incarnation of a server.
-    pub(crate) fn belief(&self, life: IncarnationHash) -> KnownLimit {
-        self.inner.servers.get(&life).map(|known| known.belief).unwrap_or_default()
+    pub(crate) fn limit(&self, incarnation: IncarnationHash) -> KnownLimit {
+        self.inner.servers.get(&incarnation).map(|known| known.limit).unwrap_or_default()
     }
 }
--- a/src/router/shared_quarantine.rs
+++ b/src/router/shared_quarantine.rs
@@ -43,19 +43,19 @@
         let age_ms =
             |at: &Duration| u32::try_from(now.saturating_sub(*at).as_millis()).unwrap_or(u32::MAX);
         let Fingerprint(fingerprint) = note.fingerprint();
-        let (life, age_ms) = match note {
-            Note::End { incarnation: life, at, .. } => (*life, Some(age_ms(at))),
-            Note::Cleared { incarnation: life, .. } => (*life, None),
+        let (incarnation, age_ms) = match note {
+            Note::End { incarnation, at, .. } => (*incarnation, Some(age_ms(at))),
+            Note::Cleared { incarnation, .. } => (*incarnation, None),
         };
-        Self((fingerprint >> 64) as u64, fingerprint as u64, life, age_ms)
+        Self((fingerprint >> 64) as u64, fingerprint as u64, incarnation, age_ms)
     }
 
     fn decode(self, now: Duration) -> Note {
-        let Self(high, low, life, age_ms) = self;
+        let Self(high, low, incarnation, age_ms) = self;
         let fingerprint = Fingerprint(u128::from(high) << 64 | u128::from(low));
         match age_ms.map(u64::from).map(Duration::from_millis) {
-            Some(age) => Note::End { fingerprint, incarnation: life, at: now.saturating_sub(age) },
-            None => Note::Cleared { fingerprint, incarnation: life },
+            Some(age) => Note::End { fingerprint, incarnation, at: now.saturating_sub(age) },
+            None => Note::Cleared { fingerprint, incarnation },
         }
     }
 }
@@ -112,7 +112,7 @@
     }
 
     /// Whether a request may be sent, is suspected or is refused.
-    pub(crate) fn standing(&self, fingerprint: &Fingerprint, now: Duration) -> QuarantineStatus {
+    pub(crate) fn status(&self, fingerprint: &Fingerprint, now: Duration) -> QuarantineStatus {
         self.lock().quarantine.status(fingerprint, now)
     }
 
@@ -129,8 +129,8 @@
     /// Records that a server crashed while these requests ran on it, as connections to its address
     /// show. `listed` is the incarnation in the server list; the one that crashed may be newer.
     pub(crate) fn record_ends(&self, all: &[Fingerprint], listed: IncarnationHash, at: Duration) {
-        let life = self.lock().quarantine.incarnation_of_end(listed, at);
-        self.record_listed_ends(all, life, at);
+        let incarnation = self.lock().quarantine.incarnation_of_end(listed, at);
+        self.record_listed_ends(all, incarnation, at);
     }
 
     /// Records that this incarnation of a server crashed while these requests ran on it, as the
@@ -139,21 +139,21 @@
     pub(crate) fn record_listed_ends(
         &self,
         all: &[Fingerprint],
-        life: IncarnationHash,
+        incarnation: IncarnationHash,
         at: Duration,
     ) {
-        let note = |f: &Fingerprint| Note::End { fingerprint: *f, incarnation: life, at };
+        let note = |f: &Fingerprint| Note::End { fingerprint: *f, incarnation, at };
         self.apply(all.iter().map(note), true, at);
     }
 
     /// Clears a request, because a server answered it completely or an operator released it.
     /// Returns whether it was suspected.
     pub(crate) fn clear(&self, fingerprint: Fingerprint, now: Duration) -> bool {
-        let standing = self.standing(&fingerprint, now);
-        if standing == QuarantineStatus::Free {
+        let status = self.status(&fingerprint, now);
+        if status == QuarantineStatus::Free {
             return false;
         }
-        if matches!(standing, QuarantineStatus::Refused { .. }) {
+        if matches!(status, QuarantineStatus::Refused { .. }) {
             self.is_row_stale.store(true, Ordering::Release);
         }
         let clearing_notes = self.lock().quarantine.clearing_notes(fingerprint);
@@ -179,8 +179,8 @@
             }
             is_new = true;
             let fingerprint = case.fingerprint;
-            for (life, at) in &case.ends {
-                let note = Note::End { fingerprint, incarnation: *life, at: *at };
+            for (incarnation, at) in &case.ends {
+                let note = Note::End { fingerprint, incarnation: *incarnation, at: *at };
                 inner.all.push(note, now);
                 // The entry that wrote the row may not have informed the others.
                 inner.own.push(note, now);
@@ -244,8 +244,8 @@
     /// Starts the trial of a refused request, if it is due. Returns the case to be stored.
     pub(crate) fn begin_trial(&self, fingerprint: &Fingerprint, now: Duration) -> Option<Case> {
         let mut inner = self.lock();
-        let standing = inner.quarantine.status(fingerprint, now);
-        let is_due = standing == QuarantineStatus::Refused { trial_in: Some(Duration::ZERO) };
+        let status = inner.quarantine.status(fingerprint, now);
+        let is_due = status == QuarantineStatus::Refused { trial_in: Some(Duration::ZERO) };
         if !is_due {
             return None;
         }
@@ -353,9 +353,9 @@
         cases.sort_by_key(|case| !is_refused(&self.quarantine, &case.fingerprint, now));
         let notes = cases.iter().flat_map(|case| {
             let fingerprint = case.fingerprint;
-            case.ends.iter().map(move |(life, at)| Note::End {
+            case.ends.iter().map(move |(incarnation, at)| Note::End {
                 fingerprint,
-                incarnation: *life,
+                incarnation: *incarnation,
                 at: *at,
             })
         });
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -30,7 +30,7 @@
         Fleet, evacuations::Evacuations, load_reports::LoadReports, own_place::OwnPlace,
         peer_link::PeerLink, prefix_reports::PrefixReports, quarantine_row::TrialRequest,
         roll_out::RollOuts, shared_limits::SharedLimits, shared_quarantine::SharedQuarantine,
-        table_views::TableViews, timing_estimates::SpeedEstimates,
+        table_views::TableViews, timing_estimates::TimingEstimates,
     },
     routing::{Route, RoutingTable},
     settings::RouteSettings,
@@ -91,7 +91,7 @@
     /// Requests during which servers crashed, as entries report them to each other.
     pub(crate) quarantine: SharedQuarantine,
     /// Measured speed of the models.
-    pub(crate) readings: SpeedEstimates,
+    pub(crate) readings: TimingEstimates,
     /// The link to another entry that this one follows instead of the store.
     pub(crate) link: PeerLink,
     /// Prometheus metrics.
@@ -136,7 +136,7 @@
             retry_budgets: Mutex::default(),
             extra_share: Mutex::new(ExtraShare::new(CLOCK_ORIGIN)),
             overloads: Mutex::default(),
-            readings: SpeedEstimates::default(),
+            readings: TimingEstimates::default(),
             lifecycle: Mutex::new(lifecycle::start()),
             in_flight: AtomicUsize::new(0),
             view_changed: Notify::new(),
--- a/src/router/timing_estimates.rs
+++ b/src/router/timing_estimates.rs
@@ -10,11 +10,11 @@
 
 /// Estimates by model, or by service if it has no models.
 #[derive(Debug, Default)]
-pub(crate) struct SpeedEstimates {
+pub(crate) struct TimingEstimates {
     by_key: Mutex<HashMap<Box<str>, TimingEstimate>>,
 }
 
-impl SpeedEstimates {
+impl TimingEstimates {
     fn lock(&self) -> MutexGuard<'_, HashMap<Box<str>, TimingEstimate>> {
         self.by_key.lock().expect("no code panics while holding this lock")
     }
@@ -37,7 +37,7 @@
     }
 
     /// Learns from the mean time between two events of a stream.
-    pub(crate) fn record_pace(&self, key: &str, pace: Duration) {
-        self.lock().entry(key.into()).or_default().record_event_interval(pace);
+    pub(crate) fn record_event_interval(&self, key: &str, interval: Duration) {
+        self.lock().entry(key.into()).or_default().record_event_interval(interval);
     }
 }
