--- a/src/router/shared_limits.rs
+++ b/src/router/shared_limits.rs
@@ -34,7 +34,7 @@
 /// may be in transit, or the server list may be late.
 const RETENTION: Duration = Duration::from_secs(60);
 
-/// Encoded limit of a server: the hash of its incarnation, the two counters of [`LimitNews`], and
+/// Encoded limit of a server: the hash of its incarnation, the two counters of [`LimitReport`], and
 /// the rate, or none where the limit has ended. Encoded without field names it takes 22 bytes
 /// instead of 60.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
--- a/src/router/shared_quarantine.rs
+++ b/src/router/shared_quarantine.rs
@@ -33,8 +33,8 @@
 const URGENT_FROM: usize = 2;
 
 /// Encoded [`Note`]: the fingerprint in two halves, the hash of the server's incarnation, and the
-/// age of the crash in milliseconds, or none where the crash is annulled. Encoded without field
-/// names it takes 32 bytes instead of 70.
+/// age of the crash in milliseconds, or none if it no longer counts because the request was
+/// cleared. Encoded without field names it takes 32 bytes instead of 70.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct QuarantineUpdate(u64, u64, IncarnationHash, Option<u32>);
 
