--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -341,7 +341,8 @@
         // version that is being rolled out must not influence the mean that it is measured by.
         if run.gaps > 0 && !roll_outs.is_on_trial(server) {
             self.router
-                .speed_estimates.record_event_interval(self.latency_key(), run.elapsed() / run.gaps);
+                .speed_estimates
+                .record_event_interval(self.latency_key(), run.elapsed() / run.gaps);
         }
         if !run.is_counted {
             roll_outs.record_outcome(server, RunOutcome::Good);
