--- a/src/router/roll_out.rs
+++ b/src/router/roll_out.rs
@@ -54,14 +54,14 @@
 #[derive(Debug)]
 pub struct RollOuts {
     inner: Arc<Mutex<Inner>>,
-    terms: ExposureConfig,
+    config: ExposureConfig,
     order_found: Notify,
 }
 
 impl RollOuts {
-    /// No roll-outs; `terms` set how the share of a new version grows.
-    pub fn new(terms: ExposureConfig) -> Self {
-        Self { inner: Arc::default(), terms, order_found: Notify::new() }
+    /// No roll-outs; `config` sets how the share of a new version grows.
+    pub fn new(config: ExposureConfig) -> Self {
+        Self { inner: Arc::default(), config, order_found: Notify::new() }
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Inner> {
@@ -192,7 +192,7 @@
     ) -> VersionRule {
         let inner = self.lock();
         let roll_out = inner.roll_outs.get(service);
-        roll_out.map_or(VersionRule::Any, |roll_out| roll_out.version_rule(head, now, &self.terms))
+        roll_out.map_or(VersionRule::Any, |roll_out| roll_out.version_rule(head, now, &self.config))
     }
 
     /// Logs a request of a session that is sent to a version on trial. The logs of all entries then
@@ -210,7 +210,7 @@
         let Some(roll_out) = inner.roll_outs.get(&server.service) else {
             return;
         };
-        if roll_out.order.to != server.version || !roll_out.is_on_trial(now, &self.terms) {
+        if roll_out.order.to != server.version || !roll_out.is_on_trial(now, &self.config) {
             return;
         }
         let (request, service, version) = (&head.id, &server.service, &server.version);
@@ -338,6 +338,10 @@
     /// Verdicts that this entry can give now.
     pub(crate) fn verdicts(&self, now: Duration) -> Vec<Verdict> {
         let inner = self.lock();
-        inner.roll_outs.values().filter_map(|roll_out| roll_out.verdict(now, &self.terms)).collect()
+        inner
+            .roll_outs
+            .values()
+            .filter_map(|roll_out| roll_out.verdict(now, &self.config))
+            .collect()
     }
 }
--- a/src/router/roll_out_state.rs
+++ b/src/router/roll_out_state.rs
@@ -103,7 +103,7 @@
         &self,
         head: &RequestHead,
         now: Duration,
-        terms: &ExposureConfig,
+        config: &ExposureConfig,
     ) -> VersionRule {
         let new = VersionRule::Only(self.order.to.clone());
         let old = VersionRule::Except(self.order.to.clone());
@@ -113,10 +113,10 @@
             RollOutProgress::Running if self.is_held || !self.has_servers => return old,
             RollOutProgress::Running => {}
         }
-        let (elapsed, within) = (self.age(now), self.order.duration);
+        let (elapsed, duration) = (self.age(now), self.order.duration);
         let share = match head.session {
-            Some(_) => session_share(elapsed, within, terms),
-            None => request_share(elapsed, within, terms),
+            Some(_) => session_share(elapsed, duration, config),
+            None => request_share(elapsed, duration, config),
         };
         if is_in_share(head.session_key(), &self.order.to, share) { new } else { old }
     }
@@ -133,9 +133,9 @@
 
     /// Whether it is in the trial phase, in which only a small share of the requests runs on the
     /// new version.
-    pub(super) fn is_on_trial(&self, now: Duration, terms: &ExposureConfig) -> bool {
+    pub(super) fn is_on_trial(&self, now: Duration, config: &ExposureConfig) -> bool {
         let is_running = self.progress == RollOutProgress::Running;
-        is_running && !is_past_trial(self.age(now), self.order.duration, terms)
+        is_running && !is_past_trial(self.age(now), self.order.duration, config)
     }
 
     /// Tests this entry's evidence and holds back the version if it is bad.
@@ -200,14 +200,14 @@
     }
 
     /// The verdict that this entry can give now, if any.
-    pub(super) fn verdict(&self, now: Duration, terms: &ExposureConfig) -> Option<Verdict> {
+    pub(super) fn verdict(&self, now: Duration, config: &ExposureConfig) -> Option<Verdict> {
         if self.progress != RollOutProgress::Running {
             return None;
         }
         let elapsed = self.age(now);
         let progress = if self.is_held {
             RollOutProgress::RolledBack
-        } else if may_complete(elapsed, self.order.duration, terms) && self.is_proven_good() {
+        } else if may_complete(elapsed, self.order.duration, config) && self.is_proven_good() {
             RollOutProgress::Completed
         } else {
             return None;
