--- a/src/agent/driver.rs
+++ b/src/agent/driver.rs
@@ -124,7 +124,7 @@
     let Some(body) = engine_body(start, version, resume) else {
         return Outcome::Failed { problem: "body is not JSON".into(), status: 0 };
     };
-    let uri = format!("{}/v1/chat/completions", agent.settings.backend);
+    let uri = format!("{}/v1/chat/completions", agent.settings.backend_url);
     let res = match open(agent, Method::POST, &uri, request_headers(start), body).await {
         Ok(res) => res,
         Err(outcome) => return outcome,
@@ -259,7 +259,7 @@
     let Ok(method) = Method::from_bytes(method.as_bytes()) else {
         return Outcome::Failed { problem: "unknown method".into(), status: 0 };
     };
-    let uri = format!("{}/{path}", agent.settings.backend);
+    let uri = format!("{}/{path}", agent.settings.backend_url);
     let mut headers = request_headers(start);
     if let Some(value) = content_type.as_deref().and_then(|t| HeaderValue::from_str(t).ok()) {
         headers.insert("content-type", value);
--- a/src/agent/orders.rs
+++ b/src/agent/orders.rs
@@ -45,7 +45,7 @@
     let Some((wanted, fencing)) = declared(&snapshot, &agent.settings.server) else {
         return Ok(());
     };
-    let uri = format!("{}/v1/engine/state", agent.settings.backend);
+    let uri = format!("{}/v1/engine/state", agent.settings.backend_url);
     let state: EngineOrder = agent.http.call_json(Method::GET, &uri, &(), TIMEOUT).await?;
     let mut loaded = state.versions;
     loaded.sort();
@@ -53,7 +53,7 @@
     if loaded == wanted || state.fencing > fencing {
         return Ok(());
     }
-    let uri = format!("{}/v1/engine/orders", agent.settings.backend);
+    let uri = format!("{}/v1/engine/orders", agent.settings.backend_url);
     let order = EngineOrder { fencing, versions: wanted };
     let body = serde_json::to_vec(&order).unwrap_or_default();
     let mut headers = http::HeaderMap::new();
--- a/src/entry/api.rs
+++ b/src/entry/api.rs
@@ -49,7 +49,7 @@
 
 /// Reads a body up to the limit.
 async fn read_body(entry: &Entry, req: Request) -> Result<Bytes, ApiError> {
-    let limit = entry.settings.max_body;
+    let limit = entry.settings.max_body_bytes;
     axum::body::to_bytes(req.into_body(), limit).await.map_err(|_| ApiError::too_large(limit))
 }
 
--- a/src/settings/process.rs
+++ b/src/settings/process.rs
@@ -12,11 +12,11 @@
     telemetry::log::{LogFormat, LogLevel},
 };
 
-const ANY_LOOPBACK: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-const ADDRESS: &str = "an IP address and port such as `10.0.0.1:7000`";
-const URL: &str = "a base URL such as `http://10.0.0.1:7000`";
-const MILLISECONDS: &str = "a whole number of milliseconds above 0";
-const KEY_MIN_BYTES: usize = 16;
+const LOOPBACK_ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+const EXPECTED_ADDRESS: &str = "an IP address and port such as `10.0.0.1:7000`";
+const EXPECTED_URL: &str = "a base URL such as `http://10.0.0.1:7000`";
+const EXPECTED_MILLISECONDS: &str = "a whole number of milliseconds above 0";
+const MIN_KEY_BYTES: usize = 16;
 
 /// Where the platform's services are.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -72,7 +72,7 @@
     /// Requests in flight before new ones are shed.
     pub max_in_flight: usize,
     /// Largest request body, bytes.
-    pub max_body: usize,
+    pub max_body_bytes: usize,
     /// Charge records kept in memory while the object store is down.
     pub max_waiting_charges: usize,
     /// Time a planned stop may take.
@@ -105,7 +105,7 @@
     /// Full name of the BackendServer beside this process.
     pub server: ServerId,
     /// Base URL of the BackendServer.
-    pub backend: Box<str>,
+    pub backend_url: Box<str>,
     /// Attempts handed to the BackendServer at a time at most.
     pub max_running: u32,
     /// Attempts queued at most.
@@ -132,23 +132,23 @@
 /// Everything wrong with the text at once.
 pub fn load_entry(file: &str, text: &str) -> Result<EntrySettings, SettingsError> {
     let mut r = Reader::parse(file, text)?;
-    let host = get_word(&mut r, "process.host");
-    let region = get_word(&mut r, "process.region");
-    let zone = get_word(&mut r, "process.zone");
-    let caller = r.get("listen.caller", ADDRESS, None);
-    let operator = r.get("listen.operator", ADDRESS, None);
-    let admin = r.get("listen.admin", ADDRESS, Some(ANY_LOOPBACK));
+    let host = get_name(&mut r, "process.host");
+    let region = get_name(&mut r, "process.region");
+    let zone = get_name(&mut r, "process.zone");
+    let caller = r.get("listen.caller", EXPECTED_ADDRESS, None);
+    let operator = r.get("listen.operator", EXPECTED_ADDRESS, None);
+    let admin = r.get("listen.admin", EXPECTED_ADDRESS, Some(LOOPBACK_ANY_PORT));
     let platform = read_platform(&mut r);
     let link_key = read_key(&mut r, "keys.link");
     let session_key = read_key(&mut r, "keys.session");
     let root_key = read_optional_key(&mut r, "keys.root");
-    let heartbeat = get_time(&mut r, "control.heartbeat_ms", 2_000);
-    let poll = get_time(&mut r, "control.poll_ms", 1_000);
+    let heartbeat = get_duration(&mut r, "control.heartbeat_ms", 2_000);
+    let poll = get_duration(&mut r, "control.poll_ms", 1_000);
     let max_links = get_count(&mut r, "control.max_links", 40);
     let max_in_flight = get_count(&mut r, "limits.max_in_flight", 4_096);
-    let max_body = get_count(&mut r, "limits.max_body_bytes", 1 << 20);
+    let max_body_bytes = get_count(&mut r, "limits.max_body_bytes", 1 << 20);
     let max_waiting_charges = get_count(&mut r, "limits.max_waiting_charges", 200_000);
-    let grace = get_time(&mut r, "stop.grace_ms", 30_000);
+    let grace = get_duration(&mut r, "stop.grace_ms", 30_000);
     let tls = read_tls(&mut r);
     let (log_level, log_format) = read_log(&mut r);
     r.finish()?;
@@ -156,9 +156,9 @@
         host,
         region,
         zone,
-        caller: checked(caller),
-        operator: checked(operator),
-        admin: checked(admin),
+        caller: expect_present(caller),
+        operator: expect_present(operator),
+        admin: expect_present(admin),
         platform,
         link_key,
         session_key,
@@ -167,7 +167,7 @@
         poll,
         max_links,
         max_in_flight,
-        max_body,
+        max_body_bytes,
         max_waiting_charges,
         grace,
         tls,
@@ -182,38 +182,38 @@
 /// Everything wrong with the text at once.
 pub fn load_agent(file: &str, text: &str) -> Result<AgentSettings, SettingsError> {
     let mut r = Reader::parse(file, text)?;
-    let host = get_word(&mut r, "process.host");
-    let region = get_word(&mut r, "process.region");
-    let zone = get_word(&mut r, "process.zone");
-    let link = r.get("listen.link", ADDRESS, None);
-    let admin = r.get("listen.admin", ADDRESS, Some(ANY_LOOPBACK));
+    let host = get_name(&mut r, "process.host");
+    let region = get_name(&mut r, "process.region");
+    let zone = get_name(&mut r, "process.zone");
+    let link = r.get("listen.link", EXPECTED_ADDRESS, None);
+    let admin = r.get("listen.admin", EXPECTED_ADDRESS, Some(LOOPBACK_ANY_PORT));
     let platform = read_platform(&mut r);
     let link_key = read_key(&mut r, "keys.link");
-    let server = get_word(&mut r, "backend.server");
+    let server = get_name(&mut r, "backend.server");
     if !server.is_empty() && server.matches('/').count() != 1 {
-        r.complain_about("backend.server", "must be a full name `partner/server`");
+        r.add_problem_at_key("backend.server", "must be a full name `partner/server`");
     }
-    let backend = get_url(&mut r, "backend.url");
+    let backend_url = get_url(&mut r, "backend.url");
     let max_running = r.get("backend.max_running", "a whole number above 0", Some(16));
     let max_queued = get_count(&mut r, "limits.max_queued", 256);
-    let token_target = get_time(&mut r, "backend.token_target_ms", 80);
-    let heartbeat = get_time(&mut r, "control.heartbeat_ms", 2_000);
+    let token_target = get_duration(&mut r, "backend.token_target_ms", 80);
+    let heartbeat = get_duration(&mut r, "control.heartbeat_ms", 2_000);
     let max_waiting_charges = get_count(&mut r, "limits.max_waiting_charges", 100_000);
-    let entry_lost_after = get_time(&mut r, "control.entry_lost_after_ms", 20_000);
-    let grace = get_time(&mut r, "stop.grace_ms", 30_000);
+    let entry_lost_after = get_duration(&mut r, "control.entry_lost_after_ms", 20_000);
+    let grace = get_duration(&mut r, "stop.grace_ms", 30_000);
     let (log_level, log_format) = read_log(&mut r);
     r.finish()?;
     Ok(AgentSettings {
         host,
         region,
         zone,
-        link: checked(link),
-        admin: checked(admin),
+        link: expect_present(link),
+        admin: expect_present(admin),
         platform,
         link_key,
         server,
-        backend,
-        max_running: checked(max_running).max(1),
+        backend_url,
+        max_running: expect_present(max_running).max(1),
         max_queued,
         token_target,
         heartbeat,
@@ -226,31 +226,31 @@
 }
 
 /// A value whose absence has been reported as a problem, so `finish` has already failed.
-fn checked<T>(value: Option<T>) -> T {
+fn expect_present<T>(value: Option<T>) -> T {
     value.expect("finish fails when a value is missing")
 }
 
-fn get_word(r: &mut Reader<'_>, key: &str) -> Box<str> {
-    let word: String = r.get(key, "a name", None).unwrap_or_default();
-    word.into()
+fn get_name(r: &mut Reader<'_>, key: &str) -> Box<str> {
+    let name: String = r.get(key, "a name", None).unwrap_or_default();
+    name.into()
 }
 
 fn get_url(r: &mut Reader<'_>, key: &str) -> Box<str> {
-    let text: Option<String> = r.get(key, URL, None);
+    let text: Option<String> = r.get(key, EXPECTED_URL, None);
     let Some(text) = text else {
         return Box::default();
     };
     let is_http = text.starts_with("http://") || text.starts_with("https://");
     if !is_http || text.parse::<http::Uri>().is_err() {
-        r.complain_about(key, &format!("`{text}` is wrong; must be {URL}"));
+        r.add_problem_at_key(key, &format!("`{text}` is wrong; must be {EXPECTED_URL}"));
     }
     text.trim_end_matches('/').into()
 }
 
-fn get_time(r: &mut Reader<'_>, key: &str, default_ms: u64) -> Duration {
-    let ms = r.get(key, MILLISECONDS, Some(default_ms)).unwrap_or(default_ms);
+fn get_duration(r: &mut Reader<'_>, key: &str, default_ms: u64) -> Duration {
+    let ms = r.get(key, EXPECTED_MILLISECONDS, Some(default_ms)).unwrap_or(default_ms);
     if ms == 0 {
-        r.complain_about(key, &format!("must be {MILLISECONDS}"));
+        r.add_problem_at_key(key, &format!("must be {EXPECTED_MILLISECONDS}"));
     }
     Duration::from_millis(ms)
 }
@@ -258,7 +258,7 @@
 fn get_count(r: &mut Reader<'_>, key: &str, default: usize) -> usize {
     let count = r.get(key, "a whole number above 0", Some(default)).unwrap_or(default);
     if count == 0 {
-        r.complain_about(key, "must be a whole number above 0");
+        r.add_problem_at_key(key, "must be a whole number above 0");
     }
     count
 }
@@ -279,7 +279,7 @@
         (Some(certificate), Some(key)) => Some(TlsSettings { certificate, key }),
         (None, None) => None,
         _ => {
-            r.complain_about("tls", "needs both `certificate_file` and `key_file`, or neither");
+            r.add_problem_at_key("tls", "needs both `certificate_file` and `key_file`, or neither");
             None
         }
     }
@@ -295,7 +295,7 @@
     match read_optional_key(r, key) {
         Some(value) => value,
         None => {
-            r.complain_about(key, &format!("is missing; give `{key}_file`, a file with the key, or its environment variable"));
+            r.add_problem_at_key(key, &format!("is missing; give `{key}_file`, a file with the key, or its environment variable"));
             Box::default()
         }
     }
@@ -304,23 +304,26 @@
 /// Keys come from `NAME_file` or the environment variable of `NAME`, never from the text itself.
 fn read_optional_key(r: &mut Reader<'_>, key: &str) -> Option<Box<str>> {
     let file_key = format!("{key}_file");
-    let name = format!("MINTMOOR_{}", key.replace('.', "_").to_uppercase());
-    let from_env = std::env::var(name).ok();
+    let variable = format!("MINTMOOR_{}", key.replace('.', "_").to_uppercase());
+    let from_env = std::env::var(variable).ok();
     let file: Option<PathBuf> = r.get_optional(&file_key, "a file that holds the key");
     let text = match (from_env, file) {
         (Some(text), _) => text,
         (None, Some(path)) => match std::fs::read_to_string(&path) {
             Ok(text) => text,
             Err(e) => {
-                r.complain_about(&file_key, &format!("can't be read: {e}"));
+                r.add_problem_at_key(&file_key, &format!("can't be read: {e}"));
                 return Some(Box::default());
             }
         },
         (None, None) => return None,
     };
     let text = text.trim();
-    if text.len() < KEY_MIN_BYTES {
-        r.complain_about(&file_key, &format!("must hold a key of {KEY_MIN_BYTES} bytes or more"));
+    if text.len() < MIN_KEY_BYTES {
+        r.add_problem_at_key(
+            &file_key,
+            &format!("must hold a key of {MIN_KEY_BYTES} bytes or more"),
+        );
     }
     Some(text.into())
 }
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -14,19 +14,26 @@
     file: &'a str,
     text: &'a str,
     root: DeTable<'a>,
-    read: Vec<Box<str>>,
+    known_keys: Vec<Box<str>>,
     problems: Vec<SettingsProblem>,
-    env: fn(&str) -> Option<String>,
+    read_env: fn(&str) -> Option<String>,
 }
 
 impl<'a> Reader<'a> {
     /// Parses the text; a syntax error ends the reading at once.
     pub(super) fn parse(file: &'a str, text: &'a str) -> Result<Self, SettingsError> {
-        let env = |name: &str| std::env::var(name).ok();
+        let read_env = |name: &str| std::env::var(name).ok();
         match DeTable::parse(text) {
             Ok(root) => {
                 let root = root.into_inner();
-                Ok(Self { file, text, root, read: Vec::new(), problems: Vec::new(), env })
+                Ok(Self {
+                    file,
+                    text,
+                    root,
+                    known_keys: Vec::new(),
+                    problems: Vec::new(),
+                    read_env,
+                })
             }
             Err(e) => {
                 let line = line_of(text, e.span().unwrap_or_default().start);
@@ -41,22 +48,22 @@
     pub(super) fn get<T: FromStr>(
         &mut self,
         key: &str,
-        wants: &str,
+        expected: &str,
         default: Option<T>,
     ) -> Option<T>
     where
         T::Err: std::fmt::Display,
     {
-        self.read.push(key.into());
+        self.known_keys.push(key.into());
         let (text, line) = match self.find_text(key) {
-            Found::Text(text, line) => (text, line),
-            Found::Other(line) => {
-                self.complain(line, key, &format!("must be {wants}"));
+            Lookup::Scalar(text, line) => (text, line),
+            Lookup::NotScalar(line) => {
+                self.add_problem(line, key, &format!("must be {expected}"));
                 return None;
             }
-            Found::Nothing => {
+            Lookup::Missing => {
                 if default.is_none() {
-                    self.complain(1, key, &format!("is missing; must be {wants}"));
+                    self.add_problem(1, key, &format!("is missing; must be {expected}"));
                 }
                 return default;
             }
@@ -64,42 +71,46 @@
         match text.parse() {
             Ok(value) => Some(value),
             Err(e) => {
-                self.complain(line, key, &format!("`{text}` is wrong ({e}); must be {wants}"));
+                self.add_problem(
+                    line,
+                    key,
+                    &format!("`{text}` is wrong ({e}); must be {expected}"),
+                );
                 None
             }
         }
     }
 
     /// Reads a key that may be left out.
-    pub(super) fn get_optional<T: FromStr>(&mut self, key: &str, wants: &str) -> Option<T>
+    pub(super) fn get_optional<T: FromStr>(&mut self, key: &str, expected: &str) -> Option<T>
     where
         T::Err: std::fmt::Display,
     {
-        let missing = matches!(self.find_text(key), Found::Nothing);
+        let missing = matches!(self.find_text(key), Lookup::Missing);
         if missing {
-            self.read.push(key.into());
+            self.known_keys.push(key.into());
             return None;
         }
-        self.get(key, wants, None)
+        self.get(key, expected, None)
     }
 
     /// Notes a problem that more than one key makes.
-    pub(super) fn complain_about(&mut self, key: &str, problem: &str) {
+    pub(super) fn add_problem_at_key(&mut self, key: &str, problem: &str) {
         let line = self.line_of_key(key);
-        self.complain(line, key, problem);
+        self.add_problem(line, key, problem);
     }
 
     /// Ends the reading: unknown keys are problems too.
     pub(super) fn finish(mut self) -> Result<(), SettingsError> {
         let mut unknown = Vec::new();
-        collect_unknown(&self.root, "", &self.read, &mut unknown);
+        collect_unknown(&self.root, "", &self.known_keys, &mut unknown);
         for (key, span) in unknown {
             let line = line_of(self.text, span.start);
-            let problem = match nearest(&key, &self.read) {
-                Some(near) => format!("is not a key; did you mean `{near}`?"),
+            let problem = match closest_known_key(&key, &self.known_keys) {
+                Some(known) => format!("is not a key; did you mean `{known}`?"),
                 None => "is not a key".into(),
             };
-            self.complain(line, &key, &problem);
+            self.add_problem(line, &key, &problem);
         }
         if self.problems.is_empty() {
             return Ok(());
@@ -108,31 +119,31 @@
         Err(SettingsError { file: self.file.into(), problems: self.problems })
     }
 
-    fn complain(&mut self, line: usize, key: &str, problem: &str) {
+    fn add_problem(&mut self, line: usize, key: &str, problem: &str) {
         let problem = SettingsProblem { line, key: key.into(), problem: problem.into() };
         self.problems.push(problem);
     }
 
     /// An environment variable goes before the file: `MINTMOOR_LISTEN_CALLER` for `listen.caller`.
-    fn find_text(&self, key: &str) -> Found {
+    fn find_text(&self, key: &str) -> Lookup {
         let name = format!("MINTMOOR_{}", key.replace('.', "_").to_uppercase());
-        if let Some(text) = (self.env)(&name) {
-            return Found::Text(text, 0);
+        if let Some(text) = (self.read_env)(&name) {
+            return Lookup::Scalar(text, 0);
         }
-        let Some(value) = self.find(key) else {
-            return Found::Nothing;
+        let Some(value) = self.find_value(key) else {
+            return Lookup::Missing;
         };
         let line = line_of(self.text, value.span().start);
         match value.get_ref() {
-            DeValue::String(text) => Found::Text(text.to_string(), line),
-            DeValue::Integer(number) => Found::Text(number.to_string(), line),
-            DeValue::Float(number) => Found::Text(number.to_string(), line),
-            DeValue::Boolean(flag) => Found::Text(flag.to_string(), line),
-            _ => Found::Other(line),
+            DeValue::String(text) => Lookup::Scalar(text.to_string(), line),
+            DeValue::Integer(number) => Lookup::Scalar(number.to_string(), line),
+            DeValue::Float(number) => Lookup::Scalar(number.to_string(), line),
+            DeValue::Boolean(flag) => Lookup::Scalar(flag.to_string(), line),
+            _ => Lookup::NotScalar(line),
         }
     }
 
-    fn find(&self, key: &str) -> Option<&Spanned<DeValue<'a>>> {
+    fn find_value(&self, key: &str) -> Option<&Spanned<DeValue<'a>>> {
         let mut table = &self.root;
         let (path, last) = key.rsplit_once('.').unwrap_or(("", key));
         for part in path.split('.').filter(|part| !part.is_empty()) {
@@ -142,46 +153,46 @@
     }
 
     fn line_of_key(&self, key: &str) -> usize {
-        self.find(key).map_or(1, |value| line_of(self.text, value.span().start))
+        self.find_value(key).map_or(1, |value| line_of(self.text, value.span().start))
     }
 }
 
-enum Found {
-    Text(String, usize),
-    Other(usize),
-    Nothing,
+enum Lookup {
+    Scalar(String, usize),
+    NotScalar(usize),
+    Missing,
 }
 
-fn line_of(text: &str, at: usize) -> usize {
-    text[..at.min(text.len())].matches('\n').count() + 1
+fn line_of(text: &str, offset: usize) -> usize {
+    text[..offset.min(text.len())].matches('\n').count() + 1
 }
 
 fn collect_unknown(
     table: &DeTable<'_>,
     prefix: &str,
-    read: &[Box<str>],
+    known_keys: &[Box<str>],
     unknown: &mut Vec<(Box<str>, Range<usize>)>,
 ) {
     for (key, value) in table {
         let path: Box<str> = format!("{prefix}{}", key.get_ref()).into();
-        let is_section = read.iter().any(|known| known.starts_with(&format!("{path}.")));
+        let is_section = known_keys.iter().any(|known| known.starts_with(&format!("{path}.")));
         match value.get_ref().as_table() {
             Some(inner) if is_section => {
-                collect_unknown(inner, &format!("{path}."), read, unknown);
+                collect_unknown(inner, &format!("{path}."), known_keys, unknown);
             }
-            _ if read.contains(&path) => {}
+            _ if known_keys.contains(&path) => {}
             _ => unknown.push((path, key.span())),
         }
     }
 }
 
 /// The known key that shares the most with an unknown one, if they share enough.
-fn nearest(key: &str, known: &[Box<str>]) -> Option<Box<str>> {
-    let shared = |other: &str| {
-        let front = key.bytes().zip(other.bytes()).take_while(|(a, b)| a == b).count();
-        let back = key.bytes().rev().zip(other.bytes().rev()).take_while(|(a, b)| a == b).count();
-        front + back
+fn closest_known_key(key: &str, known_keys: &[Box<str>]) -> Option<Box<str>> {
+    let common_len = |other: &str| {
+        let prefix = key.bytes().zip(other.bytes()).take_while(|(a, b)| a == b).count();
+        let suffix = key.bytes().rev().zip(other.bytes().rev()).take_while(|(a, b)| a == b).count();
+        prefix + suffix
     };
-    let best = known.iter().max_by_key(|other| shared(other))?;
-    (shared(best) * 3 >= key.len() * 2).then(|| best.clone())
+    let best = known_keys.iter().max_by_key(|other| common_len(other))?;
+    (common_len(best) * 3 >= key.len() * 2).then(|| best.clone())
 }
--- a/src/settings/route.rs
+++ b/src/settings/route.rs
@@ -31,78 +31,78 @@
 /// Everything wrong with the text at once.
 pub fn load_route(file: &str, text: &str) -> Result<RouteSettings, SettingsError> {
     let mut r = Reader::parse(file, text)?;
-    let given = RouteSettings::default();
-    let cascade = given.escalation;
+    let defaults = RouteSettings::default();
+    let cascade = defaults.escalation;
     let escalation = EscalationConfig {
-        confident: number(&mut r, "cascade.confident", cascade.confident, 100.0),
-        confident_under_pressure: number(
+        confident: get_number(&mut r, "cascade.confident", cascade.confident, 100.0),
+        confident_under_pressure: get_number(
             &mut r,
             "cascade.confident_under_pressure",
             cascade.confident_under_pressure,
             100.0,
         ),
-        confident_if_late: number(
+        confident_if_late: get_number(
             &mut r,
             "cascade.confident_if_late",
             cascade.confident_if_late,
             100.0,
         ),
-        pressure_from: number(&mut r, "cascade.pressure_from", cascade.pressure_from, 10.0),
-        pressure_full: number(&mut r, "cascade.pressure_full", cascade.pressure_full, 10.0),
+        pressure_from: get_number(&mut r, "cascade.pressure_from", cascade.pressure_from, 10.0),
+        pressure_full: get_number(&mut r, "cascade.pressure_full", cascade.pressure_full, 10.0),
     };
-    let shares = given.exposure;
+    let shares = defaults.exposure;
     let exposure = ExposureConfig {
-        trial_share: number(&mut r, "roll_out.trial_share", shares.trial_share, 1.0),
-        sessions_from: number(&mut r, "roll_out.sessions_from", shares.sessions_from, 1.0),
-        grows_from: number(&mut r, "roll_out.grows_from", shares.grows_from, 1.0),
-        all_from: number(&mut r, "roll_out.all_from", shares.all_from, 1.0),
-        complete_from: number(&mut r, "roll_out.complete_from", shares.complete_from, 1.0),
+        trial_share: get_number(&mut r, "roll_out.trial_share", shares.trial_share, 1.0),
+        sessions_from: get_number(&mut r, "roll_out.sessions_from", shares.sessions_from, 1.0),
+        grows_from: get_number(&mut r, "roll_out.grows_from", shares.grows_from, 1.0),
+        all_from: get_number(&mut r, "roll_out.all_from", shares.all_from, 1.0),
+        complete_from: get_number(&mut r, "roll_out.complete_from", shares.complete_from, 1.0),
     };
-    let costs = given.placement;
+    let costs = defaults.placement;
     let placement = PlacementConfig {
-        running: micros(&mut r, "placement.running_us", costs.running),
-        waiting: micros(&mut r, "placement.waiting_us", costs.waiting),
-        failure: micros(&mut r, "placement.failure_us", costs.failure),
-        far: micros(&mut r, "placement.far_us", costs.far),
-        far_kilobyte: micros(&mut r, "placement.far_kilobyte_us", costs.far_kilobyte),
-        spare_backlog: micros(&mut r, "placement.spare_backlog_us", costs.spare_backlog),
-        reread_token: micros(&mut r, "placement.reread_token_us", costs.reread_token),
-        choices: at_least_one(&mut r, "placement.choices", costs.choices),
+        running: get_micros(&mut r, "placement.running_us", costs.running),
+        waiting: get_micros(&mut r, "placement.waiting_us", costs.waiting),
+        failure: get_micros(&mut r, "placement.failure_us", costs.failure),
+        far: get_micros(&mut r, "placement.far_us", costs.far),
+        far_kilobyte: get_micros(&mut r, "placement.far_kilobyte_us", costs.far_kilobyte),
+        spare_backlog: get_micros(&mut r, "placement.spare_backlog_us", costs.spare_backlog),
+        reread_token: get_micros(&mut r, "placement.reread_token_us", costs.reread_token),
+        choices: get_positive(&mut r, "placement.choices", costs.choices),
     };
     let metrics_port = r.get_optional("listen.metrics_port", "a port number");
-    let wanted = "error, warn, info or debug";
-    let log_level = r.get("log.level", wanted, Some(given.log_level)).unwrap_or_default();
+    let expected = "error, warn, info or debug";
+    let log_level = r.get("log.level", expected, Some(defaults.log_level)).unwrap_or_default();
     if escalation.pressure_full <= escalation.pressure_from {
-        r.complain_about("cascade.pressure_full", "must be above `cascade.pressure_from`");
+        r.add_problem_at_key("cascade.pressure_full", "must be above `cascade.pressure_from`");
     }
-    let parts =
+    let thresholds =
         [exposure.sessions_from, exposure.grows_from, exposure.all_from, exposure.complete_from];
-    if !parts.is_sorted() {
-        let wanted = "`sessions_from`, `grows_from`, `all_from`, `complete_from` must not fall";
-        r.complain_about("roll_out", wanted);
+    if !thresholds.is_sorted() {
+        let problem = "`sessions_from`, `grows_from`, `all_from`, `complete_from` must not fall";
+        r.add_problem_at_key("roll_out", problem);
     }
     r.finish()?;
     Ok(RouteSettings { escalation, exposure, placement, metrics_port, log_level })
 }
 
-fn number(r: &mut Reader<'_>, key: &str, default: f64, most: f64) -> f64 {
+fn get_number(r: &mut Reader<'_>, key: &str, default: f64, max: f64) -> f64 {
     let value = r.get(key, "a number", Some(default)).unwrap_or(default);
-    if !(0.0..=most).contains(&value) {
-        r.complain_about(key, &format!("`{value}` is wrong; must be from 0 to {most}"));
+    if !(0.0..=max).contains(&value) {
+        r.add_problem_at_key(key, &format!("`{value}` is wrong; must be from 0 to {max}"));
     }
     value
 }
 
-fn at_least_one(r: &mut Reader<'_>, key: &str, default: usize) -> usize {
+fn get_positive(r: &mut Reader<'_>, key: &str, default: usize) -> usize {
     let value = r.get(key, "a whole number", Some(default)).unwrap_or(default);
     if value == 0 {
-        r.complain_about(key, "`0` is wrong; must be 1 or more");
+        r.add_problem_at_key(key, "`0` is wrong; must be 1 or more");
     }
     value
 }
 
-fn micros(r: &mut Reader<'_>, key: &str, default: Duration) -> Duration {
-    let given = u64::try_from(default.as_micros()).unwrap_or(u64::MAX);
-    let value = r.get(key, "a whole number of microseconds", Some(given)).unwrap_or(given);
-    Duration::from_micros(value)
+fn get_micros(r: &mut Reader<'_>, key: &str, default: Duration) -> Duration {
+    let default = u64::try_from(default.as_micros()).unwrap_or(u64::MAX);
+    let micros = r.get(key, "a whole number of microseconds", Some(default)).unwrap_or(default);
+    Duration::from_micros(micros)
 }
--- a/tests/links.rs
+++ b/tests/links.rs
@@ -28,7 +28,7 @@
         platform: platform.settings(),
         link_key: KEY.into(),
         server: "ricarica/engine-1".into(),
-        backend: "http://127.0.0.1:1".into(),
+        backend_url: "http://127.0.0.1:1".into(),
         max_running: 4,
         max_queued: 4,
         token_target: Duration::from_millis(80),
