--- a/src/agent/state.rs
+++ b/src/agent/state.rs
@@ -34,7 +34,7 @@
     },
     protocol::{LoadNow, Peer, Start, ToEntry, encode},
     settings::AgentSettings,
-    telemetry::{Metrics, admin::Admin},
+    telemetry::{Metrics, admin::AdminHandlers},
 };
 
 /// Weight of a new sample in running means.
@@ -275,12 +275,12 @@
     }
 
     /// What the admin address shows.
-    pub(crate) fn admin(self: &Arc<Self>) -> Admin {
+    pub(crate) fn admin(self: &Arc<Self>) -> AdminHandlers {
         let (ready, dumped, metrics) = (self.clone(), self.clone(), self.metrics.clone());
-        Admin {
-            render: Arc::new(move || metrics.render()),
+        AdminHandlers {
+            render_metrics: Arc::new(move || metrics.render()),
             is_ready: Arc::new(move || !ready.is_leaving()),
-            dump: Arc::new(move || dumped.dump()),
+            dump_state: Arc::new(move || dumped.dump()),
         }
     }
 
--- a/src/bin/mintmoor/app.rs
+++ b/src/bin/mintmoor/app.rs
@@ -71,5 +71,5 @@
 /// Sends log lines of at least `level` to standard error.
 pub(crate) fn install_log(level: &str) -> Result<()> {
     let level: LogLevel = level.parse().wrap_err("--log")?;
-    log::install(level, LogFormat::Text).wrap_err("log")
+    log::init_stderr(level, LogFormat::Text).wrap_err("log")
 }
--- a/src/bin/mintmoor/process.rs
+++ b/src/bin/mintmoor/process.rs
@@ -59,7 +59,7 @@
 /// Runs an entry until it is asked to stop.
 pub(crate) async fn run_entry(file: &str) -> Result<Ending> {
     let settings = load_entry(file, &read(file)?)?;
-    log::install(settings.log_level, settings.log_format)?;
+    log::init_stderr(settings.log_level, settings.log_format)?;
     let mut signals = StopSignals::listen()?;
     let running = entry::start(settings, RoutingPolicy::default()).await?;
     let at = running.addresses;
@@ -76,7 +76,7 @@
 /// Runs an agent until it is asked to stop.
 pub(crate) async fn run_agent(file: &str) -> Result<Ending> {
     let settings = load_agent(file, &read(file)?)?;
-    log::install(settings.log_level, settings.log_format)?;
+    log::init_stderr(settings.log_level, settings.log_format)?;
     let mut signals = StopSignals::listen()?;
     let running = agent::start(settings).await?;
     let at = running.addresses;
@@ -107,7 +107,7 @@
         Some(file) => load_route(file, &read(file)?)?,
         None => RouteSettings::default(),
     };
-    log::install_bounded(policy.log_level).wrap_err("log")?;
+    log::init_async_stdout(policy.log_level).wrap_err("log")?;
     let running = router::start(RouterSettings { host, policy }).await?;
     loop {
         tokio::select! {
--- a/src/control/config.rs
+++ b/src/control/config.rs
@@ -111,7 +111,7 @@
         }
         self.snapshot.store(log.snapshot());
         drop(log);
-        self.metrics.revision.set(i64::try_from(revision).unwrap_or(i64::MAX));
+        self.metrics.config_revision.set(i64::try_from(revision).unwrap_or(i64::MAX));
         self.revision.send_replace(revision);
         event::CONFIG_ADVANCED.log(format_args!("revision={revision}"));
         true
--- a/src/entry/state.rs
+++ b/src/entry/state.rs
@@ -42,7 +42,7 @@
     },
     protocol::Peer,
     settings::EntrySettings,
-    telemetry::{Metrics, admin::Admin},
+    telemetry::{Metrics, admin::AdminHandlers},
 };
 
 /// How long the first row of a group waits for others.
@@ -299,12 +299,12 @@
     }
 
     /// What the admin address shows.
-    pub(crate) fn admin(self: &Arc<Self>) -> Admin {
+    pub(crate) fn admin(self: &Arc<Self>) -> AdminHandlers {
         let (ready, dumped, metrics) = (self.clone(), self.clone(), self.metrics.clone());
-        Admin {
-            render: Arc::new(move || metrics.render()),
+        AdminHandlers {
+            render_metrics: Arc::new(move || metrics.render()),
             is_ready: Arc::new(move || ready.is_ready()),
-            dump: Arc::new(move || dumped.dump()),
+            dump_state: Arc::new(move || dumped.dump()),
         }
     }
 
--- a/src/router/announcements.rs
+++ b/src/router/announcements.rs
@@ -63,7 +63,7 @@
         for cause in UnavailableCause::ALL {
             let servers = closed.iter().filter(|(_, a)| a.is_closed_by(cause)).count() as u64;
             if servers > 0 {
-                self.metrics.count_avoided(cause.as_str(), servers);
+                self.metrics.count_avoided_servers(cause.as_str(), servers);
             }
         }
     }
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -52,7 +52,7 @@
         }
         match router.acquire_send(&member) {
             SendPermit::Unlimited => {}
-            SendPermit::Limited => router.metrics.count_limited(ctx.send_kind()),
+            SendPermit::Limited => router.metrics.count_limited_send(ctx.send_kind()),
             // The server became unavailable since it was selected; select again.
             SendPermit::Denied => continue,
         }
@@ -87,7 +87,7 @@
                 return Refusal::NotRun { retry_after };
             };
             if cause == UnavailableCause::RateLimited {
-                router.metrics.count_limited("refused");
+                router.metrics.count_limited_send("refused");
                 return Refusal::RateLimited { retry_after: retry_after.max(wait) };
             }
             // The spread in `retry_after` keeps callers from returning all at once when the first server is
--- a/src/router/observability.rs
+++ b/src/router/observability.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     router::Router,
-    telemetry::{admin::Admin, log::dropped_lines, metrics::ServiceLabels},
+    telemetry::{admin::AdminHandlers, log::dropped_lines, metrics::ServiceLabels},
 };
 
 impl Router {
@@ -14,7 +14,7 @@
     fn refresh_gauges(&self) {
         let now = self.now();
         let age = now.saturating_sub(self.views.answered_at()).as_millis();
-        self.metrics.feed_age.set(i64::try_from(age).unwrap_or(i64::MAX));
+        self.metrics.feed_age_ms.set(i64::try_from(age).unwrap_or(i64::MAX));
         let dropped = i64::try_from(dropped_lines()).unwrap_or(i64::MAX);
         self.metrics.log_lines_dropped.set(dropped);
         self.metrics.entries.set(self.entries().into());
@@ -47,15 +47,15 @@
     }
 
     /// Handlers for the admin address.
-    pub(crate) fn admin(self: &Arc<Self>) -> Admin {
+    pub(crate) fn admin(self: &Arc<Self>) -> AdminHandlers {
         let (ready, dumped, shown) = (self.clone(), self.clone(), self.clone());
-        Admin {
-            render: Arc::new(move || {
+        AdminHandlers {
+            render_metrics: Arc::new(move || {
                 shown.refresh_gauges();
                 shown.metrics.render()
             }),
             is_ready: Arc::new(move || ready.is_ready()),
-            dump: Arc::new(move || dumped.dump()),
+            dump_state: Arc::new(move || dumped.dump()),
         }
     }
 
--- a/src/router/orders.rs
+++ b/src/router/orders.rs
@@ -110,7 +110,7 @@
     if version == current {
         return;
     }
-    router.metrics.revision.set(i64::try_from(version).unwrap_or(i64::MAX));
+    router.metrics.config_revision.set(i64::try_from(version).unwrap_or(i64::MAX));
     router.set_table(table);
     event::CONFIG_ADVANCED.log(format_args!("version={version} before={current}"));
     if current == 0 {
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -330,7 +330,7 @@
         let mut retry_budgets = self.retry_budgets.lock().expect("no panics under the lock");
         let is_taken =
             retry_budgets.entry(service.into()).or_default().try_retry(&terms, self.now());
-        self.metrics.count_repeat(service, is_taken);
+        self.metrics.count_retry(service, is_taken);
         is_taken
     }
 
--- a/src/telemetry/log.rs
+++ b/src/telemetry/log.rs
@@ -28,16 +28,16 @@
 /// A word that names no log format or level.
 #[derive(Debug, thiserror::Error)]
 #[error("must be one of {0}")]
-pub struct UnknownWord(&'static str);
+pub struct UnknownValue(&'static str);
 
 impl FromStr for LogFormat {
-    type Err = UnknownWord;
+    type Err = UnknownValue;
 
-    fn from_str(text: &str) -> Result<Self, UnknownWord> {
+    fn from_str(text: &str) -> Result<Self, UnknownValue> {
         match text {
             "text" => Ok(Self::Text),
             "json" => Ok(Self::Json),
-            _ => Err(UnknownWord("text, json")),
+            _ => Err(UnknownValue("text, json")),
         }
     }
 }
@@ -53,15 +53,15 @@
 }
 
 impl FromStr for LogLevel {
-    type Err = UnknownWord;
+    type Err = UnknownValue;
 
-    fn from_str(text: &str) -> Result<Self, UnknownWord> {
+    fn from_str(text: &str) -> Result<Self, UnknownValue> {
         match text {
             "error" => Ok(Self(Level::Error)),
             "warn" => Ok(Self(Level::Warn)),
             "info" => Ok(Self(Level::Info)),
             "debug" => Ok(Self(Level::Debug)),
-            _ => Err(UnknownWord("error, warn, info, debug")),
+            _ => Err(UnknownValue("error, warn, info, debug")),
         }
     }
 }
@@ -70,7 +70,7 @@
 ///
 /// # Errors
 /// When the sink can't be made.
-pub fn install(level: LogLevel, format: LogFormat) -> Result<(), spdlog::Error> {
+pub fn init_stderr(level: LogLevel, format: LogFormat) -> Result<(), spdlog::Error> {
     let builder = StdStreamSink::builder().std_stream(StdStream::Stderr);
     let sink = match format {
         LogFormat::Text => builder.formatter(FullFormatter::new()).build_arc()?,
@@ -86,13 +86,13 @@
 }
 
 /// Lines that wait to be written; further ones are dropped and counted.
-const LINES_WAITING: usize = 2_048;
+const MAX_QUEUED_LINES: usize = 2_048;
 
-static DROPPED: AtomicU64 = AtomicU64::new(0);
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
 /// Lines dropped so far because too many waited.
 pub fn dropped_lines() -> u64 {
-    DROPPED.load(Ordering::Relaxed)
+    DROPPED_LINES.load(Ordering::Relaxed)
 }
 
 /// Sends the process's events to standard output as JSON, from a thread of its own, so that a
@@ -100,15 +100,15 @@
 ///
 /// # Errors
 /// When the sink can't be made.
-pub fn install_bounded(level: LogLevel) -> Result<(), spdlog::Error> {
+pub fn init_async_stdout(level: LogLevel) -> Result<(), spdlog::Error> {
     let out = StdStreamSink::builder()
         .std_stream(StdStream::Stdout)
         .formatter(JsonFormatter::new())
         .build_arc()?;
-    let capacity = NonZeroUsize::new(LINES_WAITING).expect("a constant above 0");
+    let capacity = NonZeroUsize::new(MAX_QUEUED_LINES).expect("a constant above 0");
     let pool = ThreadPool::builder().capacity(capacity).build_arc()?;
     let count: ErrorHandler = ErrorHandler::from(|_| {
-        DROPPED.fetch_add(1, Ordering::Relaxed);
+        DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
     });
     let sink = AsyncPoolSink::builder()
         .sink(out)
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -36,7 +36,7 @@
 
 /// Labels of a platform call that failed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct StoreLabels {
+pub struct PlatformCallLabels {
     /// What the call was for.
     pub cause: String,
 }
@@ -59,7 +59,7 @@
 
 /// Labels of a repeated send that was asked of the budget.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct RepeatLabels {
+pub struct RetryLabels {
     /// Service.
     pub service: String,
     /// Whether it was taken or denied.
@@ -68,14 +68,14 @@
 
 /// Labels of sends to servers that take few, cold ones or those that advertise a limit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct LimitedLabels {
+pub struct LimitedSendLabels {
     /// `first` or `further` of its request, or `refused` where no server took it.
     pub outcome: String,
 }
 
 /// Labels of sends to servers that have announced that they should get none.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct UnavailableLabels {
+pub struct UnavailableSendLabels {
     /// `draining` or `paused`.
     pub cause: String,
     /// `first` or `further` of its request.
@@ -84,20 +84,20 @@
 
 /// Labels of servers that are left out of a choice.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct CauseLabels {
+pub struct AvoidedServerLabels {
     /// Why the server is unavailable.
     pub cause: String,
 }
 
 /// Labels of headers that nothing reads.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct HeaderLabels {
+pub struct UnreadHeaderLabels {
     /// Name of the header.
     pub name: String,
 }
 
 /// Most names of unread headers that are distinguished.
-const MOST_UNREAD: usize = 32;
+const MAX_UNREAD_HEADER_NAMES: usize = 32;
 
 /// Labels of the evidence on a version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -127,7 +127,7 @@
     /// Log lines dropped because too many waited.
     pub log_lines_dropped: Gauge,
     /// Age of what the store last said, milliseconds.
-    pub feed_age: Gauge,
+    pub feed_age_ms: Gauge,
     /// Rows of BackendServers that can't be read now.
     pub rows_unreadable: Gauge,
     /// Entries that this one knows of.
@@ -145,22 +145,22 @@
     /// Repeated sends still allowed, by service.
     pub repeats_left: Family<ServiceLabels, Gauge>,
     /// Repeated sends asked of the budget, by service: taken or denied.
-    pub repeats: Family<RepeatLabels, Counter>,
+    pub repeats: Family<RetryLabels, Counter>,
     /// Servers that advertise a limit now.
     pub servers_rate_limited: Gauge,
     /// Sends to servers that take few.
-    pub limited_sends: Family<LimitedLabels, Counter>,
+    pub limited_sends: Family<LimitedSendLabels, Counter>,
     /// Servers in view that have announced that they are draining.
     pub servers_draining: Gauge,
     /// Servers in view that have asked for a pause that has not ended.
     pub servers_paused: Gauge,
     /// Sends to servers that have announced that they should get none.
-    pub unavailable_sends: Family<UnavailableLabels, Counter>,
+    pub unavailable_sends: Family<UnavailableSendLabels, Counter>,
     /// Servers left out of a choice since they are unavailable.
-    pub avoided: Family<CauseLabels, Counter>,
+    pub servers_avoided: Family<AvoidedServerLabels, Counter>,
     /// Answers with a header that nothing reads.
-    pub unread_headers: Family<HeaderLabels, Counter>,
-    unread_names: Arc<Mutex<BTreeSet<String>>>,
+    pub unread_headers: Family<UnreadHeaderLabels, Counter>,
+    unread_header_names: Arc<Mutex<BTreeSet<String>>>,
     /// Evidence on versions under roll-out.
     pub evidence: Family<EvidenceLabels, Gauge>,
     /// Requests or attempts in flight.
@@ -170,7 +170,7 @@
     /// Links up.
     pub links: Gauge,
     /// Configuration revision in force.
-    pub revision: Gauge,
+    pub config_revision: Gauge,
     /// Charge records waiting to be written.
     pub charges_waiting: Gauge,
     /// Charge records written.
@@ -178,9 +178,9 @@
     /// Control bytes sent over links: heartbeats and configuration.
     pub control_bytes: Counter,
     /// Calls to the table service, by cause.
-    pub store_calls: Family<StoreLabels, Counter>,
+    pub store_calls: Family<PlatformCallLabels, Counter>,
     /// Calls to the platform that failed, by cause.
-    pub store_errors: Family<StoreLabels, Counter>,
+    pub store_errors: Family<PlatformCallLabels, Counter>,
 }
 
 impl Default for Metrics {
@@ -193,7 +193,7 @@
             total_time: Histogram::new(exponential_buckets(0.005, 1.8, 16)),
             stages: Family::default(),
             log_lines_dropped: Gauge::default(),
-            feed_age: Gauge::default(),
+            feed_age_ms: Gauge::default(),
             rows_unreadable: Gauge::default(),
             entries: Gauge::default(),
             kept_notes_lost: Gauge::default(),
@@ -208,14 +208,14 @@
             servers_draining: Gauge::default(),
             servers_paused: Gauge::default(),
             unavailable_sends: Family::default(),
-            avoided: Family::default(),
+            servers_avoided: Family::default(),
             unread_headers: Family::default(),
-            unread_names: Arc::default(),
+            unread_header_names: Arc::default(),
             evidence: Family::default(),
             in_flight: Gauge::default(),
             queued: Gauge::default(),
             links: Gauge::default(),
-            revision: Gauge::default(),
+            config_revision: Gauge::default(),
             charges_waiting: Gauge::default(),
             charges_written: Counter::default(),
             control_bytes: Counter::default(),
@@ -239,7 +239,7 @@
         registry.register("stages", "Cascade stages by outcome", self.stages.clone());
         let dropped = self.log_lines_dropped.clone();
         registry.register("log_lines_dropped", "Log lines dropped", dropped);
-        registry.register("feed_age_ms", "Age of the store's last word", self.feed_age.clone());
+        registry.register("feed_age_ms", "Age of the store's last word", self.feed_age_ms.clone());
         let unreadable = self.rows_unreadable.clone();
         registry.register("rows_unreadable", "Rows of servers that can't be read", unreadable);
         registry.register("entries", "Entries known of", self.entries.clone());
@@ -267,7 +267,7 @@
         registry.register("servers_paused", "Servers that asked for a pause", paused);
         let sends = self.unavailable_sends.clone();
         registry.register("unavailable_sends", "Sends to unavailable servers", sends);
-        let avoided = self.avoided.clone();
+        let avoided = self.servers_avoided.clone();
         registry.register("servers_avoided", "Servers left out of a choice", avoided);
         let unread = self.unread_headers.clone();
         registry.register("unread_headers", "Answers with a header nothing reads", unread);
@@ -275,7 +275,7 @@
         registry.register("in_flight", "Requests in flight", self.in_flight.clone());
         registry.register("queued", "Attempts queued", self.queued.clone());
         registry.register("links", "Links up", self.links.clone());
-        registry.register("config_revision", "Revision in force", self.revision.clone());
+        registry.register("config_revision", "Revision in force", self.config_revision.clone());
         let waiting = self.charges_waiting.clone();
         registry.register("charges_waiting", "Charge records not yet written", waiting);
         let written = self.charges_written.clone();
@@ -305,48 +305,50 @@
     }
 
     /// Counts one repeated send that the budget gave or denied.
-    pub fn count_repeat(&self, service: &str, is_taken: bool) {
+    pub fn count_retry(&self, service: &str, is_taken: bool) {
         let outcome = if is_taken { "taken" } else { "denied" };
-        let labels = RepeatLabels { service: service.into(), outcome: outcome.into() };
+        let labels = RetryLabels { service: service.into(), outcome: outcome.into() };
         self.repeats.get_or_create(&labels).inc();
     }
 
     /// Counts a send to a server that takes few.
-    pub fn count_limited(&self, outcome: &str) {
-        self.limited_sends.get_or_create(&LimitedLabels { outcome: outcome.into() }).inc();
+    pub fn count_limited_send(&self, outcome: &str) {
+        self.limited_sends.get_or_create(&LimitedSendLabels { outcome: outcome.into() }).inc();
     }
 
     /// Counts a send to a server that has announced that it should get none.
     pub fn count_unavailable_send(&self, cause: &str, send: &str) {
-        let labels = UnavailableLabels { cause: cause.into(), send: send.into() };
+        let labels = UnavailableSendLabels { cause: cause.into(), send: send.into() };
         self.unavailable_sends.get_or_create(&labels).inc();
     }
 
     /// Counts servers that were left out of a choice.
-    pub fn count_avoided(&self, cause: &str, servers: u64) {
-        self.avoided.get_or_create(&CauseLabels { cause: cause.into() }).inc_by(servers);
+    pub fn count_avoided_servers(&self, cause: &str, servers: u64) {
+        self.servers_avoided
+            .get_or_create(&AvoidedServerLabels { cause: cause.into() })
+            .inc_by(servers);
     }
 
     /// Counts an answer with a header that nothing reads; whether the name is new.
     pub fn count_unread_header(&self, name: &str) -> bool {
-        let mut names = self.unread_names.lock().expect("no panics under the lock");
-        let is_new = !names.contains(name) && names.len() < MOST_UNREAD;
+        let mut names = self.unread_header_names.lock().expect("no panics under the lock");
+        let is_new = !names.contains(name) && names.len() < MAX_UNREAD_HEADER_NAMES;
         if is_new {
             names.insert(name.into());
         }
         let name = if names.contains(name) { name } else { "other" };
-        self.unread_headers.get_or_create(&HeaderLabels { name: name.into() }).inc();
+        self.unread_headers.get_or_create(&UnreadHeaderLabels { name: name.into() }).inc();
         is_new
     }
 
     /// Counts one call to the table service.
     pub fn count_store_call(&self, cause: &str) {
-        self.store_calls.get_or_create(&StoreLabels { cause: cause.into() }).inc();
+        self.store_calls.get_or_create(&PlatformCallLabels { cause: cause.into() }).inc();
     }
 
     /// Counts one failed call to the platform.
     pub fn count_store_error(&self, cause: &str) {
-        self.store_errors.get_or_create(&StoreLabels { cause: cause.into() }).inc();
+        self.store_errors.get_or_create(&PlatformCallLabels { cause: cause.into() }).inc();
     }
 
     /// The text exposition of all metrics.
--- a/tests/catalogue.rs
+++ b/tests/catalogue.rs
@@ -57,13 +57,13 @@
     metrics.attempts.get_or_create(&attempts).inc();
     let stages = StageLabels { model: "m".into(), outcome: "passed".into() };
     metrics.stages.get_or_create(&stages).inc();
-    metrics.count_limited("first");
+    metrics.count_limited_send("first");
     metrics.repeats_left.get_or_create(&ServiceLabels { service: "s".into() }).set(1);
     let (service, version, count) = ("s".into(), "new".into(), "answers".into());
     metrics.evidence.get_or_create(&EvidenceLabels { service, version, count }).set(1);
-    metrics.count_repeat("s", true);
+    metrics.count_retry("s", true);
     metrics.count_unavailable_send("draining", "first");
-    metrics.count_avoided("paused", 1);
+    metrics.count_avoided_servers("paused", 1);
     metrics.count_unread_header("x-new");
     metrics.count_store_call("c");
     metrics.count_store_error("c");
