--- a/src/agent/dispatch.rs
+++ b/src/agent/dispatch.rs
@@ -16,7 +16,7 @@
         gate::{GateDecision, GateView, RefuseReason, is_before_deadline},
         lifecycle::LifecycleEvent,
     },
-    protocol::{Start, StartCall, ToEntry},
+    protocol::{BackendCall, StartAttempt, ToEntry},
     resources::{BackendKind, Snapshot},
     telemetry::event,
 };
@@ -68,7 +68,7 @@
     if !is_before_deadline(pending.received.elapsed(), pending.start.deadline) {
         return Some(RefuseReason::DeadlinePassed);
     }
-    let StartCall::Chat { version, .. } = &pending.start.call else {
+    let BackendCall::Chat { version, .. } = &pending.start.call else {
         return None;
     };
     let loaded = agent.loaded.lock().expect("no panics under the lock");
@@ -76,16 +76,16 @@
     missing.then_some(RefuseReason::NotLoaded)
 }
 
-fn view_of(agent: &Agent, snapshot: &Snapshot, start: &Start) -> GateView {
+fn view_of(agent: &Agent, snapshot: &Snapshot, start: &StartAttempt) -> GateView {
     let partner = partner_of(&start.organisation);
     let server = &agent.settings.server;
     let shared = snapshot.server_is_shared(server, partner);
     let (allowed, available) = match &start.call {
-        StartCall::Chat { version, .. } => (
+        BackendCall::Chat { version, .. } => (
             shared && snapshot.is_allowed(&start.organisation, version),
             snapshot.is_available(version),
         ),
-        StartCall::Service { .. } => {
+        BackendCall::Service { .. } => {
             let is_service =
                 snapshot.servers.get(server).is_some_and(|s| s.kind == BackendKind::Service);
             let known = snapshot.organisations.contains_key(&start.organisation);
--- a/src/agent/driver.rs
+++ b/src/agent/driver.rs
@@ -20,7 +20,7 @@
     ids::{VersionId, format_id},
     platform::Error,
     policy::attempt::AttemptKey,
-    protocol::{Start, StartCall, ToEntry, Usage},
+    protocol::{BackendCall, StartAttempt, ToEntry, Usage},
     telemetry::event,
 };
 
@@ -67,10 +67,10 @@
     agent.send(link, &ToEntry::Started(key)).await;
     let began = Instant::now();
     let outcome = match &start.call {
-        StartCall::Chat { version, resume } => {
+        BackendCall::Chat { version, resume } => {
             chat(&agent, link, &start, version, resume.as_deref()).await
         }
-        StartCall::Service { .. } => service(&agent, link, &start).await,
+        BackendCall::Service { .. } => service(&agent, link, &start).await,
     };
     learn(&agent, &start, &outcome, began.elapsed());
     let was_reached = !matches!(outcome, Outcome::NotReached);
@@ -90,9 +90,9 @@
 }
 
 /// Takes the outcome into evidence and the speed estimates.
-fn learn(agent: &Agent, start: &Start, outcome: &Outcome, took: Duration) {
+fn learn(agent: &Agent, start: &StartAttempt, outcome: &Outcome, took: Duration) {
     let failed = !matches!(outcome, Outcome::Ended { .. });
-    if let StartCall::Chat { version, .. } = &start.call {
+    if let BackendCall::Chat { version, .. } = &start.call {
         let snapshot = agent.config.snapshot();
         let mut evidence = agent.evidence.lock().expect("no panics under the lock");
         evidence.note_answer(&snapshot, version, failed);
@@ -117,7 +117,7 @@
 async fn chat(
     agent: &Arc<Agent>,
     link: u64,
-    start: &Start,
+    start: &StartAttempt,
     version: &VersionId,
     resume: Option<&str>,
 ) -> Outcome {
@@ -153,7 +153,7 @@
 async fn pass_stream_on(
     agent: &Arc<Agent>,
     link: u64,
-    start: &Start,
+    start: &StartAttempt,
     res: http::Response<hyper::body::Incoming>,
 ) -> Outcome {
     let expected_id = format!("chatcmpl-{}", attempt_id(start.key));
@@ -239,7 +239,7 @@
 }
 
 /// The caller's body with what the engine needs put in.
-fn engine_body(start: &Start, version: &str, resume: Option<&str>) -> Option<Bytes> {
+fn engine_body(start: &StartAttempt, version: &str, resume: Option<&str>) -> Option<Bytes> {
     let mut body: Value = serde_json::from_slice(&start.body).ok()?;
     let fields = body.as_object_mut()?;
     fields.insert("model".into(), json!(version));
@@ -252,8 +252,8 @@
     serde_json::to_vec(&body).ok().map(Bytes::from)
 }
 
-async fn service(agent: &Arc<Agent>, link: u64, start: &Start) -> Outcome {
-    let StartCall::Service { method, path, content_type } = &start.call else {
+async fn service(agent: &Arc<Agent>, link: u64, start: &StartAttempt) -> Outcome {
+    let BackendCall::Service { method, path, content_type } = &start.call else {
         return Outcome::Failed { problem: "not a service call".into(), status: 0 };
     };
     let Ok(method) = Method::from_bytes(method.as_bytes()) else {
@@ -285,7 +285,7 @@
     format!("{}-{}", format_id(key.request), key.number)
 }
 
-fn request_headers(start: &Start) -> HeaderMap {
+fn request_headers(start: &StartAttempt) -> HeaderMap {
     let mut headers = HeaderMap::new();
     let id = attempt_id(start.key);
     headers.insert("x-request-id", HeaderValue::from_str(&id).expect("hex is a header value"));
--- a/src/agent/links.rs
+++ b/src/agent/links.rs
@@ -19,8 +19,8 @@
     },
     platform::InsertOutcome,
     protocol::{
-        self, AgentBeat, AgentSide, EntryBeat, RowWrite, ToAgent, ToEntry, VersionEvidence, decode,
-        encode,
+        self, AgentHeartbeat, AgentLinkStream, EntryHeartbeat, RowWrite, ToAgent, ToEntry,
+        VersionEvidence, decode, encode,
     },
     telemetry::event,
 };
@@ -45,7 +45,7 @@
     }
 }
 
-async fn serve(agent: Arc<Agent>, ws: AgentSide, peer: protocol::Peer) {
+async fn serve(agent: Arc<Agent>, ws: AgentLinkStream, peer: protocol::Peer) {
     let (sink, mut stream) = ws.split();
     let (tx, rx) = mpsc::channel(OUTGOING);
     let id = agent.next_link.fetch_add(1, Ordering::Relaxed);
@@ -139,7 +139,7 @@
     agent.send(link, &ToEntry::RowWritten { question, outcome }).await;
 }
 
-async fn note_beat(agent: &Arc<Agent>, link: &Arc<LinkHandle>, beat: EntryBeat) {
+async fn note_beat(agent: &Arc<Agent>, link: &Arc<LinkHandle>, beat: EntryHeartbeat) {
     {
         let mut held = agent.held.lock().expect("no panics under the lock");
         for hold in beat.held {
@@ -187,7 +187,7 @@
     send_control(agent, link, &ToEntry::Beat(beat)).await;
 }
 
-fn make_beat(agent: &Agent, link: &LinkHandle) -> AgentBeat {
+fn make_beat(agent: &Agent, link: &LinkHandle) -> AgentHeartbeat {
     let loaded = agent.loaded.lock().expect("no panics under the lock").clone();
     let evidence = agent.evidence.lock().expect("no panics under the lock").all();
     let held = agent.held.lock().expect("no panics under the lock").clone();
@@ -203,13 +203,13 @@
     }
     drop(sent);
     let work = agent.lock_work();
-    AgentBeat {
+    AgentHeartbeat {
         revision: agent.config.revision(),
         running: work.started as u32,
         queued: work.queue.len() as u32,
         limit: work.limit.get() as u32,
-        service_us: work.service.as_micros() as u64,
-        token_us: work.token.as_micros() as u64,
+        service_time_us: work.service.as_micros() as u64,
+        token_interval_us: work.token.as_micros() as u64,
         prefill_rate: work.prefill as u32,
         starts_seen: link.starts_seen.load(Ordering::Relaxed),
         leaving: agent.is_leaving(),
@@ -218,7 +218,7 @@
         evidence: changed,
         held: held
             .into_iter()
-            .map(|(version, revision)| protocol::Held { version, revision })
+            .map(|(version, revision)| protocol::HeldVersion { version, revision })
             .collect(),
     }
 }
--- a/src/agent/state.rs
+++ b/src/agent/state.rs
@@ -32,7 +32,7 @@
         gate::Gate,
         lifecycle::{self, Lifecycle, LifecycleEvent, LifecycleState},
     },
-    protocol::{LoadNow, Peer, Start, ToEntry, encode},
+    protocol::{AgentLoad, Peer, StartAttempt, ToEntry, encode},
     settings::AgentSettings,
     telemetry::{Metrics, admin::AdminHandlers},
 };
@@ -53,7 +53,7 @@
 /// An attempt waiting at the agent.
 #[derive(Debug)]
 pub(crate) struct Pending {
-    pub(crate) start: Start,
+    pub(crate) start: StartAttempt,
     pub(crate) link: LinkId,
     pub(crate) received: Instant,
 }
@@ -220,13 +220,13 @@
     }
 
     /// Load as a link is told.
-    pub(crate) fn load_now(&self, link: LinkId) -> LoadNow {
+    pub(crate) fn load_now(&self, link: LinkId) -> AgentLoad {
         let starts_seen = {
             let links = self.links.lock().expect("no panics under the lock");
             links.get(&link).map_or(0, |link| link.starts_seen.load(Ordering::Relaxed))
         };
         let work = self.lock_work();
-        LoadNow { running: work.started as u32, queued: work.queue.len() as u32, starts_seen }
+        AgentLoad { running: work.started as u32, queued: work.queue.len() as u32, starts_seen }
     }
 
     /// Whether nothing runs or waits.
--- a/src/entry/guard.rs
+++ b/src/entry/guard.rs
@@ -7,7 +7,7 @@
     ids::{ObjectId, Revision, VersionId, model_of, partner_of, qualify},
     operator::commands::{Expected, WriteError, WriteRequest},
     policy::roll_out::{Evidence, Finding, GuardStep, VersionTest, apply_step, guard_step},
-    protocol::Held,
+    protocol::HeldVersion,
     resources::{Kind, RollOut, RollOutState, Snapshot, Spec},
     telemetry::event,
 };
@@ -47,9 +47,10 @@
     }
 
     /// Everything held now, for heartbeats and the dump.
-    pub(crate) fn all(&self, snapshot: &Snapshot) -> Vec<Held> {
+    pub(crate) fn all(&self, snapshot: &Snapshot) -> Vec<HeldVersion> {
         let held = self.held.iter().filter(|(version, _)| self.is_held(version, snapshot));
-        held.map(|(v, (revision, _))| Held { version: v.clone(), revision: *revision }).collect()
+        held.map(|(v, (revision, _))| HeldVersion { version: v.clone(), revision: *revision })
+            .collect()
     }
 }
 
--- a/src/entry/link.rs
+++ b/src/entry/link.rs
@@ -23,7 +23,8 @@
         outlier::{OutlierConfig, OutlierDetector},
     },
     protocol::{
-        AgentBeat, LoadNow, Peer, RowWrite, Start, ToAgent, Usage, VersionEvidence, encode,
+        AgentHeartbeat, AgentLoad, Peer, RowWrite, StartAttempt, ToAgent, Usage, VersionEvidence,
+        encode,
     },
 };
 
@@ -48,7 +49,7 @@
 
 #[derive(Debug, Default)]
 struct LinkState {
-    beat: AgentBeat,
+    beat: AgentHeartbeat,
     loaded: Vec<VersionId>,
     evidence: BTreeMap<VersionId, VersionEvidence>,
     starts_sent: u64,
@@ -111,7 +112,7 @@
     }
 
     /// Last heartbeat.
-    pub(crate) fn beat(&self) -> AgentBeat {
+    pub(crate) fn beat(&self) -> AgentHeartbeat {
         self.lock().beat.clone()
     }
 
@@ -138,8 +139,8 @@
             queued: beat.queued,
             sent_since_report: u32::try_from(sent_since).unwrap_or(u32::MAX),
             limit: beat.limit,
-            service_time: Duration::from_micros(beat.service_us),
-            token_time: Duration::from_micros(beat.token_us),
+            service_time: Duration::from_micros(beat.service_time_us),
+            token_time: Duration::from_micros(beat.token_interval_us),
             prefill_rate: f64::from(beat.prefill_rate),
             one_way_latency: self.distance,
             cached_tokens: (known * CHAIN_WORDS) as u64,
@@ -153,7 +154,7 @@
     }
 
     /// Takes a heartbeat; true when the loaded versions or readiness changed.
-    pub(crate) fn note_beat(&self, beat: AgentBeat) -> bool {
+    pub(crate) fn note_beat(&self, beat: AgentHeartbeat) -> bool {
         let mut state = self.lock();
         let mut changed = state.beat.leaving != beat.leaving;
         if let Some(loaded) = &beat.loaded {
@@ -169,7 +170,7 @@
     }
 
     /// Takes the load that came with an answer.
-    pub(crate) fn note_load(&self, load: LoadNow) {
+    pub(crate) fn note_load(&self, load: AgentLoad) {
         let mut state = self.lock();
         state.ended_since_beat = 0;
         state.beat.running = load.running;
@@ -221,7 +222,7 @@
     /// Sends a start and returns the channel its frames come on.
     pub(crate) async fn start(
         &self,
-        start: Box<Start>,
+        start: Box<StartAttempt>,
     ) -> Option<mpsc::UnboundedReceiver<AttemptFrame>> {
         let key = start.key;
         let (tx, rx) = mpsc::unbounded_channel();
--- a/src/entry/links.rs
+++ b/src/entry/links.rs
@@ -20,7 +20,7 @@
         link::{AttemptFrame, Link},
     },
     platform::{Host, HostState},
-    protocol::{self, EntryBeat, EntrySide, ToAgent, ToEntry, decode, encode},
+    protocol::{self, EntryHeartbeat, EntryLinkStream, ToAgent, ToEntry, decode, encode},
     telemetry::event,
 };
 
@@ -125,7 +125,7 @@
 async fn serve(
     entry: &Arc<Entry>,
     host: &Host,
-    ws: EntrySide,
+    ws: EntryLinkStream,
     peer: protocol::Peer,
     stopped: watch::Receiver<bool>,
 ) {
@@ -195,7 +195,7 @@
     link.deliver(key, frame);
 }
 
-async fn note_beat(entry: &Arc<Entry>, link: &Arc<Link>, beat: protocol::AgentBeat) {
+async fn note_beat(entry: &Arc<Entry>, link: &Arc<Link>, beat: protocol::AgentHeartbeat) {
     for held in &beat.held {
         guard::note_hold(entry, &held.version, held.revision, "told by an agent");
     }
@@ -222,7 +222,7 @@
 async fn send_beat(entry: &Entry, link: &Link) {
     let snapshot = entry.config.snapshot();
     let held = entry.suspicion.lock().expect("no panics under the lock").all(&snapshot);
-    let beat = EntryBeat { revision: entry.config.revision(), held };
+    let beat = EntryHeartbeat { revision: entry.config.revision(), held };
     send_control(entry, link, &ToAgent::Beat(beat)).await;
 }
 
--- a/src/entry/stage.rs
+++ b/src/entry/stage.rs
@@ -26,7 +26,7 @@
         choice::RING_CANDIDATES,
         gate::RefuseReason,
     },
-    protocol::{Start, StartCall, ToAgent, Usage},
+    protocol::{BackendCall, StartAttempt, ToAgent, Usage},
     telemetry::event,
 };
 
@@ -360,16 +360,16 @@
     job: &Job<'_>,
     key: AttemptKey,
     resume: Option<Box<str>>,
-) -> Box<Start> {
+) -> Box<StartAttempt> {
     let call = match &job.call {
-        JobCall::Chat { version } => StartCall::Chat { version: version.clone(), resume },
-        JobCall::Service { method, path, content_type, .. } => StartCall::Service {
+        JobCall::Chat { version } => BackendCall::Chat { version: version.clone(), resume },
+        JobCall::Service { method, path, content_type, .. } => BackendCall::Service {
             method: method.clone(),
             path: path.clone(),
             content_type: content_type.clone(),
         },
     };
-    Box::new(Start {
+    Box::new(StartAttempt {
         key,
         organisation: job.head.organisation.clone(),
         revision: entry.config.revision(),
--- a/src/load/slopes/compute.rs
+++ b/src/load/slopes/compute.rs
@@ -20,7 +20,9 @@
         choice::{Pool, ServerLoad, choose_server},
         roll_out::Evidence,
     },
-    protocol::{AgentBeat, ConfigUpdate, EntryBeat, ToAgent, ToEntry, VersionEvidence, encode},
+    protocol::{
+        AgentHeartbeat, ConfigUpdate, EntryHeartbeat, ToAgent, ToEntry, VersionEvidence, encode,
+    },
     resources::{BackendServer, Change, ConfigLog, Kind, Object, Organisation, Spec, Version},
 };
 
@@ -58,23 +60,23 @@
     time.as_secs_f64() * 1e6
 }
 
-fn agent_beat(versions: usize) -> AgentBeat {
+fn agent_beat(versions: usize) -> AgentHeartbeat {
     let evidence = (0..versions).map(|i| VersionEvidence {
         version: format!("ricarica/swift@{i}").into(),
         epoch: 123_456,
         sums: Evidence { answers: 90_000, failures: 900, rated: 80_000, poor: 9_000 },
     });
-    AgentBeat {
+    AgentHeartbeat {
         revision: 123_456,
         running: 12,
         queued: 30,
         limit: 16,
-        service_us: 812_000,
-        token_us: 12_000,
+        service_time_us: 812_000,
+        token_interval_us: 12_000,
         prefill_rate: 8_000,
         starts_seen: 1_000_000,
         evidence: evidence.collect(),
-        ..AgentBeat::default()
+        ..AgentHeartbeat::default()
     }
 }
 
@@ -87,10 +89,12 @@
 fn entry_beat_bytes() -> Slope {
     let held = |n: usize| {
         let versions = (0..n).map(|i| format!("ricarica/swift@{i}").into());
-        versions.map(|version| crate::protocol::Held { version, revision: 123_456 }).collect()
+        versions
+            .map(|version| crate::protocol::HeldVersion { version, revision: 123_456 })
+            .collect()
     };
     let bytes = |n: usize| {
-        let beat = EntryBeat { revision: 123_456, held: held(n) };
+        let beat = EntryHeartbeat { revision: 123_456, held: held(n) };
         encode(&ToAgent::Beat(beat)).len() as f64 + FRAME_OVERHEAD
     };
     let points = [0, 1, 2, 4].map(|n| (n as f64, bytes(n))).to_vec();
--- a/src/protocol/codec.rs
+++ b/src/protocol/codec.rs
@@ -6,7 +6,7 @@
 use crate::protocol::{Error, Result};
 
 /// Depth of nesting a frame may have; configuration objects are the deepest.
-const MAX_DEPTH: usize = 64;
+const MAX_NESTING_DEPTH: usize = 64;
 
 /// Encodes a message.
 pub fn encode<T: Serialize>(message: &T) -> Bytes {
@@ -18,8 +18,8 @@
 /// Decodes a message.
 ///
 /// # Errors
-/// [`Error::BadFrame`] when the bytes are not one message of this type.
+/// [`Error::InvalidFrame`] when the bytes are not one message of this type.
 pub fn decode<T: DeserializeOwned>(buf: &[u8]) -> Result<T> {
-    ciborium::de::from_reader_with_recursion_limit(buf, MAX_DEPTH)
-        .map_err(|e| Error::BadFrame(e.to_string().into()))
+    ciborium::de::from_reader_with_recursion_limit(buf, MAX_NESTING_DEPTH)
+        .map_err(|e| Error::InvalidFrame(e.to_string().into()))
 }
--- a/src/protocol/error.rs
+++ b/src/protocol/error.rs
@@ -8,7 +8,7 @@
 pub enum Error {
     /// The connection can't be made or broke.
     #[error("link broke: {0}")]
-    Broken(Box<str>),
+    ConnectionFailed(Box<str>),
     /// The peer did not prove that it has the link key.
     #[error("peer did not prove itself")]
     NotAuthenticated,
@@ -17,17 +17,17 @@
     HandshakeTimeout,
     /// A frame can't be read.
     #[error("frame can't be read: {0}")]
-    BadFrame(Box<str>),
+    InvalidFrame(Box<str>),
 }
 
 impl From<tokio_tungstenite::tungstenite::Error> for Error {
     fn from(e: tokio_tungstenite::tungstenite::Error) -> Self {
-        Error::Broken(e.to_string().into())
+        Error::ConnectionFailed(e.to_string().into())
     }
 }
 
 impl From<std::io::Error> for Error {
     fn from(e: std::io::Error) -> Self {
-        Error::Broken(e.to_string().into())
+        Error::ConnectionFailed(e.to_string().into())
     }
 }
--- a/src/protocol/handshake.rs
+++ b/src/protocol/handshake.rs
@@ -23,10 +23,10 @@
 };
 
 /// Largest frame before a peer has proved itself, bytes.
-const MAX_UNPROVED: usize = 4 << 10;
+const MAX_UNAUTHENTICATED_FRAME: usize = 4 << 10;
 /// Largest frame of a peer that has proved itself, bytes.
 const MAX_FRAME: usize = 16 << 20;
-const TIMEOUT: Duration = Duration::from_secs(3);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Who is at the other end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -64,74 +64,98 @@
 }
 
 /// An open link at the entry.
-pub type EntrySide = WebSocketStream<TcpStream>;
+pub type EntryLinkStream = WebSocketStream<TcpStream>;
 /// An open link at the agent.
-pub type AgentSide = WebSocketStream<TcpStream>;
+pub type AgentLinkStream = WebSocketStream<TcpStream>;
 
 /// Opens a link from an entry to an agent.
 ///
 /// # Errors
 /// When the agent can't be reached or does not prove itself in time.
-pub async fn connect(address: SocketAddr, me: &Peer, key: &[u8]) -> Result<(EntrySide, Peer)> {
-    let work = async {
+pub async fn connect(
+    address: SocketAddr,
+    local: &Peer,
+    key: &[u8],
+) -> Result<(EntryLinkStream, Peer)> {
+    let handshake = async {
         let tcp = TcpStream::connect(address).await?;
         tcp.set_nodelay(true)?;
         let uri = format!("ws://{address}/link");
-        let config = Some(limits(MAX_FRAME));
+        let config = Some(size_limits(MAX_FRAME));
         let (mut ws, _) = client_async_with_config(uri, tcp, config).await?;
         let challenge: Challenge = receive(&mut ws).await?;
         let nonce: u128 = rand::rng().random();
-        let proof = prove(key, "entry", challenge.nonce, nonce, me);
-        send(&mut ws, &Hello { nonce, peer: me.clone(), proof }).await?;
+        let proof = compute_proof(key, "entry", challenge.nonce, nonce, local);
+        send(&mut ws, &Hello { nonce, peer: local.clone(), proof }).await?;
         let welcome: Welcome = receive(&mut ws).await?;
-        check(key, "agent", (nonce, challenge.nonce), &welcome.peer, &welcome.proof)?;
+        verify_proof(key, "agent", (nonce, challenge.nonce), &welcome.peer, &welcome.proof)?;
         Ok((ws, welcome.peer))
     };
-    tokio::time::timeout(TIMEOUT, work).await.unwrap_or(Err(Error::HandshakeTimeout))
+    tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake).await.unwrap_or(Err(Error::HandshakeTimeout))
 }
 
 /// Accepts a link at an agent.
 ///
 /// # Errors
 /// When the entry does not prove itself in time.
-pub async fn accept(tcp: TcpStream, me: &Peer, key: &[u8]) -> Result<(AgentSide, Peer)> {
-    let work = async {
+pub async fn accept(tcp: TcpStream, local: &Peer, key: &[u8]) -> Result<(AgentLinkStream, Peer)> {
+    let handshake = async {
         tcp.set_nodelay(true)?;
-        let mut ws = accept_async_with_config(tcp, Some(limits(MAX_UNPROVED))).await?;
+        let mut ws =
+            accept_async_with_config(tcp, Some(size_limits(MAX_UNAUTHENTICATED_FRAME))).await?;
         let nonce: u128 = rand::rng().random();
         send(&mut ws, &Challenge { nonce }).await?;
         let hello: Hello = receive(&mut ws).await?;
-        check(key, "entry", (nonce, hello.nonce), &hello.peer, &hello.proof)?;
-        let proof = prove(key, "agent", hello.nonce, nonce, me);
-        send(&mut ws, &Welcome { peer: me.clone(), proof }).await?;
+        verify_proof(key, "entry", (nonce, hello.nonce), &hello.peer, &hello.proof)?;
+        let proof = compute_proof(key, "agent", hello.nonce, nonce, local);
+        send(&mut ws, &Welcome { peer: local.clone(), proof }).await?;
         // The entry sends nothing until it has the welcome, so no byte is lost here.
         let tcp = ws.into_inner();
-        let ws = WebSocketStream::from_raw_socket(tcp, Role::Server, Some(limits(MAX_FRAME))).await;
+        let ws =
+            WebSocketStream::from_raw_socket(tcp, Role::Server, Some(size_limits(MAX_FRAME))).await;
         Ok((ws, hello.peer))
     };
-    tokio::time::timeout(TIMEOUT, work).await.unwrap_or(Err(Error::HandshakeTimeout))
+    tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake).await.unwrap_or(Err(Error::HandshakeTimeout))
 }
 
-fn limits(max: usize) -> WebSocketConfig {
+fn size_limits(max: usize) -> WebSocketConfig {
     WebSocketConfig::default().max_message_size(Some(max)).max_frame_size(Some(max))
 }
 
-fn mac(key: &[u8], side: &str, theirs: u128, mine: u128, peer: &Peer) -> Hmac<Sha256> {
+fn handshake_mac(
+    key: &[u8],
+    side: &str,
+    verifier_nonce: u128,
+    signer_nonce: u128,
+    peer: &Peer,
+) -> Hmac<Sha256> {
     let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("HMAC takes keys of any length");
     mac.update(side.as_bytes());
-    mac.update(&theirs.to_be_bytes());
-    mac.update(&mine.to_be_bytes());
+    mac.update(&verifier_nonce.to_be_bytes());
+    mac.update(&signer_nonce.to_be_bytes());
     mac.update(&encode(peer));
     mac
 }
 
-fn prove(key: &[u8], side: &str, theirs: u128, mine: u128, me: &Peer) -> Vec<u8> {
-    mac(key, side, theirs, mine, me).finalize().into_bytes().to_vec()
+fn compute_proof(
+    key: &[u8],
+    side: &str,
+    verifier_nonce: u128,
+    signer_nonce: u128,
+    local: &Peer,
+) -> Vec<u8> {
+    handshake_mac(key, side, verifier_nonce, signer_nonce, local).finalize().into_bytes().to_vec()
 }
 
 /// `nonces` are ours, which the peer had to sign, and the peer's own.
-fn check(key: &[u8], side: &str, nonces: (u128, u128), peer: &Peer, proof: &[u8]) -> Result<()> {
-    let expected = mac(key, side, nonces.0, nonces.1, peer);
+fn verify_proof(
+    key: &[u8],
+    side: &str,
+    nonces: (u128, u128),
+    peer: &Peer,
+    proof: &[u8],
+) -> Result<()> {
+    let expected = handshake_mac(key, side, nonces.0, nonces.1, peer);
     expected.verify_slice(proof).map_err(|_| Error::NotAuthenticated)
 }
 
@@ -150,7 +174,7 @@
             Some(Ok(Message::Ping(_) | Message::Pong(_))) => {}
             Some(Ok(_)) => return Err(Error::NotAuthenticated),
             Some(Err(e)) => return Err(e.into()),
-            None => return Err(Error::Broken("closed".into())),
+            None => return Err(Error::ConnectionFailed("closed".into())),
         }
     }
 }
--- a/src/protocol/message.rs
+++ b/src/protocol/message.rs
@@ -27,7 +27,7 @@
 
 /// A version some entry holds, until the roll-out changes past `revision`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Held {
+pub struct HeldVersion {
     /// The suspect version.
     #[serde(rename = "v")]
     pub version: VersionId,
@@ -38,7 +38,7 @@
 
 /// Heartbeat of an agent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct AgentBeat {
+pub struct AgentHeartbeat {
     /// Configuration revision in force.
     #[serde(rename = "c")]
     pub revision: Revision,
@@ -53,10 +53,10 @@
     pub limit: u32,
     /// Mean time an attempt occupies a place.
     #[serde(rename = "s")]
-    pub service_us: u64,
+    pub service_time_us: u64,
     /// Mean time between tokens.
     #[serde(rename = "t")]
-    pub token_us: u64,
+    pub token_interval_us: u64,
     /// Prompt tokens prefilled a second.
     #[serde(rename = "p")]
     pub prefill_rate: u32,
@@ -77,18 +77,18 @@
     pub evidence: Vec<VersionEvidence>,
     /// Versions held by any entry.
     #[serde(rename = "h", default, skip_serializing_if = "Vec::is_empty")]
-    pub held: Vec<Held>,
+    pub held: Vec<HeldVersion>,
 }
 
 /// Heartbeat of an entry.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct EntryBeat {
+pub struct EntryHeartbeat {
     /// Configuration revision in force.
     #[serde(rename = "c")]
     pub revision: Revision,
     /// Versions held here.
     #[serde(rename = "h", default, skip_serializing_if = "Vec::is_empty")]
-    pub held: Vec<Held>,
+    pub held: Vec<HeldVersion>,
 }
 
 #[allow(clippy::trivially_copy_pass_by_ref)]
@@ -112,7 +112,7 @@
 
 /// What an attempt asks of the BackendServer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum StartCall {
+pub enum BackendCall {
     /// A chat completion.
     Chat {
         /// Version to run.
@@ -133,7 +133,7 @@
 
 /// Asks an agent to run an attempt.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Start {
+pub struct StartAttempt {
     /// The attempt.
     pub key: AttemptKey,
     /// Whom it is for.
@@ -149,7 +149,7 @@
     /// Whether the engine may be told to stop when the entry goes away.
     pub repeatable: bool,
     /// What to call.
-    pub call: StartCall,
+    pub call: BackendCall,
     /// Request body.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
@@ -182,7 +182,7 @@
 
 /// Load of an agent at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadNow {
+pub struct AgentLoad {
     /// Attempts running.
     #[serde(rename = "r")]
     pub running: u32,
@@ -198,9 +198,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToAgent {
     /// Heartbeat.
-    Beat(EntryBeat),
+    Beat(EntryHeartbeat),
     /// Run an attempt.
-    Start(Box<Start>),
+    Start(Box<StartAttempt>),
     /// Stop an attempt; refused for good if it has not started.
     Cancel(AttemptKey),
     /// Ask for the changes after a revision.
@@ -246,7 +246,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToEntry {
     /// Heartbeat.
-    Beat(AgentBeat),
+    Beat(AgentHeartbeat),
     /// The attempt has not run and will not.
     Refused {
         /// The attempt.
@@ -279,7 +279,7 @@
         /// Tokens used.
         usage: Usage,
         /// Load of the agent now; answers are more frequent than heartbeats.
-        load: LoadNow,
+        load: AgentLoad,
     },
     /// The BackendServer failed the attempt after the start.
     Failed {
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -10,9 +10,9 @@
 
 pub use codec::{decode, encode};
 pub use error::{Error, Result};
-pub use handshake::{AgentSide, EntrySide, Peer, accept, connect};
+pub use handshake::{AgentLinkStream, EntryLinkStream, Peer, accept, connect};
 pub use message::{
-    AgentBeat, ConfigUpdate, EntryBeat, Held, LoadNow, RowWrite, Start, StartCall, ToAgent,
-    ToEntry, Usage, VersionEvidence,
+    AgentHeartbeat, AgentLoad, BackendCall, ConfigUpdate, EntryHeartbeat, HeldVersion, RowWrite,
+    StartAttempt, ToAgent, ToEntry, Usage, VersionEvidence,
 };
 pub use writer::write_frames;
--- a/src/router/peer_follower.rs
+++ b/src/router/peer_follower.rs
@@ -120,7 +120,7 @@
     let host = router.settings.load().host.clone();
     send_message(&mut socket, &PeerRequest::Follow { version, era, only_in, host }).await?;
     let PeerMessage::Welcome { zone } = receive_message(&mut socket).await? else {
-        return Err(Error::Broken("expected a welcome message".into()));
+        return Err(Error::ConnectionFailed("expected a welcome message".into()));
     };
     let is_own_zone = zone == own_zone;
     zones.insert(peer, zone);
@@ -145,14 +145,14 @@
         if is_current {
             current_at = router.now();
         } else if router.now() >= current_at + grace {
-            return Err(Error::Broken("the peer has lost the store".into()));
+            return Err(Error::ConnectionFailed("the peer has lost the store".into()));
         }
     }
     Ok(LeaveReason::Unwanted)
 }
 
 fn host_suspended() -> Error {
-    Error::Broken("host was suspended".into())
+    Error::ConnectionFailed("host was suspended".into())
 }
 
 /// Applies a heartbeat. Returns whether the store answers the sender.
@@ -169,11 +169,11 @@
         limits,
     } = message
     else {
-        return Err(Error::Broken("expected a heartbeat".into()));
+        return Err(Error::ConnectionFailed("expected a heartbeat".into()));
     };
     for update in updates {
         if !router.link.push(update.decompress()?) {
-            return Err(Error::Broken("update queue is full".into()));
+            return Err(Error::ConnectionFailed("update queue is full".into()));
         }
     }
     router.views.record_peer_message(router.now());
--- a/src/router/peers.rs
+++ b/src/router/peers.rs
@@ -56,7 +56,7 @@
 pub(crate) type Socket = WebSocketStream<TcpStream>;
 
 pub(crate) fn timed_out() -> Error {
-    Error::Broken("timed out".into())
+    Error::ConnectionFailed("timed out".into())
 }
 
 /// The seeds, without this entry itself.
@@ -153,7 +153,7 @@
             match request {
                 PeerRequest::Report { report, .. } => break report,
                 PeerRequest::Follow { .. } => {
-                    return Err(Error::Broken("expected a report".into()));
+                    return Err(Error::ConnectionFailed("expected a report".into()));
                 }
             }
         };
@@ -242,8 +242,8 @@
 /// The next message; an error when the link is closed or silent for [`SILENCE_TIMEOUT`].
 pub(crate) async fn next_message(socket: &mut Socket) -> Result<Message> {
     let message = timeout(SILENCE_TIMEOUT, socket.next()).await.map_err(|_| timed_out())?;
-    match message.ok_or_else(|| Error::Broken("connection closed".into()))?? {
-        Message::Close(_) => Err(Error::Broken("connection closed".into())),
+    match message.ok_or_else(|| Error::ConnectionFailed("connection closed".into()))?? {
+        Message::Close(_) => Err(Error::ConnectionFailed("connection closed".into())),
         message => Ok(message),
     }
 }
--- a/src/router/seed_reporter.rs
+++ b/src/router/seed_reporter.rs
@@ -141,7 +141,7 @@
 /// Applies urgent updates from a seed.
 fn apply_urgent_updates(router: &Router, message: PeerMessage) -> Result<()> {
     let PeerMessage::News { ends, limits } = message else {
-        return Err(Error::Broken("expected urgent updates".into()));
+        return Err(Error::ConnectionFailed("expected urgent updates".into()));
     };
     router.quarantine.apply_updates(&ends, router.now());
     router.apply_limit_updates(&limits);
