--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,24 +1,24 @@
-//! Errors of the settings layer.
+//! Errors of settings files.
 
 use std::fmt;
 
-/// One thing wrong in a settings file.
+/// A problem in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsProblem {
-    /// Line, from 1.
+    /// Line number, starting at 1; 0 if the value comes from an environment variable.
     pub line: usize,
-    /// Dotted key.
+    /// Key with its sections, such as `listen.caller`.
     pub key: Box<str>,
-    /// What is wrong and what would be right.
+    /// Description of the problem and of the expected value.
     pub problem: Box<str>,
 }
 
-/// Everything wrong in a settings file.
+/// All problems of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The file.
+    /// Path of the file.
     pub file: Box<str>,
-    /// In the order of their lines.
+    /// Problems sorted by line.
     pub problems: Vec<SettingsProblem>,
 }
 
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,5 @@
-//! Process settings in TOML, checked as a whole; the keys are in `docs/SETTINGS.md`.
+//! Process settings in TOML. Loading a file reports all of its problems at once.
+//! `docs/SETTINGS.md` lists the keys.
 
 mod error;
 mod process;
--- a/src/settings/process.rs
+++ b/src/settings/process.rs
@@ -1,4 +1,4 @@
-//! Settings of the two processes.
+//! Settings of the `entry` and `agent` processes.
 
 use std::{
     net::{IpAddr, Ipv4Addr, SocketAddr},
@@ -18,20 +18,20 @@
 const EXPECTED_MILLISECONDS: &str = "a whole number of milliseconds above 0";
 const MIN_KEY_BYTES: usize = 16;
 
-/// Where the platform's services are.
+/// Base URLs of the platform's services.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlatformSettings {
     /// Table service.
     pub table: Box<str>,
     /// Object store.
     pub objects: Box<str>,
-    /// Host list.
+    /// Host list service.
     pub hosts: Box<str>,
     /// Rating service.
     pub ratings: Box<str>,
 }
 
-/// Certificate and key for callers and operators.
+/// TLS certificate and private key of the addresses for callers and operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TlsSettings {
     /// PEM file of the certificate chain.
@@ -45,43 +45,43 @@
 pub struct EntrySettings {
     /// Host name, as in the host list.
     pub host: Box<str>,
-    /// Region.
+    /// Region of the Host.
     pub region: Box<str>,
-    /// AvailabilityZone.
+    /// AvailabilityZone of the Host.
     pub zone: Box<str>,
-    /// Address for callers.
+    /// Listen address for callers.
     pub caller: SocketAddr,
-    /// Address for operators.
+    /// Listen address for operators.
     pub operator: SocketAddr,
-    /// Address for health, metrics and the dump.
+    /// Listen address for health checks, metrics and the state dump.
     pub admin: SocketAddr,
-    /// Platform.
+    /// Services of the platform.
     pub platform: PlatformSettings,
-    /// Key shared by entries and agents.
+    /// Secret key that entries and agents share to authenticate their links.
     pub link_key: Box<str>,
     /// Key that signs session tokens.
     pub session_key: Box<str>,
-    /// Key of the operator who declares partners; none means that partners can't be declared.
+    /// Key of the operator who may declare partners. Without it, no partner can be declared.
     pub root_key: Option<Box<str>>,
-    /// Time between heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat: Duration,
-    /// Time between polls of the head revision.
+    /// Interval between polls of the latest configuration revision.
     pub poll: Duration,
-    /// Links to agents at most.
+    /// Maximum number of links to agents.
     pub max_links: usize,
-    /// Requests in flight before new ones are shed.
+    /// Maximum number of requests in flight; further requests are rejected.
     pub max_in_flight: usize,
-    /// Largest request body, bytes.
+    /// Maximum size of a request body in bytes.
     pub max_body_bytes: usize,
-    /// Charge records kept in memory while the object store is down.
+    /// Maximum number of charge records kept in memory while the object store is unavailable.
     pub max_waiting_charges: usize,
-    /// Time a planned stop may take.
+    /// Maximum duration of a planned stop.
     pub grace: Duration,
-    /// TLS for callers and operators.
+    /// TLS for callers and operators; plain HTTP if absent.
     pub tls: Option<TlsSettings>,
-    /// Least level logged.
+    /// Minimum level that is logged.
     pub log_level: LogLevel,
-    /// Form of the log lines.
+    /// Format of the log lines.
     pub log_format: LogFormat,
 }
 
@@ -90,46 +90,46 @@
 pub struct AgentSettings {
     /// Host name, as in the host list.
     pub host: Box<str>,
-    /// Region.
+    /// Region of the Host.
     pub region: Box<str>,
-    /// AvailabilityZone.
+    /// AvailabilityZone of the Host.
     pub zone: Box<str>,
-    /// Address for links.
+    /// Listen address for links from entries.
     pub link: SocketAddr,
-    /// Address for health, metrics and the dump.
+    /// Listen address for health checks, metrics and the state dump.
     pub admin: SocketAddr,
-    /// Platform.
+    /// Services of the platform.
     pub platform: PlatformSettings,
-    /// Key shared by entries and agents.
+    /// Secret key that entries and agents share to authenticate their links.
     pub link_key: Box<str>,
-    /// Full name of the BackendServer beside this process.
+    /// Full name (`partner/server`) of the BackendServer that this agent runs beside.
     pub server: ServerId,
     /// Base URL of the BackendServer.
     pub backend_url: Box<str>,
-    /// Attempts handed to the BackendServer at a time at most.
+    /// Maximum number of attempts running on the BackendServer at a time.
     pub max_running: u32,
-    /// Attempts queued at most.
+    /// Maximum number of queued attempts.
     pub max_queued: usize,
-    /// Time between tokens above which the limit gives way.
+    /// Target time between tokens; above it, the adaptive concurrency limit is lowered.
     pub token_target: Duration,
-    /// Time between heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat: Duration,
-    /// Charge copies kept until their entry confirms them.
+    /// Maximum number of copies of charge records kept until their entry confirms them.
     pub max_waiting_charges: usize,
-    /// Time after which an entry that went away is given up.
+    /// Time after its disconnect at which an entry counts as lost.
     pub entry_lost_after: Duration,
-    /// Time a planned stop may take.
+    /// Maximum duration of a planned stop.
     pub grace: Duration,
-    /// Least level logged.
+    /// Minimum level that is logged.
     pub log_level: LogLevel,
-    /// Form of the log lines.
+    /// Format of the log lines.
     pub log_format: LogFormat,
 }
 
-/// Reads an entry's settings.
+/// Reads the settings of an entry.
 ///
 /// # Errors
-/// Everything wrong with the text at once.
+/// All problems of the text.
 pub fn load_entry(file: &str, text: &str) -> Result<EntrySettings, SettingsError> {
     let mut r = Reader::parse(file, text)?;
     let host = get_name(&mut r, "process.host");
@@ -176,10 +176,10 @@
     })
 }
 
-/// Reads an agent's settings.
+/// Reads the settings of an agent.
 ///
 /// # Errors
-/// Everything wrong with the text at once.
+/// All problems of the text.
 pub fn load_agent(file: &str, text: &str) -> Result<AgentSettings, SettingsError> {
     let mut r = Reader::parse(file, text)?;
     let host = get_name(&mut r, "process.host");
@@ -191,7 +191,7 @@
     let link_key = read_key(&mut r, "keys.link");
     let server = get_name(&mut r, "backend.server");
     if !server.is_empty() && server.matches('/').count() != 1 {
-        r.add_problem_at_key("backend.server", "must be a full name `partner/server`");
+        r.add_problem_at_key("backend.server", "expected a full name `partner/server`");
     }
     let backend_url = get_url(&mut r, "backend.url");
     let max_running = r.get("backend.max_running", "a whole number above 0", Some(16));
@@ -225,9 +225,9 @@
     })
 }
 
-/// A value whose absence has been reported as a problem, so `finish` has already failed.
+/// Returns a required value. `Reader::finish` has already failed if it is missing.
 fn expect_present<T>(value: Option<T>) -> T {
-    value.expect("finish fails when a value is missing")
+    value.expect("finish returned an error for a missing value")
 }
 
 fn get_name(r: &mut Reader<'_>, key: &str) -> Box<str> {
@@ -242,7 +242,7 @@
     };
     let is_http = text.starts_with("http://") || text.starts_with("https://");
     if !is_http || text.parse::<http::Uri>().is_err() {
-        r.add_problem_at_key(key, &format!("`{text}` is wrong; must be {EXPECTED_URL}"));
+        r.add_problem_at_key(key, &format!("invalid value `{text}`; expected {EXPECTED_URL}"));
     }
     text.trim_end_matches('/').into()
 }
@@ -250,7 +250,7 @@
 fn get_duration(r: &mut Reader<'_>, key: &str, default_ms: u64) -> Duration {
     let ms = r.get(key, EXPECTED_MILLISECONDS, Some(default_ms)).unwrap_or(default_ms);
     if ms == 0 {
-        r.add_problem_at_key(key, &format!("must be {EXPECTED_MILLISECONDS}"));
+        r.add_problem_at_key(key, &format!("expected {EXPECTED_MILLISECONDS}"));
     }
     Duration::from_millis(ms)
 }
@@ -258,7 +258,7 @@
 fn get_count(r: &mut Reader<'_>, key: &str, default: usize) -> usize {
     let count = r.get(key, "a whole number above 0", Some(default)).unwrap_or(default);
     if count == 0 {
-        r.add_problem_at_key(key, "must be a whole number above 0");
+        r.add_problem_at_key(key, "expected a whole number above 0");
     }
     count
 }
@@ -273,13 +273,14 @@
 }
 
 fn read_tls(r: &mut Reader<'_>) -> Option<TlsSettings> {
-    let certificate: Option<PathBuf> = r.get_optional("tls.certificate_file", "a PEM file");
-    let key: Option<PathBuf> = r.get_optional("tls.key_file", "a PEM file");
+    let certificate: Option<PathBuf> =
+        r.get_optional("tls.certificate_file", "the path of a PEM file");
+    let key: Option<PathBuf> = r.get_optional("tls.key_file", "the path of a PEM file");
     match (certificate, key) {
         (Some(certificate), Some(key)) => Some(TlsSettings { certificate, key }),
         (None, None) => None,
         _ => {
-            r.add_problem_at_key("tls", "needs both `certificate_file` and `key_file`, or neither");
+            r.add_problem_at_key("tls", "set both `certificate_file` and `key_file`, or neither");
             None
         }
     }
@@ -295,24 +296,26 @@
     match read_optional_key(r, key) {
         Some(value) => value,
         None => {
-            r.add_problem_at_key(key, &format!("is missing; give `{key}_file`, a file with the key, or its environment variable"));
+            r.add_problem_at_key(key, &format!("missing; set `{key}_file` to the path of a file that contains the key, or set the environment variable of `{key}`"));
             Box::default()
         }
     }
 }
 
-/// Keys come from `NAME_file` or the environment variable of `NAME`, never from the text itself.
+/// Reads a secret key from the environment variable of `key` or from the file that `key_file` names.
+/// Settings files never contain secret keys themselves.
 fn read_optional_key(r: &mut Reader<'_>, key: &str) -> Option<Box<str>> {
     let file_key = format!("{key}_file");
     let variable = format!("MINTMOOR_{}", key.replace('.', "_").to_uppercase());
     let from_env = std::env::var(variable).ok();
-    let file: Option<PathBuf> = r.get_optional(&file_key, "a file that holds the key");
+    let file: Option<PathBuf> =
+        r.get_optional(&file_key, "the path of a file that contains the key");
     let text = match (from_env, file) {
         (Some(text), _) => text,
         (None, Some(path)) => match std::fs::read_to_string(&path) {
             Ok(text) => text,
             Err(e) => {
-                r.add_problem_at_key(&file_key, &format!("can't be read: {e}"));
+                r.add_problem_at_key(&file_key, &format!("cannot read the key file: {e}"));
                 return Some(Box::default());
             }
         },
@@ -322,7 +325,7 @@
     if text.len() < MIN_KEY_BYTES {
         r.add_problem_at_key(
             &file_key,
-            &format!("must hold a key of {MIN_KEY_BYTES} bytes or more"),
+            &format!("the key must have at least {MIN_KEY_BYTES} bytes"),
         );
     }
     Some(text.into())
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -1,4 +1,4 @@
-//! Reads keys out of a TOML document and collects everything that is wrong with it.
+//! Reads values from a TOML document and collects all of its problems.
 
 use std::{ops::Range, str::FromStr};
 
@@ -9,18 +9,22 @@
 
 use crate::settings::{SettingsError, SettingsProblem};
 
-/// A document being read.
+/// Reads values by key and records the problems found.
 pub(super) struct Reader<'a> {
     file: &'a str,
     text: &'a str,
     root: DeTable<'a>,
+    /// Keys requested so far. `finish` reports all other keys of the document as unknown.
     known_keys: Vec<Box<str>>,
     problems: Vec<SettingsProblem>,
     read_env: fn(&str) -> Option<String>,
 }
 
 impl<'a> Reader<'a> {
-    /// Parses the text; a syntax error ends the reading at once.
+    /// Parses the text.
+    ///
+    /// # Errors
+    /// A syntax error, as the only problem.
     pub(super) fn parse(file: &'a str, text: &'a str) -> Result<Self, SettingsError> {
         let read_env = |name: &str| std::env::var(name).ok();
         match DeTable::parse(text) {
@@ -37,14 +41,15 @@
             }
             Err(e) => {
                 let line = line_of(text, e.span().unwrap_or_default().start);
-                let problem = format!("is not TOML: {}", e.message().trim()).into();
+                let problem = format!("invalid TOML: {}", e.message().trim()).into();
                 let problem = SettingsProblem { line, key: "syntax".into(), problem };
                 Err(SettingsError { file: file.into(), problems: vec![problem] })
             }
         }
     }
 
-    /// Reads a key as a type with a text form, or takes `default`; no default means required.
+    /// Parses the value of a key, or returns `default` if the key is missing. A key without a default
+    /// is required. `expected` describes valid values in the error message.
     pub(super) fn get<T: FromStr>(
         &mut self,
         key: &str,
@@ -58,12 +63,12 @@
         let (text, line) = match self.find_text(key) {
             Lookup::Scalar(text, line) => (text, line),
             Lookup::NotScalar(line) => {
-                self.add_problem(line, key, &format!("must be {expected}"));
+                self.add_problem(line, key, &format!("expected {expected}"));
                 return None;
             }
             Lookup::Missing => {
                 if default.is_none() {
-                    self.add_problem(1, key, &format!("is missing; must be {expected}"));
+                    self.add_problem(1, key, &format!("missing; expected {expected}"));
                 }
                 return default;
             }
@@ -74,14 +79,14 @@
                 self.add_problem(
                     line,
                     key,
-                    &format!("`{text}` is wrong ({e}); must be {expected}"),
+                    &format!("invalid value `{text}` ({e}); expected {expected}"),
                 );
                 None
             }
         }
     }
 
-    /// Reads a key that may be left out.
+    /// Parses the value of an optional key.
     pub(super) fn get_optional<T: FromStr>(&mut self, key: &str, expected: &str) -> Option<T>
     where
         T::Err: std::fmt::Display,
@@ -94,21 +99,21 @@
         self.get(key, expected, None)
     }
 
-    /// Notes a problem that more than one key makes.
+    /// Records a problem with a value that was read, or with a combination of keys.
     pub(super) fn add_problem_at_key(&mut self, key: &str, problem: &str) {
         let line = self.line_of_key(key);
         self.add_problem(line, key, problem);
     }
 
-    /// Ends the reading: unknown keys are problems too.
+    /// Returns the recorded problems, sorted by line. Unknown keys are problems, too.
     pub(super) fn finish(mut self) -> Result<(), SettingsError> {
         let mut unknown = Vec::new();
         collect_unknown(&self.root, "", &self.known_keys, &mut unknown);
         for (key, span) in unknown {
             let line = line_of(self.text, span.start);
             let problem = match closest_known_key(&key, &self.known_keys) {
-                Some(known) => format!("is not a key; did you mean `{known}`?"),
-                None => "is not a key".into(),
+                Some(known) => format!("unknown key; did you mean `{known}`?"),
+                None => "unknown key".into(),
             };
             self.add_problem(line, &key, &problem);
         }
@@ -124,7 +129,8 @@
         self.problems.push(problem);
     }
 
-    /// An environment variable goes before the file: `MINTMOOR_LISTEN_CALLER` for `listen.caller`.
+    /// Looks up a value as text. An environment variable, such as `MINTMOOR_LISTEN_CALLER` for
+    /// `listen.caller`, overrides the file.
     fn find_text(&self, key: &str) -> Lookup {
         let name = format!("MINTMOOR_{}", key.replace('.', "_").to_uppercase());
         if let Some(text) = (self.read_env)(&name) {
@@ -157,16 +163,21 @@
     }
 }
 
+/// Result of looking up a key.
 enum Lookup {
+    /// A scalar value as text, and its line; 0 for an environment variable.
     Scalar(String, usize),
+    /// Line of an array, a table or a date.
     NotScalar(usize),
     Missing,
 }
 
+/// Line number of a byte offset, starting at 1.
 fn line_of(text: &str, offset: usize) -> usize {
     text[..offset.min(text.len())].matches('\n').count() + 1
 }
 
+/// Collects keys that are neither known nor a section of a known key.
 fn collect_unknown(
     table: &DeTable<'_>,
     prefix: &str,
@@ -186,7 +197,8 @@
     }
 }
 
-/// The known key that shares the most with an unknown one, if they share enough.
+/// The known key whose common prefix and suffix with an unknown key are longest together, if they make
+/// up at least two thirds of the unknown key.
 fn closest_known_key(key: &str, known_keys: &[Box<str>]) -> Option<Box<str>> {
     let common_len = |other: &str| {
         let prefix = key.bytes().zip(other.bytes()).take_while(|(a, b)| a == b).count();
--- a/src/settings/route.rs
+++ b/src/settings/route.rs
@@ -1,5 +1,5 @@
-//! Settings of an entry on the users' platform that are ours: the platform's own file tells the
-//! rest. The keys are in `docs/SETTINGS.md`.
+//! Settings of the `route` process that the platform's own settings file does not contain.
+//! `docs/SETTINGS.md` lists the keys.
 
 use std::time::Duration;
 
@@ -9,26 +9,26 @@
     telemetry::log::LogLevel,
 };
 
-/// What an operator may change about the decisions of an entry.
+/// Policies and local options of a `route` process. All have defaults.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RouteSettings {
-    /// When a cascade's answer is good enough.
+    /// When a cascade asks a larger model.
     pub escalation: EscalationConfig,
-    /// How a roll-out's share grows.
+    /// How the traffic share of a new version grows during a roll-out.
     pub exposure: ExposureConfig,
-    /// What a server costs besides its backlog.
+    /// Placement costs of a server besides its backlog.
     pub placement: PlacementConfig,
-    /// Port on the Host's address where metrics and the state dump are served, besides the
-    /// readiness address.
+    /// Additional port on the Host's address that serves metrics and the state dump, which the
+    /// readiness address serves as well.
     pub metrics_port: Option<u16>,
-    /// Least level logged.
+    /// Minimum level that is logged.
     pub log_level: LogLevel,
 }
 
-/// Reads the settings.
+/// Reads the settings of a `route` process.
 ///
 /// # Errors
-/// Everything wrong with the text at once.
+/// All problems of the text.
 pub fn load_route(file: &str, text: &str) -> Result<RouteSettings, SettingsError> {
     let mut r = Reader::parse(file, text)?;
     let defaults = RouteSettings::default();
@@ -78,7 +78,7 @@
     let thresholds =
         [exposure.sessions_from, exposure.grows_from, exposure.all_from, exposure.complete_from];
     if !thresholds.is_sorted() {
-        let problem = "`sessions_from`, `grows_from`, `all_from`, `complete_from` must not fall";
+        let problem = "`sessions_from`, `grows_from`, `all_from` and `complete_from` must be in non-decreasing order";
         r.add_problem_at_key("roll_out", problem);
     }
     r.finish()?;
@@ -88,7 +88,10 @@
 fn get_number(r: &mut Reader<'_>, key: &str, default: f64, max: f64) -> f64 {
     let value = r.get(key, "a number", Some(default)).unwrap_or(default);
     if !(0.0..=max).contains(&value) {
-        r.add_problem_at_key(key, &format!("`{value}` is wrong; must be from 0 to {max}"));
+        r.add_problem_at_key(
+            key,
+            &format!("invalid value `{value}`; expected a number from 0 to {max}"),
+        );
     }
     value
 }
@@ -96,7 +99,7 @@
 fn get_positive(r: &mut Reader<'_>, key: &str, default: usize) -> usize {
     let value = r.get(key, "a whole number", Some(default)).unwrap_or(default);
     if value == 0 {
-        r.add_problem_at_key(key, "`0` is wrong; must be 1 or more");
+        r.add_problem_at_key(key, "invalid value `0`; expected a whole number above 0");
     }
     value
 }
