--- a/src/protocol/error.rs
+++ b/src/protocol/error.rs
@@ -1,22 +1,22 @@
-//! Errors of the protocol layer.
+//! Errors of links.
 
 /// Result of a link operation.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// What can go wrong on a link.
+/// An error of a link.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The connection can't be made or broke.
-    #[error("link broke: {0}")]
+    /// The connection could not be established, broke, or violated the protocol.
+    #[error("connection failed: {0}")]
     ConnectionFailed(Box<str>),
-    /// The peer did not prove that it has the link key.
-    #[error("peer did not prove itself")]
+    /// The peer did not prove that it has the shared key, or sent an unexpected frame during the handshake.
+    #[error("peer is not authenticated")]
     NotAuthenticated,
-    /// The peer took too long to prove itself.
-    #[error("peer did not prove itself in time")]
+    /// The handshake was not complete in time.
+    #[error("handshake timed out")]
     HandshakeTimeout,
-    /// A frame can't be read.
-    #[error("frame can't be read: {0}")]
+    /// A frame can't be decoded.
+    #[error("invalid frame: {0}")]
     InvalidFrame(Box<str>),
 }
 
--- a/src/protocol/handshake.rs
+++ b/src/protocol/handshake.rs
@@ -1,4 +1,8 @@
-//! Opening a link: both sides prove that they have the link key before anything else is read.
+//! Handshake of a link: both sides prove that they have the shared key before other messages are read.
+//!
+//! The agent sends a [`Challenge`] with a nonce. The entry answers with a [`Hello`]: its own nonce, its
+//! identity and a MAC over both nonces and the identity. The agent verifies it and sends a [`Welcome`]
+//! with its identity and its MAC.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -22,32 +26,35 @@
     protocol::{Error, Result, decode, encode},
 };
 
-/// Largest frame before a peer has proved itself, bytes.
+/// Maximum frame size in bytes until the peer is authenticated.
 const MAX_UNAUTHENTICATED_FRAME: usize = 4 << 10;
-/// Largest frame of a peer that has proved itself, bytes.
+/// Maximum frame size in bytes of an authenticated peer.
 const MAX_FRAME: usize = 16 << 20;
+/// Maximum duration of the handshake, including the TCP connect of an entry.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Who is at the other end.
+/// Identity of a process at one end of a link.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peer {
     /// Host name.
     pub host: Box<str>,
-    /// Region.
+    /// Region of the Host.
     pub region: Box<str>,
-    /// AvailabilityZone.
+    /// AvailabilityZone of the Host.
     pub zone: Box<str>,
-    /// Life of the process.
+    /// Identifies this run of the process; a restart changes it.
     pub incarnation: Incarnation,
-    /// BackendServer beside an agent; empty for an entry.
+    /// BackendServer that an agent runs beside; empty for an entry.
     pub server: ServerId,
 }
 
+/// First message, from the agent.
 #[derive(Debug, Serialize, Deserialize)]
 struct Challenge {
     nonce: u128,
 }
 
+/// Reply of the entry.
 #[derive(Debug, Serialize, Deserialize)]
 struct Hello {
     nonce: u128,
@@ -56,6 +63,7 @@
     proof: Vec<u8>,
 }
 
+/// Last message of the handshake, from the agent.
 #[derive(Debug, Serialize, Deserialize)]
 struct Welcome {
     peer: Peer,
@@ -63,15 +71,15 @@
     proof: Vec<u8>,
 }
 
-/// An open link at the entry.
+/// The entry's end of an open link.
 pub type EntryLinkStream = WebSocketStream<TcpStream>;
-/// An open link at the agent.
+/// The agent's end of an open link.
 pub type AgentLinkStream = WebSocketStream<TcpStream>;
 
 /// Opens a link from an entry to an agent.
 ///
 /// # Errors
-/// When the agent can't be reached or does not prove itself in time.
+/// If the agent can't be reached, is not authenticated, or the handshake takes too long.
 pub async fn connect(
     address: SocketAddr,
     local: &Peer,
@@ -97,7 +105,7 @@
 /// Accepts a link at an agent.
 ///
 /// # Errors
-/// When the entry does not prove itself in time.
+/// If the connection fails, the entry is not authenticated, or the handshake takes too long.
 pub async fn accept(tcp: TcpStream, local: &Peer, key: &[u8]) -> Result<(AgentLinkStream, Peer)> {
     let handshake = async {
         tcp.set_nodelay(true)?;
@@ -109,7 +117,8 @@
         verify_proof(key, "entry", (nonce, hello.nonce), &hello.peer, &hello.proof)?;
         let proof = compute_proof(key, "agent", hello.nonce, nonce, local);
         send(&mut ws, &Welcome { peer: local.clone(), proof }).await?;
-        // The entry sends nothing until it has the welcome, so no byte is lost here.
+        // Rebuilds the stream with the larger frame limit. The entry sends nothing before it has received the
+        // welcome, so no buffered bytes are lost.
         let tcp = ws.into_inner();
         let ws =
             WebSocketStream::from_raw_socket(tcp, Role::Server, Some(size_limits(MAX_FRAME))).await;
@@ -122,6 +131,7 @@
     WebSocketConfig::default().max_message_size(Some(max)).max_frame_size(Some(max))
 }
 
+/// HMAC-SHA256 over the role of the signing side, both nonces and the identity of the signer.
 fn handshake_mac(
     key: &[u8],
     side: &str,
@@ -147,7 +157,7 @@
     handshake_mac(key, side, verifier_nonce, signer_nonce, local).finalize().into_bytes().to_vec()
 }
 
-/// `nonces` are ours, which the peer had to sign, and the peer's own.
+/// Verifies the proof of a peer. `nonces` are the nonce of this process and that of the peer.
 fn verify_proof(
     key: &[u8],
     side: &str,
--- a/src/protocol/message.rs
+++ b/src/protocol/message.rs
@@ -1,4 +1,5 @@
-//! The typed messages. Field names are short on the wire: control traffic is bounded.
+//! Messages between entries and agents. Messages that are sent often have one-letter field names on the
+//! wire, since the control traffic is limited.
 
 use std::time::Duration;
 
@@ -11,27 +12,27 @@
     resources::{Change, Object},
 };
 
-/// Evidence of one agent about one version.
+/// Evidence that one agent has collected about one version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VersionEvidence {
     /// The version.
     #[serde(rename = "v")]
     pub version: VersionId,
-    /// Revision of the roll-out the sums belong to; they start anew when it changes.
+    /// Revision of the roll-out that the sums belong to; they restart from zero when it changes.
     #[serde(rename = "r")]
     pub epoch: Revision,
-    /// Sums since then.
+    /// Sums since that revision.
     #[serde(rename = "e")]
     pub sums: Evidence,
 }
 
-/// A version some entry holds, until the roll-out changes past `revision`.
+/// A version that an entry holds back as suspect, until the revision of its roll-out exceeds `revision`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct HeldVersion {
     /// The suspect version.
     #[serde(rename = "v")]
     pub version: VersionId,
-    /// Revision of the roll-out the evidence was judged under.
+    /// Revision of the roll-out for which the evidence was evaluated.
     #[serde(rename = "r")]
     pub revision: Revision,
 }
@@ -48,34 +49,35 @@
     /// Attempts queued.
     #[serde(rename = "q")]
     pub queued: u32,
-    /// Attempts run at a time at most.
+    /// Maximum number of attempts running at a time.
     #[serde(rename = "l")]
     pub limit: u32,
-    /// Mean time an attempt occupies a place.
+    /// Mean time that an attempt runs on the BackendServer, in microseconds.
     #[serde(rename = "s")]
     pub service_time_us: u64,
-    /// Mean time between tokens.
+    /// Mean time between tokens, in microseconds.
     #[serde(rename = "t")]
     pub token_interval_us: u64,
-    /// Prompt tokens prefilled a second.
+    /// Prompt tokens prefilled per second.
     #[serde(rename = "p")]
     pub prefill_rate: u32,
-    /// Starts received on this link so far, to tell which are counted above.
+    /// Number of [`ToAgent::Start`] received on this link. Tells the entry which of its attempts `running` and
+    /// `queued` include.
     #[serde(rename = "n")]
     pub starts_seen: u64,
-    /// Whether the server is leaving.
+    /// Whether the agent is leaving and takes no new attempts.
     #[serde(rename = "x", default, skip_serializing_if = "is_false")]
     pub leaving: bool,
-    /// Whether the BackendServer fails its requests.
+    /// Whether the BackendServer is failing its requests.
     #[serde(rename = "u", default, skip_serializing_if = "is_false")]
     pub unhealthy: bool,
-    /// Versions loaded; sent when they change.
+    /// Loaded versions; sent when they change.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
     pub loaded: Option<Vec<VersionId>>,
-    /// Evidence that changed since the last heartbeat on this link.
+    /// Evidence that has changed since the last heartbeat on this link.
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
     pub evidence: Vec<VersionEvidence>,
-    /// Versions held by any entry.
+    /// Versions that any entry holds back.
     #[serde(rename = "h", default, skip_serializing_if = "Vec::is_empty")]
     pub held: Vec<HeldVersion>,
 }
@@ -86,7 +88,7 @@
     /// Configuration revision in force.
     #[serde(rename = "c")]
     pub revision: Revision,
-    /// Versions held here.
+    /// Versions that this entry holds back.
     #[serde(rename = "h", default, skip_serializing_if = "Vec::is_empty")]
     pub held: Vec<HeldVersion>,
 }
@@ -96,37 +98,37 @@
     !flag
 }
 
-/// Changes that bring a peer up to date.
+/// Configuration update that brings a peer up to date.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ConfigUpdate {
-    /// Changes in order, the first one after what the peer has.
+    /// Changes in order, starting after the revision of the peer.
     Delta(Vec<Change>),
-    /// Everything, for a peer too far behind.
+    /// All objects, for a peer that is too far behind.
     Full {
-        /// Revision of the copy.
+        /// Revision of the objects.
         revision: Revision,
         /// All objects.
         objects: Vec<Object>,
     },
 }
 
-/// What an attempt asks of the BackendServer.
+/// Call that an attempt makes to the BackendServer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum BackendCall {
     /// A chat completion.
     Chat {
         /// Version to run.
         version: VersionId,
-        /// Text already delivered by an attempt that was cut off.
+        /// Text already delivered by an interrupted attempt; the engine continues after it.
         resume: Option<Box<str>>,
     },
     /// A call of a plain service.
     Service {
         /// HTTP method.
         method: Box<str>,
-        /// Path and query behind the service's name.
+        /// Path and query after the service name.
         path: Box<str>,
-        /// Content type, if the caller gave one.
+        /// Content type, if the caller sent one.
         content_type: Option<Box<str>>,
     },
 }
@@ -134,28 +136,28 @@
 /// Asks an agent to run an attempt.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StartAttempt {
-    /// The attempt.
+    /// Id of the attempt.
     pub key: AttemptKey,
-    /// Whom it is for.
+    /// Organisation of the caller.
     pub organisation: OrganisationId,
-    /// Revision the entry decided on.
+    /// Configuration revision that the decision of the entry is based on.
     pub revision: Revision,
-    /// Time left to the caller's deadline.
+    /// Time left until the deadline of the caller.
     pub deadline: Duration,
-    /// Priority within the organisation.
+    /// Priority within the Organisation.
     pub priority: i32,
-    /// Expected work in tokens.
+    /// Estimated work in tokens.
     pub work: u64,
-    /// Whether the engine may be told to stop when the entry goes away.
+    /// Whether the request may run again. Only then is the attempt aborted when the entry disconnects.
     pub repeatable: bool,
-    /// What to call.
+    /// The call to make.
     pub call: BackendCall,
     /// Request body.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
 }
 
-/// Tokens an attempt used, as the engine counts them.
+/// Number of tokens that an attempt used, as counted by the engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     /// Prompt tokens.
@@ -164,23 +166,23 @@
     pub tokens_out: u64,
 }
 
-/// A row an agent writes for an entry.
+/// A table row that an agent writes on behalf of an entry.
 ///
-/// The agent only batches: the row's condition is judged by the table alone, and an agent that
-/// goes away leaves a lost reply behind. See `docs/decisions/0003-at-most-once.md`.
+/// The agent only batches rows; the table service alone checks the expected version. If the agent
+/// disconnects, the entry treats the reply as lost. See `docs/decisions/0003-at-most-once.md`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RowWrite {
-    /// Number of the question on this link.
+    /// Correlation id on this link; the reply carries the same one.
     pub question: u64,
     /// Key of the row.
     pub key: Box<str>,
-    /// Version it must have; none means absent.
+    /// Version that the row must have; `None` if it must not exist.
     pub expected: Option<u64>,
     /// New value, as JSON text.
     pub value: Box<str>,
 }
 
-/// Load of an agent at one moment.
+/// Current load of an agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentLoad {
     /// Attempts running.
@@ -189,23 +191,23 @@
     /// Attempts queued.
     #[serde(rename = "q")]
     pub queued: u32,
-    /// Starts received on this link so far.
+    /// Number of [`ToAgent::Start`] received on this link.
     #[serde(rename = "n")]
     pub starts_seen: u64,
 }
 
-/// Frames from an entry to an agent.
+/// Messages from an entry to an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToAgent {
     /// Heartbeat.
     Beat(EntryHeartbeat),
-    /// Run an attempt.
+    /// Request to run an attempt.
     Start(Box<StartAttempt>),
-    /// Stop an attempt; refused for good if it has not started.
+    /// Cancels an attempt. If it has not started, it is refused and never starts.
     Cancel(AttemptKey),
-    /// Ask for the changes after a revision.
+    /// Request for the configuration changes after a revision.
     Pull(Revision),
-    /// Changes.
+    /// Configuration update.
     Config(ConfigUpdate),
     /// An answer of a version was rated.
     Rated {
@@ -214,53 +216,54 @@
         /// Whether it was poor.
         poor: bool,
     },
-    /// Keep this record until it is confirmed.
+    /// Copy of a charge record, to be kept until it is confirmed.
     Charge(Box<ChargeRecord>),
-    /// These records are in the object store.
+    /// Confirms that the charge records of these requests are in the object store.
     Confirm(Vec<RequestId>),
-    /// The host list shows this agent's host as leaving.
+    /// The host list shows the Host of this agent as leaving.
     Leave,
-    /// Remember the version a session is on, for while the table service is down.
+    /// The version that a session is pinned to. The agent remembers it for times when the table service is
+    /// unavailable.
     Pin {
-        /// Organisation and session id.
+        /// Id of the Organisation and of the session.
         session: Box<str>,
         /// Model.
         model: ObjectId,
         /// Version.
         version: VersionId,
     },
-    /// Write a row for the entry, in one transaction with the rows of other entries.
+    /// Request to write a row. The agent may write it in one transaction with rows of other entries.
     WriteRow(Box<RowWrite>),
-    /// Ask for a remembered pin.
+    /// Request for a remembered pin.
     AskPin {
-        /// Number of the question on this link.
+        /// Correlation id on this link; the reply carries the same one.
         question: u64,
-        /// Organisation and session id.
+        /// Id of the Organisation and of the session.
         session: Box<str>,
         /// Model.
         model: ObjectId,
     },
 }
 
-/// Frames from an agent to an entry.
+/// Messages from an agent to an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToEntry {
     /// Heartbeat.
     Beat(AgentHeartbeat),
-    /// The attempt has not run and will not.
+    /// The attempt has not run and never will.
     Refused {
-        /// The attempt.
+        /// Id of the attempt.
         key: AttemptKey,
-        /// Why.
+        /// Reason.
         reason: RefuseReason,
     },
-    /// The attempt was handed to the BackendServer.
+    /// The attempt was sent to the BackendServer.
     Started(AttemptKey),
-    /// A part of the answer.
+    /// Part of the answer.
     Chunk {
-        /// The attempt.
+        /// Id of the attempt.
         key: AttemptKey,
-        /// Number of the part, from 0.
+        /// Index of the part, starting at 0.
         sequence: u64,
         /// The part.
         #[serde(with = "serde_bytes")]
@@ -268,44 +271,44 @@
     },
     /// The answer is complete.
     End {
-        /// The attempt.
+        /// Id of the attempt.
         key: AttemptKey,
-        /// Parts sent.
+        /// Number of parts sent.
         count: u64,
         /// Digest over the parts.
         digest: u64,
-        /// HTTP status of a plain service.
+        /// HTTP status of the response of a plain service.
         status: u16,
         /// Tokens used.
         usage: Usage,
-        /// Load of the agent now; answers are more frequent than heartbeats.
+        /// Current load of the agent; answers are more frequent than heartbeats.
         load: AgentLoad,
     },
-    /// The BackendServer failed the attempt after the start.
+    /// The attempt failed at the BackendServer after it had started.
     Failed {
-        /// The attempt.
+        /// Id of the attempt.
         key: AttemptKey,
-        /// What happened.
+        /// Description of the failure.
         problem: Box<str>,
-        /// HTTP status the BackendServer gave, or 0.
+        /// HTTP status returned by the BackendServer, or 0.
         status: u16,
     },
-    /// Ask for the changes after a revision.
+    /// Request for the configuration changes after a revision.
     Pull(Revision),
-    /// Changes.
+    /// Configuration update.
     Config(ConfigUpdate),
-    /// How a row's write came out.
+    /// Reply to [`ToAgent::WriteRow`].
     RowWritten {
-        /// Number of the question.
+        /// Correlation id of the request.
         question: u64,
-        /// Outcome.
+        /// Outcome of the write.
         outcome: InsertOutcome,
     },
-    /// Answer to a question about a pin.
+    /// Reply to [`ToAgent::AskPin`].
     PinIs {
-        /// Number of the question.
+        /// Correlation id of the request.
         question: u64,
-        /// The version, if one is remembered.
+        /// The pinned version, if one is remembered.
         version: Option<VersionId>,
     },
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,6 +1,7 @@
-//! Messages between entries and agents and the authenticated link that carries them.
+//! Messages between entries and agents, and the authenticated links that carry them.
 //!
-//! CBOR over WebSocket; the frames are described in `docs/decisions/0002-links.md`.
+//! A link is a WebSocket connection; each message is one binary frame in CBOR.
+//! `docs/decisions/0002-links.md` describes the frames.
 
 mod codec;
 mod error;
--- a/src/protocol/writer.rs
+++ b/src/protocol/writer.rs
@@ -1,11 +1,12 @@
-//! Writing frames to a link.
+//! Writes outgoing frames to a link.
 
 use bytes::Bytes;
 use futures_util::{SinkExt, stream::SplitSink};
 use tokio::{net::TcpStream, sync::mpsc};
 use tokio_tungstenite::{WebSocketStream, tungstenite::Message};
 
-/// Writes frames until the link breaks; those that wait together are flushed together.
+/// Writes the queued frames until the link breaks or the queue is closed. All frames that are waiting are
+/// flushed at once.
 pub async fn write_frames(
     mut rx: mpsc::Receiver<Bytes>,
     mut sink: SplitSink<WebSocketStream<TcpStream>, Message>,
