--- a/src/telemetry/log.rs
+++ b/src/telemetry/log.rs
@@ -1,4 +1,4 @@
-//! Where log lines go.
+//! Log output: format, level and destination.
 
 use std::{
     num::NonZeroUsize,
@@ -15,19 +15,19 @@
     sink::{AsyncPoolSink, OverflowPolicy, StdStream, StdStreamSink},
 };
 
-/// Form of the log lines.
+/// Format of the log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Plain text for humans.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// A word that names no log format or level.
+/// A text that is not a known log format or level.
 #[derive(Debug, thiserror::Error)]
-#[error("must be one of {0}")]
+#[error("expected one of {0}")]
 pub struct UnknownValue(&'static str);
 
 impl FromStr for LogFormat {
@@ -42,7 +42,7 @@
     }
 }
 
-/// Least level that is logged.
+/// Minimum level that is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogLevel(pub Level);
 
@@ -66,10 +66,10 @@
     }
 }
 
-/// Sends the process's events to standard error.
+/// Logs to standard error.
 ///
 /// # Errors
-/// When the sink can't be made.
+/// If the sink or the logger can't be created.
 pub fn init_stderr(level: LogLevel, format: LogFormat) -> Result<(), spdlog::Error> {
     let builder = StdStreamSink::builder().std_stream(StdStream::Stderr);
     let sink = match format {
@@ -85,27 +85,27 @@
     Ok(())
 }
 
-/// Lines that wait to be written; further ones are dropped and counted.
+/// Maximum number of log lines waiting to be written; further lines are dropped and counted.
 const MAX_QUEUED_LINES: usize = 2_048;
 
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Lines dropped so far because too many waited.
+/// Number of log lines dropped so far because too many were waiting.
 pub fn dropped_lines() -> u64 {
     DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-/// Sends the process's events to standard output as JSON, from a thread of its own, so that a
-/// slow reader of the log never holds a request up.
+/// Logs to standard output as JSON. A separate thread writes the lines, so that a slow reader of the
+/// log never blocks a request.
 ///
 /// # Errors
-/// When the sink can't be made.
+/// If the thread, the sink or the logger can't be created.
 pub fn init_async_stdout(level: LogLevel) -> Result<(), spdlog::Error> {
     let out = StdStreamSink::builder()
         .std_stream(StdStream::Stdout)
         .formatter(JsonFormatter::new())
         .build_arc()?;
-    let capacity = NonZeroUsize::new(MAX_QUEUED_LINES).expect("a constant above 0");
+    let capacity = NonZeroUsize::new(MAX_QUEUED_LINES).expect("the constant is above 0");
     let pool = ThreadPool::builder().capacity(capacity).build_arc()?;
     let count: ErrorHandler = ErrorHandler::from(|_| {
         DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
