--- a/src/telemetry/admin.rs
+++ b/src/telemetry/admin.rs
@@ -1,18 +1,18 @@
-//! The admin address of every process: health, metrics and the state dump.
+//! HTTP endpoints of the admin address of every process: health, metrics and the state dump.
 
 use std::sync::Arc;
 
 use axum::{Json, Router, http::StatusCode, routing::get};
 use serde_json::Value;
 
-/// What differs between processes on the admin address.
+/// Handlers that a process provides for its admin address.
 #[derive(Clone)]
 pub struct AdminHandlers {
-    /// The text exposition of the process's metrics.
+    /// Renders the metrics in the OpenMetrics text format.
     pub render_metrics: Arc<dyn Fn() -> String + Send + Sync>,
-    /// Whether the process takes work.
+    /// Whether the process accepts work.
     pub is_ready: Arc<dyn Fn() -> bool + Send + Sync>,
-    /// The state dump; it holds no keys.
+    /// Returns the state dump. It contains no secret keys.
     pub dump_state: Arc<dyn Fn() -> Value + Send + Sync>,
 }
 
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of one process; the stable names are in `docs/METRICS.md`.
+//! Metrics of a process. `docs/METRICS.md` lists their stable names.
 
 use std::{
     collections::BTreeSet,
@@ -21,7 +21,7 @@
 pub struct RequestLabels {
     /// Organisation.
     pub organisation: String,
-    /// `ok`, or the error's code.
+    /// `ok`, or the code of the error.
     pub code: String,
 }
 
@@ -30,18 +30,18 @@
 pub struct AttemptLabels {
     /// Version.
     pub version: String,
-    /// `done`, `refused` or `lost`.
+    /// `done`, `refused`, `lost` or `cancelled`.
     pub outcome: String,
 }
 
-/// Labels of a platform call that failed.
+/// Labels of a call to the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct PlatformCallLabels {
-    /// What the call was for.
+    /// Purpose of the call.
     pub cause: String,
 }
 
-/// Labels of a cascade's stage.
+/// Labels of a finished stage of a cascade.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct StageLabels {
     /// Model.
@@ -50,56 +50,56 @@
     pub outcome: String,
 }
 
-/// Labels of what is counted by service.
+/// Labels of metrics per service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ServiceLabels {
     /// Service.
     pub service: String,
 }
 
-/// Labels of a repeated send that was asked of the budget.
+/// Labels of a retry for which the retry budget was asked.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RetryLabels {
     /// Service.
     pub service: String,
-    /// Whether it was taken or denied.
+    /// `taken` from the budget or `denied` by it.
     pub outcome: String,
 }
 
-/// Labels of sends to servers that take few, cold ones or those that advertise a limit.
+/// Labels of sends to servers that accept few requests: cold servers and those that advertise a rate limit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct LimitedSendLabels {
-    /// `first` or `further` of its request, or `refused` where no server took it.
+    /// `first` or `further` send of its request, or `refused` if no server accepted it.
     pub outcome: String,
 }
 
-/// Labels of sends to servers that have announced that they should get none.
+/// Labels of sends to servers that have announced that they are unavailable.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct UnavailableSendLabels {
     /// `draining` or `paused`.
     pub cause: String,
-    /// `first` or `further` of its request.
+    /// `first` or `further` send of its request.
     pub send: String,
 }
 
-/// Labels of servers that are left out of a choice.
+/// Labels of servers that were excluded from a selection.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct AvoidedServerLabels {
     /// Why the server is unavailable.
     pub cause: String,
 }
 
-/// Labels of headers that nothing reads.
+/// Labels of unknown response headers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct UnreadHeaderLabels {
-    /// Name of the header.
+    /// Name of the header, or `other` beyond the maximum number of names.
     pub name: String,
 }
 
-/// Most names of unread headers that are distinguished.
+/// Maximum number of distinct names of unknown headers; it limits the number of time series.
 const MAX_UNREAD_HEADER_NAMES: usize = 32;
 
-/// Labels of the evidence on a version.
+/// Labels of the evidence about a version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct EvidenceLabels {
     /// Service.
@@ -110,64 +110,65 @@
     pub count: String,
 }
 
-/// All metrics of a process; clones share them.
+/// All metrics of a process. Clones share the same values.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: Arc<Mutex<Registry>>,
     /// Requests answered, by organisation and code.
     pub requests: Family<RequestLabels, Counter>,
-    /// Attempts, by version and outcome.
+    /// Attempts ended, by version and outcome.
     pub attempts: Family<AttemptLabels, Counter>,
-    /// Time to first token at this process, seconds.
+    /// Time to first token as measured by this process, in seconds.
     pub first_token: Histogram,
-    /// Time from a request to the end of its answer, seconds.
+    /// Time from the arrival of a request to the end of its answer, in seconds.
     pub total_time: Histogram,
-    /// Cascade stages passed on or asked again, by model.
+    /// Cascade stages, by model and outcome.
     pub stages: Family<StageLabels, Counter>,
-    /// Log lines dropped because too many waited.
+    /// Log lines dropped because too many were waiting.
     pub log_lines_dropped: Gauge,
-    /// Age of what the store last said, milliseconds.
+    /// Age of the latest data from the store, in milliseconds.
     pub feed_age_ms: Gauge,
-    /// Rows of BackendServers that can't be read now.
+    /// Rows of BackendServers that currently can't be parsed.
     pub rows_unreadable: Gauge,
-    /// Entries that this one knows of.
+    /// Entries known to this entry.
     pub entries: Gauge,
-    /// Notes on kept prompt parts that other entries did not get.
+    /// Notes about cached prompt prefixes that other entries did not receive.
     pub kept_notes_lost: Gauge,
-    /// Notes on ends of servers that other entries did not get.
+    /// Notes about ended servers that other entries did not receive.
     pub quarantine_notes_lost: Gauge,
-    /// Requests that are refused because servers ended under them.
+    /// Requests in quarantine because servers ended while running them.
     pub quarantined: Gauge,
-    /// AvailabilityZones that are evacuated.
+    /// AvailabilityZones under an evacuation order.
     pub evacuated_zones: Gauge,
-    /// Servers seen to end with requests at work.
+    /// Servers that ended while running requests of this entry.
     pub server_ends: Counter,
-    /// Repeated sends still allowed, by service.
+    /// Retries left in the budget, by service.
     pub repeats_left: Family<ServiceLabels, Gauge>,
-    /// Repeated sends asked of the budget, by service: taken or denied.
+    /// Retries for which the budget was asked, by service and outcome.
     pub repeats: Family<RetryLabels, Counter>,
-    /// Servers that advertise a limit now.
+    /// Servers that currently advertise a rate limit.
     pub servers_rate_limited: Gauge,
-    /// Sends to servers that take few.
+    /// Sends to servers that accept few requests.
     pub limited_sends: Family<LimitedSendLabels, Counter>,
-    /// Servers in view that have announced that they are draining.
+    /// Known servers that have announced that they are draining.
     pub servers_draining: Gauge,
-    /// Servers in view that have asked for a pause that has not ended.
+    /// Known servers that have asked for a pause that has not ended.
     pub servers_paused: Gauge,
-    /// Sends to servers that have announced that they should get none.
+    /// Sends to servers that have announced that they are unavailable.
     pub unavailable_sends: Family<UnavailableSendLabels, Counter>,
-    /// Servers left out of a choice since they are unavailable.
+    /// Servers excluded from a selection because they are unavailable.
     pub servers_avoided: Family<AvoidedServerLabels, Counter>,
-    /// Answers with a header that nothing reads.
+    /// Answers with an unknown header.
     pub unread_headers: Family<UnreadHeaderLabels, Counter>,
+    /// Names of unknown headers that have a label value of their own.
     unread_header_names: Arc<Mutex<BTreeSet<String>>>,
-    /// Evidence on versions under roll-out.
+    /// Evidence about versions under roll-out.
     pub evidence: Family<EvidenceLabels, Gauge>,
-    /// Requests or attempts in flight.
+    /// Requests in flight at an entry, or attempts in flight at an agent.
     pub in_flight: Gauge,
     /// Attempts queued.
     pub queued: Gauge,
-    /// Links up.
+    /// Open links.
     pub links: Gauge,
     /// Configuration revision in force.
     pub config_revision: Gauge,
@@ -175,11 +176,11 @@
     pub charges_waiting: Gauge,
     /// Charge records written.
     pub charges_written: Counter,
-    /// Control bytes sent over links: heartbeats and configuration.
+    /// Bytes of heartbeats and configuration sent over links.
     pub control_bytes: Counter,
     /// Calls to the table service, by cause.
     pub store_calls: Family<PlatformCallLabels, Counter>,
-    /// Calls to the platform that failed, by cause.
+    /// Failed calls to the platform, by cause.
     pub store_errors: Family<PlatformCallLabels, Counter>,
 }
 
@@ -239,51 +240,51 @@
         registry.register("stages", "Cascade stages by outcome", self.stages.clone());
         let dropped = self.log_lines_dropped.clone();
         registry.register("log_lines_dropped", "Log lines dropped", dropped);
-        registry.register("feed_age_ms", "Age of the store's last word", self.feed_age_ms.clone());
+        registry.register("feed_age_ms", "Age of the store's data", self.feed_age_ms.clone());
         let unreadable = self.rows_unreadable.clone();
-        registry.register("rows_unreadable", "Rows of servers that can't be read", unreadable);
-        registry.register("entries", "Entries known of", self.entries.clone());
+        registry.register("rows_unreadable", "Rows of servers that can't be parsed", unreadable);
+        registry.register("entries", "Entries known to this entry", self.entries.clone());
         let lost = self.kept_notes_lost.clone();
-        registry.register("kept_notes_lost", "Notes on kept parts that were lost", lost);
+        registry.register("kept_notes_lost", "Lost notes about cached prompt prefixes", lost);
         let lost = self.quarantine_notes_lost.clone();
-        registry.register("quarantine_notes_lost", "Notes on ends of servers that were lost", lost);
+        registry.register("quarantine_notes_lost", "Lost notes about ended servers", lost);
         let quarantined = self.quarantined.clone();
         let zones = self.evacuated_zones.clone();
-        registry.register("evacuated_zones", "AvailabilityZones that are evacuated", zones);
-        registry.register("quarantined", "Requests refused because servers ended", quarantined);
+        registry.register("evacuated_zones", "AvailabilityZones under an evacuation order", zones);
+        registry.register("quarantined", "Requests in quarantine", quarantined);
         let ends = self.server_ends.clone();
-        registry.register("server_ends", "Servers seen to end with requests at work", ends);
+        registry.register("server_ends", "Servers that ended while running requests", ends);
         let left = self.repeats_left.clone();
-        registry.register("repeats_left", "Repeated sends still allowed", left);
+        registry.register("repeats_left", "Retries left in the budget", left);
         let repeats = self.repeats.clone();
-        registry.register("repeats", "Repeated sends taken and denied", repeats);
+        registry.register("repeats", "Retries by decision of the budget", repeats);
         let rate_limited = self.servers_rate_limited.clone();
-        registry.register("servers_rate_limited", "Servers that advertise a limit", rate_limited);
+        registry.register("servers_rate_limited", "Servers with a rate limit", rate_limited);
         let limited = self.limited_sends.clone();
-        registry.register("limited_sends", "Sends to servers that take few", limited);
+        registry.register("limited_sends", "Sends to servers that accept few requests", limited);
         let draining = self.servers_draining.clone();
-        registry.register("servers_draining", "Servers that announced draining", draining);
+        registry.register("servers_draining", "Servers that are draining", draining);
         let paused = self.servers_paused.clone();
         registry.register("servers_paused", "Servers that asked for a pause", paused);
         let sends = self.unavailable_sends.clone();
         registry.register("unavailable_sends", "Sends to unavailable servers", sends);
         let avoided = self.servers_avoided.clone();
-        registry.register("servers_avoided", "Servers left out of a choice", avoided);
+        registry.register("servers_avoided", "Servers excluded from a selection", avoided);
         let unread = self.unread_headers.clone();
-        registry.register("unread_headers", "Answers with a header nothing reads", unread);
-        registry.register("evidence", "Answers of versions under roll-out", self.evidence.clone());
-        registry.register("in_flight", "Requests in flight", self.in_flight.clone());
+        registry.register("unread_headers", "Answers with an unknown header", unread);
+        registry.register("evidence", "Evidence about versions", self.evidence.clone());
+        registry.register("in_flight", "Requests or attempts in flight", self.in_flight.clone());
         registry.register("queued", "Attempts queued", self.queued.clone());
-        registry.register("links", "Links up", self.links.clone());
+        registry.register("links", "Open links", self.links.clone());
         registry.register("config_revision", "Revision in force", self.config_revision.clone());
         let waiting = self.charges_waiting.clone();
         registry.register("charges_waiting", "Charge records not yet written", waiting);
         let written = self.charges_written.clone();
         registry.register("charges_written", "Charge records written", written);
         let control_bytes = self.control_bytes.clone();
-        registry.register("control_bytes", "Control bytes sent over links", control_bytes);
+        registry.register("control_bytes", "Bytes of control traffic sent", control_bytes);
         registry.register("store_calls", "Calls to the table service", self.store_calls.clone());
-        registry.register("store_errors", "Platform calls that failed", self.store_errors.clone());
+        registry.register("store_errors", "Failed platform calls", self.store_errors.clone());
     }
 
     /// Counts an answered request.
@@ -304,32 +305,33 @@
         self.stages.get_or_create(&labels).inc();
     }
 
-    /// Counts one repeated send that the budget gave or denied.
+    /// Counts a retry that the budget allowed or denied.
     pub fn count_retry(&self, service: &str, is_taken: bool) {
         let outcome = if is_taken { "taken" } else { "denied" };
         let labels = RetryLabels { service: service.into(), outcome: outcome.into() };
         self.repeats.get_or_create(&labels).inc();
     }
 
-    /// Counts a send to a server that takes few.
+    /// Counts a send to a server that accepts few requests.
     pub fn count_limited_send(&self, outcome: &str) {
         self.limited_sends.get_or_create(&LimitedSendLabels { outcome: outcome.into() }).inc();
     }
 
-    /// Counts a send to a server that has announced that it should get none.
+    /// Counts a send to a server that has announced that it is unavailable.
     pub fn count_unavailable_send(&self, cause: &str, send: &str) {
         let labels = UnavailableSendLabels { cause: cause.into(), send: send.into() };
         self.unavailable_sends.get_or_create(&labels).inc();
     }
 
-    /// Counts servers that were left out of a choice.
+    /// Counts servers that were excluded from a selection.
     pub fn count_avoided_servers(&self, cause: &str, servers: u64) {
         self.servers_avoided
             .get_or_create(&AvoidedServerLabels { cause: cause.into() })
             .inc_by(servers);
     }
 
-    /// Counts an answer with a header that nothing reads; whether the name is new.
+    /// Counts an answer with an unknown header. Returns true for the first answer with this name, as long
+    /// as the maximum number of names is not reached.
     pub fn count_unread_header(&self, name: &str) -> bool {
         let mut names = self.unread_header_names.lock().expect("no panics under the lock");
         let is_new = !names.contains(name) && names.len() < MAX_UNREAD_HEADER_NAMES;
@@ -341,21 +343,21 @@
         is_new
     }
 
-    /// Counts one call to the table service.
+    /// Counts a call to the table service.
     pub fn count_store_call(&self, cause: &str) {
         self.store_calls.get_or_create(&PlatformCallLabels { cause: cause.into() }).inc();
     }
 
-    /// Counts one failed call to the platform.
+    /// Counts a failed call to the platform.
     pub fn count_store_error(&self, cause: &str) {
         self.store_errors.get_or_create(&PlatformCallLabels { cause: cause.into() }).inc();
     }
 
-    /// The text exposition of all metrics.
+    /// Renders all metrics in the OpenMetrics text format.
     pub fn render(&self) -> String {
         let mut text = String::new();
         let registry = self.registry.lock().expect("no panics under the lock");
-        encode(&mut text, &registry).expect("writing to a string can't fail");
+        encode(&mut text, &registry).expect("writing to a String never fails");
         text
     }
 }
--- a/src/telemetry/mod.rs
+++ b/src/telemetry/mod.rs
@@ -1,4 +1,4 @@
-//! What a process reports about itself: numbered events, metrics and its state dump.
+//! Observability of a process: numbered log events, metrics, health checks and the state dump.
 
 pub mod admin;
 pub mod event;
