--- a/tests/catalogue.rs
+++ b/tests/catalogue.rs
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn the_event_page_has_every_event_as_the_code_has_it() {
+fn event_page_matches_the_catalogue() {
     let page = std::fs::read_to_string("docs/EVENTS.md").unwrap();
     let rows: Vec<Vec<&str>> = page
         .lines()
@@ -26,15 +26,15 @@
 }
 
 #[test]
-fn event_numbers_are_used_once_and_grow() {
+fn event_numbers_are_unique_and_ascending() {
     assert!(CATALOGUE.windows(2).all(|pair| pair[0].code < pair[1].code));
 }
 
 #[test]
-fn the_metrics_page_has_every_metric() {
+fn metrics_page_lists_every_metric() {
     let page = std::fs::read_to_string("docs/METRICS.md").unwrap();
     let metrics = Metrics::default();
-    touch(&metrics);
+    create_labelled_metrics(&metrics);
     let rendered = metrics.render();
     let named: BTreeSet<&str> = rendered
         .lines()
@@ -50,7 +50,7 @@
 }
 
 /// A metric with labels is shown once it has been counted.
-fn touch(metrics: &Metrics) {
+fn create_labelled_metrics(metrics: &Metrics) {
     let requests = RequestLabels { organisation: "o".into(), code: "ok".into() };
     metrics.requests.get_or_create(&requests).inc();
     let attempts = AttemptLabels { version: "v".into(), outcome: "done".into() };
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -4,7 +4,7 @@
 
 use insta::assert_snapshot;
 
-fn run(args: &[&str]) -> Output {
+fn run_mintmoor(args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_mintmoor"));
     for (name, _) in std::env::vars().filter(|(name, _)| name.starts_with("MINTMOOR_")) {
         command.env_remove(name);
@@ -12,7 +12,7 @@
     command.args(args).output().unwrap()
 }
 
-fn err(output: &Output) -> String {
+fn stderr_of(output: &Output) -> String {
     String::from_utf8(output.stderr.clone()).unwrap()
 }
 
@@ -26,18 +26,18 @@
         .args(["check", "--kind", kind, "file.toml"])
         .output()
         .unwrap();
-    (output.status.code(), err(&output) + &String::from_utf8(output.stdout).unwrap())
+    (output.status.code(), stderr_of(&output) + &String::from_utf8(output.stdout).unwrap())
 }
 
 #[test]
-fn the_version_is_printed() {
-    let output = run(&["--version"]);
+fn version_is_printed() {
+    let output = run_mintmoor(&["--version"]);
     assert!(output.status.success());
     assert!(String::from_utf8(output.stdout).unwrap().starts_with("mintmoor "));
 }
 
 #[test]
-fn all_problems_of_a_settings_file_are_told_at_once() {
+fn all_problems_of_a_settings_file_are_reported_at_once() {
     let (code, text) = check(
         "entry",
         r#"[process]
@@ -63,14 +63,14 @@
 }
 
 #[test]
-fn a_file_that_is_not_toml_is_told_with_its_line() {
+fn toml_syntax_error_is_reported_with_its_line() {
     let (code, text) = check("agent", "[process]\nhost = \n");
     assert_eq!(code, Some(2));
     assert_snapshot!(text);
 }
 
 #[test]
-fn wrong_objects_are_told_one_by_one() {
+fn invalid_objects_are_reported_one_by_one() {
     let (code, text) = check(
         "objects",
         r#"[[object]]
@@ -88,33 +88,34 @@
 }
 
 #[test]
-fn every_scenario_file_is_good() {
+fn all_scenario_files_are_valid() {
     for file in std::fs::read_dir("scenarios").unwrap() {
         let path = file.unwrap().path();
-        let output = run(&["check", "--kind", "scenario", path.to_str().unwrap()]);
-        assert!(output.status.success(), "{}: {}", path.display(), err(&output));
+        let output = run_mintmoor(&["check", "--kind", "scenario", path.to_str().unwrap()]);
+        assert!(output.status.success(), "{}: {}", path.display(), stderr_of(&output));
     }
 }
 
 #[test]
-fn an_unknown_policy_is_told_with_the_known_ones() {
-    let output = run(&["load", "--scenario", "scenarios/ricarica.toml", "--policy", "best"]);
+fn unknown_policy_error_lists_the_known_policies() {
+    let output =
+        run_mintmoor(&["load", "--scenario", "scenarios/ricarica.toml", "--policy", "best"]);
     assert_eq!(output.status.code(), Some(2));
-    assert!(err(&output).contains("least-loaded"), "{}", err(&output));
+    assert!(stderr_of(&output).contains("least-loaded"), "{}", stderr_of(&output));
 }
 
 #[test]
-fn a_remote_command_without_a_key_says_what_to_set() {
-    let output = run(&["get", "--operator", "http://127.0.0.1:1", "version"]);
+fn remote_command_without_a_key_names_the_variable_to_set() {
+    let output = run_mintmoor(&["get", "--operator", "http://127.0.0.1:1", "version"]);
     assert_eq!(output.status.code(), Some(2));
-    assert!(err(&output).contains("MINTMOOR_OPERATOR_KEY"), "{}", err(&output));
+    assert!(stderr_of(&output).contains("MINTMOOR_OPERATOR_KEY"), "{}", stderr_of(&output));
 }
 
 #[test]
-fn completions_name_every_command() {
-    let output = run(&["completions"]);
+fn completions_contain_every_command() {
+    let output = run_mintmoor(&["completions"]);
     let script = String::from_utf8(output.stdout).unwrap();
-    let help = String::from_utf8(run(&["--help"]).stdout).unwrap();
+    let help = String::from_utf8(run_mintmoor(&["--help"]).stdout).unwrap();
     let commands = help.split("Commands:").nth(1).unwrap().lines().filter_map(|line| {
         let line = line.strip_prefix("  ").filter(|line| !line.starts_with(' '))?;
         line.split_whitespace().next()
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -31,13 +31,13 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(256) })]
 
     #[test]
-    fn any_bytes_are_a_frame_or_an_error(bytes in vec(any::<u8>(), 0..2048)) {
+    fn decoding_arbitrary_bytes_never_panics(bytes in vec(any::<u8>(), 0..2048)) {
         let _ = decode::<ToAgent>(&bytes);
         let _ = decode::<ToEntry>(&bytes);
     }
 
     #[test]
-    fn a_cut_frame_is_an_error(payload in vec(any::<u8>(), 1..512), cut in 1usize..40) {
+    fn truncated_frame_is_an_error(payload in vec(any::<u8>(), 1..512), cut in 1usize..40) {
         let key = AttemptKey { request: 7, number: 1 };
         let frame = encode(&ToEntry::Chunk { key, sequence: 3, payload });
         let short = &frame[..frame.len().saturating_sub(cut)];
@@ -45,7 +45,7 @@
     }
 
     #[test]
-    fn a_frame_comes_back_the_same(
+    fn frame_round_trips(
         request in any::<u128>(), number in any::<u32>(), sequence in any::<u64>(),
         payload in vec(any::<u8>(), 0..512),
     ) {
@@ -55,7 +55,7 @@
     }
 
     #[test]
-    fn any_text_is_settings_or_problems_with_lines(text in "\\PC{0,200}(\n\\PC{0,60}){0,8}") {
+    fn problems_of_arbitrary_settings_have_valid_line_numbers(text in "\\PC{0,200}(\n\\PC{0,60}){0,8}") {
         let lines = text.lines().count().max(1);
         for error in [load_entry("f", &text).unwrap_err(), load_agent("f", &text).unwrap_err()] {
             prop_assert!(!error.problems.is_empty());
@@ -64,7 +64,7 @@
     }
 
     #[test]
-    fn any_json_is_a_spec_or_an_error(kind in 0usize..7, text in "[\\[{]\\PC{0,120}[\\]}]") {
+    fn checking_a_spec_from_arbitrary_json_never_panics(kind in 0usize..7, text in "[\\[{]\\PC{0,120}[\\]}]") {
         let Ok(json) = serde_json::from_str(&text) else { return Ok(()) };
         if let Ok(spec) = Spec::from_json(Kind::ALL[kind], json) {
             let object = Object { id: "p/x".into(), revision: 1, spec };
@@ -73,7 +73,7 @@
     }
 
     #[test]
-    fn only_the_signed_session_is_read(id in "[a-z0-9]{1,20}", flip in any::<prop::sample::Index>()) {
+    fn only_an_unmodified_session_token_is_accepted(id in "[a-z0-9]{1,20}", flip in any::<prop::sample::Index>()) {
         let session = Session { organisation: "p/o".into(), id: id.into(), ..Session::default() };
         let token = sign(&session, b"key");
         prop_assert_eq!(verify(&token, b"key"), Some(session));
@@ -85,12 +85,12 @@
     }
 
     #[test]
-    fn an_id_comes_back_the_same(id in any::<u128>()) {
+    fn id_round_trips(id in any::<u128>()) {
         prop_assert_eq!(parse_id(&format_id(id)), Some(id));
     }
 
     #[test]
-    fn records_in_any_order_and_number_bill_each_request_once(
+    fn each_request_is_billed_once_for_any_order_and_number_of_records(
         copies in vec((0u128..12, 1u64..9, 0u8..3), 0..60),
     ) {
         let all: Vec<ChargeRecord> = copies
@@ -113,11 +113,11 @@
     }
 
     #[test]
-    fn a_claim_of_another_is_never_sent(
-        state in 0u8..3, same_print in any::<bool>(), held_until in 0u64..20, now in 0u64..20,
+    fn request_is_never_sent_while_another_claim_exists(
+        state in 0u8..3, same_fingerprint in any::<bool>(), held_until in 0u64..20, now in 0u64..20,
     ) {
         let mine = Claim::new(1, 1, 5, 10);
-        let mut theirs = Claim::new(2, 2, if same_print { 5 } else { 6 }, held_until);
+        let mut theirs = Claim::new(2, 2, if same_fingerprint { 5 } else { 6 }, held_until);
         theirs.state = match state {
             0 => ClaimState::Held,
             1 => ClaimState::NotRun,
@@ -128,7 +128,7 @@
     }
 
     #[test]
-    fn the_queue_gives_back_what_it_took(organisations in vec(0u8..5, 1..80), capacity in 1usize..40) {
+    fn queue_returns_every_attempt_it_accepted(organisations in vec(0u8..5, 1..80), capacity in 1usize..40) {
         let mut queue = FairQueue::new(capacity);
         let mut dropped = 0;
         for (i, organisation) in organisations.iter().enumerate() {
@@ -150,7 +150,7 @@
     }
 
     #[test]
-    fn a_log_never_goes_back(offers in vec(0u64..12, 0..60)) {
+    fn config_log_revision_never_decreases(offers in vec(0u64..12, 0..60)) {
         let mut log = ConfigLog::default();
         let mut highest = 0;
         for revision in offers {
--- a/tests/links.rs
+++ b/tests/links.rs
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test]
-async fn a_peer_with_the_key_is_let_in_and_gets_a_heartbeat() {
+async fn peer_with_the_shared_key_is_accepted_and_gets_a_heartbeat() {
     let (_platform, agent) = start_agent().await;
 
     let (mut ws, peer) =
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test]
-async fn a_peer_with_another_key_is_not_let_in() {
+async fn peer_with_another_key_is_rejected() {
     let (_platform, agent) = start_agent().await;
 
     let refused = protocol::connect(agent.addresses.link, &entry_peer(), b"another key").await;
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test]
-async fn an_agent_without_the_key_is_not_taken_for_one() {
+async fn agent_without_the_shared_key_is_rejected() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let impostor = tokio::spawn(async move {
@@ -92,7 +92,7 @@
 }
 
 #[tokio::test]
-async fn noise_before_the_proof_ends_the_connection_and_nothing_else() {
+async fn invalid_bytes_during_the_handshake_end_only_their_connection() {
     let (_platform, agent) = start_agent().await;
 
     let mut noise = TcpStream::connect(agent.addresses.link).await.unwrap();
@@ -104,7 +104,7 @@
 }
 
 #[tokio::test]
-async fn a_frame_that_can_not_be_read_ends_its_link_only() {
+async fn invalid_frame_ends_only_its_link() {
     let (_platform, agent) = start_agent().await;
     let (mut bad, _) =
         protocol::connect(agent.addresses.link, &entry_peer(), KEY.as_bytes()).await.unwrap();
