--- a/src/protocol/message.rs
+++ b/src/protocol/message.rs
@@ -284,7 +284,7 @@
         /// Current load of the agent; answers are more frequent than heartbeats.
         load: AgentLoad,
     },
-    /// The attempt failed at the BackendServer after it had started.
+    /// The attempt failed after it had started.
     Failed {
         /// Id of the attempt.
         key: AttemptKey,
--- a/tests/catalogue.rs
+++ b/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! The pages that list events and metrics agree with the code.
+//! Checks that `docs/EVENTS.md` and `docs/METRICS.md` match the code.
 
 use std::collections::BTreeSet;
 
@@ -49,7 +49,7 @@
     assert_eq!(listed, named);
 }
 
-/// A metric with labels is shown once it has been counted.
+/// Records a value of every metric with labels, since they are rendered only after that.
 fn create_labelled_metrics(metrics: &Metrics) {
     let requests = RequestLabels { organisation: "o".into(), code: "ok".into() };
     metrics.requests.get_or_create(&requests).inc();
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,9 +1,10 @@
-//! The command line: exit codes and messages.
+//! Exit codes and messages of the command line.
 
 use std::process::{Command, Output};
 
 use insta::assert_snapshot;
 
+/// Runs the program without the `MINTMOOR_` variables of the environment.
 fn run_mintmoor(args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_mintmoor"));
     for (name, _) in std::env::vars().filter(|(name, _)| name.starts_with("MINTMOOR_")) {
@@ -16,7 +17,7 @@
     String::from_utf8(output.stderr.clone()).unwrap()
 }
 
-/// Writes a file into a fresh folder and runs `check` on it there.
+/// Runs `check` on a file with this text. Returns the exit code and the output.
 fn check(kind: &str, text: &str) -> (Option<i32>, String) {
     let dir = tempfile::tempdir().unwrap();
     std::fs::write(dir.path().join("file.toml"), text).unwrap();
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -1,5 +1,5 @@
-//! Property tests: nothing that comes from outside makes a process fail, and what goes through a
-//! codec comes back the same.
+//! Property tests: arbitrary input never causes a panic, encoding and decoding round-trips, and the rules of
+//! charges, claims, queues and the configuration log hold for arbitrary sequences.
 
 use mintmoor::{
     ids::{format_id, parse_id},
--- a/tests/links.rs
+++ b/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links: peers that do not prove themselves, and frames that can't be read.
+//! Links between entries and agents: authentication of peers and handling of invalid frames.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -61,7 +61,7 @@
         protocol::connect(agent.addresses.link, &entry_peer(), KEY.as_bytes()).await.unwrap();
 
     assert_eq!(&*peer.server, "ricarica/engine-1");
-    let Some(Ok(Message::Binary(buf))) = ws.next().await else { panic!("no frame") };
+    let Some(Ok(Message::Binary(buf))) = ws.next().await else { panic!("no frame received") };
     assert!(matches!(protocol::decode(&buf).unwrap(), protocol::ToEntry::Beat(_)));
 }
 
@@ -73,7 +73,7 @@
     let accepted = protocol::connect(agent.addresses.link, &entry_peer(), KEY.as_bytes()).await;
 
     assert!(refused.is_err());
-    assert!(accepted.is_ok(), "the agent goes on");
+    assert!(accepted.is_ok(), "the agent accepts other peers");
 }
 
 #[tokio::test]
