--- a/src/protocol/handshake.rs
+++ b/src/protocol/handshake.rs
@@ -137,13 +137,13 @@
     side: &str,
     verifier_nonce: u128,
     signer_nonce: u128,
-    peer: &Peer,
+    signer: &Peer,
 ) -> Hmac<Sha256> {
     let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("HMAC takes keys of any length");
     mac.update(side.as_bytes());
     mac.update(&verifier_nonce.to_be_bytes());
     mac.update(&signer_nonce.to_be_bytes());
-    mac.update(&encode(peer));
+    mac.update(&encode(signer));
     mac
 }
 
--- a/tests/links.rs
+++ b/tests/links.rs
@@ -95,10 +95,10 @@
 async fn invalid_bytes_during_the_handshake_end_only_their_connection() {
     let (_platform, agent) = start_agent().await;
 
-    let mut noise = TcpStream::connect(agent.addresses.link).await.unwrap();
-    noise.write_all(&[0xff; 4096]).await.unwrap();
+    let mut stream = TcpStream::connect(agent.addresses.link).await.unwrap();
+    stream.write_all(&[0xff; 4096]).await.unwrap();
     let mut rest = Vec::new();
-    let _ = noise.read_to_end(&mut rest).await;
+    let _ = stream.read_to_end(&mut rest).await;
 
     assert!(protocol::connect(agent.addresses.link, &entry_peer(), KEY.as_bytes()).await.is_ok());
 }
