--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -5,7 +5,7 @@
 /// A problem in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsProblem {
-    /// Line number, starting at 1; 0 if the value comes from an environment variable.
+    /// Line number, starting at 1; 0 if the text of an environment variable could not be parsed.
     pub line: usize,
     /// Key with its sections, such as `listen.caller`.
     pub key: Box<str>,
--- a/src/settings/process.rs
+++ b/src/settings/process.rs
@@ -225,7 +225,7 @@
     })
 }
 
-/// Returns a required value. `Reader::finish` has already failed if it is missing.
+/// Returns a required value. The caller has returned the error of `Reader::finish` if it is missing.
 fn expect_present<T>(value: Option<T>) -> T {
     value.expect("finish returned an error for a missing value")
 }
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Parses the value of an optional key.
+    /// Parses the value of a key that may be missing.
     pub(super) fn get_optional<T: FromStr>(&mut self, key: &str, expected: &str) -> Option<T>
     where
         T::Err: std::fmt::Display,
@@ -105,7 +105,10 @@
         self.add_problem(line, key, problem);
     }
 
-    /// Returns the recorded problems, sorted by line. Unknown keys are problems, too.
+    /// Finishes the reading and checks for unknown keys.
+    ///
+    /// # Errors
+    /// All recorded problems and unknown keys, sorted by line.
     pub(super) fn finish(mut self) -> Result<(), SettingsError> {
         let mut unknown = Vec::new();
         collect_unknown(&self.root, "", &self.known_keys, &mut unknown);
@@ -197,8 +200,8 @@
     }
 }
 
-/// The known key whose common prefix and suffix with an unknown key are longest together, if they make
-/// up at least two thirds of the unknown key.
+/// The known key that has the longest common prefix and suffix with an unknown key. `None` if they are
+/// shorter than two thirds of the unknown key.
 fn closest_known_key(key: &str, known_keys: &[Box<str>]) -> Option<Box<str>> {
     let common_len = |other: &str| {
         let prefix = key.bytes().zip(other.bytes()).take_while(|(a, b)| a == b).count();
--- a/src/settings/route.rs
+++ b/src/settings/route.rs
@@ -18,8 +18,8 @@
     pub exposure: ExposureConfig,
     /// Placement costs of a server besides its backlog.
     pub placement: PlacementConfig,
-    /// Additional port on the Host's address that serves metrics and the state dump, which the
-    /// readiness address serves as well.
+    /// Port on the Host's address that serves metrics and the state dump, in addition to the readiness
+    /// address.
     pub metrics_port: Option<u16>,
     /// Minimum level that is logged.
     pub log_level: LogLevel,
