--- a/src/agent/state.rs
+++ b/src/agent/state.rs
@@ -32,9 +32,9 @@
         gate::Gate,
         lifecycle::{self, Lifecycle, LifecycleEvent, LifecycleState},
     },
-    protocol::{LoadNow, Peer, Start, ToEntry, encode},
+    protocol::{AgentLoad, Peer, StartAttempt, ToEntry, encode},
     settings::AgentSettings,
-    telemetry::{Metrics, admin::Admin},
+    telemetry::{Metrics, admin::AdminHandlers},
 };
 
 /// Weight of a new sample in running means.
@@ -53,7 +53,7 @@
 /// An attempt waiting at the agent.
 #[derive(Debug)]
 pub(crate) struct Pending {
-    pub(crate) start: Start,
+    pub(crate) start: StartAttempt,
     pub(crate) link: LinkId,
     pub(crate) received: Instant,
 }
@@ -220,13 +220,13 @@
     }
 
     /// Load as a link is told.
-    pub(crate) fn load_now(&self, link: LinkId) -> LoadNow {
+    pub(crate) fn load_now(&self, link: LinkId) -> AgentLoad {
         let starts_seen = {
             let links = self.links.lock().expect("no panics under the lock");
             links.get(&link).map_or(0, |link| link.starts_seen.load(Ordering::Relaxed))
         };
         let work = self.lock_work();
-        LoadNow { running: work.started as u32, queued: work.queue.len() as u32, starts_seen }
+        AgentLoad { running: work.started as u32, queued: work.queue.len() as u32, starts_seen }
     }
 
     /// Whether nothing runs or waits.
@@ -275,12 +275,12 @@
     }
 
     /// What the admin address shows.
-    pub(crate) fn admin(self: &Arc<Self>) -> Admin {
+    pub(crate) fn admin(self: &Arc<Self>) -> AdminHandlers {
         let (ready, dumped, metrics) = (self.clone(), self.clone(), self.metrics.clone());
-        Admin {
-            render: Arc::new(move || metrics.render()),
+        AdminHandlers {
+            render_metrics: Arc::new(move || metrics.render()),
             is_ready: Arc::new(move || !ready.is_leaving()),
-            dump: Arc::new(move || dumped.dump()),
+            dump_state: Arc::new(move || dumped.dump()),
         }
     }
 
--- a/src/protocol/error.rs
+++ b/src/protocol/error.rs
@@ -1,33 +1,33 @@
-//! Errors of the protocol layer.
+//! Errors of links.
 
 /// Result of a link operation.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// What can go wrong on a link.
+/// An error of a link.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The connection can't be made or broke.
-    #[error("link broke: {0}")]
-    Broken(Box<str>),
-    /// The peer did not prove that it has the link key.
-    #[error("peer did not prove itself")]
+    /// The connection could not be established, broke, or violated the protocol.
+    #[error("connection failed: {0}")]
+    ConnectionFailed(Box<str>),
+    /// The peer did not prove that it has the shared key, or sent an unexpected frame during the handshake.
+    #[error("peer is not authenticated")]
     NotAuthenticated,
-    /// The peer took too long to prove itself.
-    #[error("peer did not prove itself in time")]
+    /// The handshake was not complete in time.
+    #[error("handshake timed out")]
     HandshakeTimeout,
-    /// A frame can't be read.
-    #[error("frame can't be read: {0}")]
-    BadFrame(Box<str>),
+    /// A frame can't be decoded.
+    #[error("invalid frame: {0}")]
+    InvalidFrame(Box<str>),
 }
 
 impl From<tokio_tungstenite::tungstenite::Error> for Error {
     fn from(e: tokio_tungstenite::tungstenite::Error) -> Self {
-        Error::Broken(e.to_string().into())
+        Error::ConnectionFailed(e.to_string().into())
     }
 }
 
 impl From<std::io::Error> for Error {
     fn from(e: std::io::Error) -> Self {
-        Error::Broken(e.to_string().into())
+        Error::ConnectionFailed(e.to_string().into())
     }
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,6 +1,7 @@
-//! Messages between entries and agents and the authenticated link that carries them.
+//! Messages between entries and agents, and the authenticated links that carry them.
 //!
-//! CBOR over WebSocket; the frames are described in `docs/decisions/0002-links.md`.
+//! A link is a WebSocket connection; each message is one binary frame in CBOR.
+//! `docs/decisions/0002-links.md` describes the frames.
 
 mod codec;
 mod error;
@@ -10,9 +11,9 @@
 
 pub use codec::{decode, encode};
 pub use error::{Error, Result};
-pub use handshake::{AgentSide, EntrySide, Peer, accept, connect};
+pub use handshake::{AgentLinkStream, EntryLinkStream, Peer, accept, connect};
 pub use message::{
-    AgentBeat, ConfigUpdate, EntryBeat, Held, LoadNow, RowWrite, Start, StartCall, ToAgent,
-    ToEntry, Usage, VersionEvidence,
+    AgentHeartbeat, AgentLoad, BackendCall, ConfigUpdate, EntryHeartbeat, HeldVersion, RowWrite,
+    StartAttempt, ToAgent, ToEntry, Usage, VersionEvidence,
 };
 pub use writer::write_frames;
--- a/src/settings/route.rs
+++ b/src/settings/route.rs
@@ -1,5 +1,5 @@
-//! Settings of an entry on the users' platform that are ours: the platform's own file tells the
-//! rest. The keys are in `docs/SETTINGS.md`.
+//! Settings of the `route` process that the platform's own settings file does not contain.
+//! `docs/SETTINGS.md` lists the keys.
 
 use std::time::Duration;
 
@@ -9,100 +9,103 @@
     telemetry::log::LogLevel,
 };
 
-/// What an operator may change about the decisions of an entry.
+/// Policies and local options of a `route` process. All have defaults.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RouteSettings {
-    /// When a cascade's answer is good enough.
+    /// When a cascade asks a larger model.
     pub escalation: EscalationConfig,
-    /// How a roll-out's share grows.
+    /// How the traffic share of a new version grows during a roll-out.
     pub exposure: ExposureConfig,
-    /// What a server costs besides its backlog.
+    /// Placement costs of a server besides its backlog.
     pub placement: PlacementConfig,
-    /// Port on the Host's address where metrics and the state dump are served, besides the
-    /// readiness address.
+    /// Port on the Host's address that serves metrics and the state dump, in addition to the readiness
+    /// address.
     pub metrics_port: Option<u16>,
-    /// Least level logged.
+    /// Minimum level that is logged.
     pub log_level: LogLevel,
 }
 
-/// Reads the settings.
+/// Reads the settings of a `route` process.
 ///
 /// # Errors
-/// Everything wrong with the text at once.
+/// All problems of the text.
 pub fn load_route(file: &str, text: &str) -> Result<RouteSettings, SettingsError> {
     let mut r = Reader::parse(file, text)?;
-    let given = RouteSettings::default();
-    let cascade = given.escalation;
+    let defaults = RouteSettings::default();
+    let cascade = defaults.escalation;
     let escalation = EscalationConfig {
-        confident: number(&mut r, "cascade.confident", cascade.confident, 100.0),
-        confident_under_pressure: number(
+        confident: get_number(&mut r, "cascade.confident", cascade.confident, 100.0),
+        confident_under_pressure: get_number(
             &mut r,
             "cascade.confident_under_pressure",
             cascade.confident_under_pressure,
             100.0,
         ),
-        confident_if_late: number(
+        confident_if_late: get_number(
             &mut r,
             "cascade.confident_if_late",
             cascade.confident_if_late,
             100.0,
         ),
-        pressure_from: number(&mut r, "cascade.pressure_from", cascade.pressure_from, 10.0),
-        pressure_full: number(&mut r, "cascade.pressure_full", cascade.pressure_full, 10.0),
+        pressure_from: get_number(&mut r, "cascade.pressure_from", cascade.pressure_from, 10.0),
+        pressure_full: get_number(&mut r, "cascade.pressure_full", cascade.pressure_full, 10.0),
     };
-    let shares = given.exposure;
+    let shares = defaults.exposure;
     let exposure = ExposureConfig {
-        trial_share: number(&mut r, "roll_out.trial_share", shares.trial_share, 1.0),
-        sessions_from: number(&mut r, "roll_out.sessions_from", shares.sessions_from, 1.0),
-        grows_from: number(&mut r, "roll_out.grows_from", shares.grows_from, 1.0),
-        all_from: number(&mut r, "roll_out.all_from", shares.all_from, 1.0),
-        complete_from: number(&mut r, "roll_out.complete_from", shares.complete_from, 1.0),
+        trial_share: get_number(&mut r, "roll_out.trial_share", shares.trial_share, 1.0),
+        sessions_from: get_number(&mut r, "roll_out.sessions_from", shares.sessions_from, 1.0),
+        grows_from: get_number(&mut r, "roll_out.grows_from", shares.grows_from, 1.0),
+        all_from: get_number(&mut r, "roll_out.all_from", shares.all_from, 1.0),
+        complete_from: get_number(&mut r, "roll_out.complete_from", shares.complete_from, 1.0),
     };
-    let costs = given.placement;
+    let costs = defaults.placement;
     let placement = PlacementConfig {
-        running: micros(&mut r, "placement.running_us", costs.running),
-        waiting: micros(&mut r, "placement.waiting_us", costs.waiting),
-        failure: micros(&mut r, "placement.failure_us", costs.failure),
-        far: micros(&mut r, "placement.far_us", costs.far),
-        far_kilobyte: micros(&mut r, "placement.far_kilobyte_us", costs.far_kilobyte),
-        spare_backlog: micros(&mut r, "placement.spare_backlog_us", costs.spare_backlog),
-        reread_token: micros(&mut r, "placement.reread_token_us", costs.reread_token),
-        choices: at_least_one(&mut r, "placement.choices", costs.choices),
+        running: get_micros(&mut r, "placement.running_us", costs.running),
+        waiting: get_micros(&mut r, "placement.waiting_us", costs.waiting),
+        failure: get_micros(&mut r, "placement.failure_us", costs.failure),
+        far: get_micros(&mut r, "placement.far_us", costs.far),
+        far_kilobyte: get_micros(&mut r, "placement.far_kilobyte_us", costs.far_kilobyte),
+        spare_backlog: get_micros(&mut r, "placement.spare_backlog_us", costs.spare_backlog),
+        reread_token: get_micros(&mut r, "placement.reread_token_us", costs.reread_token),
+        choices: get_positive(&mut r, "placement.choices", costs.choices),
     };
     let metrics_port = r.get_optional("listen.metrics_port", "a port number");
-    let wanted = "error, warn, info or debug";
-    let log_level = r.get("log.level", wanted, Some(given.log_level)).unwrap_or_default();
+    let expected = "error, warn, info or debug";
+    let log_level = r.get("log.level", expected, Some(defaults.log_level)).unwrap_or_default();
     if escalation.pressure_full <= escalation.pressure_from {
-        r.complain_about("cascade.pressure_full", "must be above `cascade.pressure_from`");
+        r.add_problem_at_key("cascade.pressure_full", "must be above `cascade.pressure_from`");
     }
-    let parts =
+    let thresholds =
         [exposure.sessions_from, exposure.grows_from, exposure.all_from, exposure.complete_from];
-    if !parts.is_sorted() {
-        let wanted = "`sessions_from`, `grows_from`, `all_from`, `complete_from` must not fall";
-        r.complain_about("roll_out", wanted);
+    if !thresholds.is_sorted() {
+        let problem = "`sessions_from`, `grows_from`, `all_from` and `complete_from` must be in non-decreasing order";
+        r.add_problem_at_key("roll_out", problem);
     }
     r.finish()?;
     Ok(RouteSettings { escalation, exposure, placement, metrics_port, log_level })
 }
 
-fn number(r: &mut Reader<'_>, key: &str, default: f64, most: f64) -> f64 {
+fn get_number(r: &mut Reader<'_>, key: &str, default: f64, max: f64) -> f64 {
     let value = r.get(key, "a number", Some(default)).unwrap_or(default);
-    if !(0.0..=most).contains(&value) {
-        r.complain_about(key, &format!("`{value}` is wrong; must be from 0 to {most}"));
+    if !(0.0..=max).contains(&value) {
+        r.add_problem_at_key(
+            key,
+            &format!("invalid value `{value}`; expected a number from 0 to {max}"),
+        );
     }
     value
 }
 
-fn at_least_one(r: &mut Reader<'_>, key: &str, default: usize) -> usize {
+fn get_positive(r: &mut Reader<'_>, key: &str, default: usize) -> usize {
     let value = r.get(key, "a whole number", Some(default)).unwrap_or(default);
     if value == 0 {
-        r.complain_about(key, "`0` is wrong; must be 1 or more");
+        r.add_problem_at_key(key, "invalid value `0`; expected a whole number above 0");
     }
     value
 }
 
-fn micros(r: &mut Reader<'_>, key: &str, default: Duration) -> Duration {
-    let given = u64::try_from(default.as_micros()).unwrap_or(u64::MAX);
-    let value = r.get(key, "a whole number of microseconds", Some(given)).unwrap_or(given);
-    Duration::from_micros(value)
+fn get_micros(r: &mut Reader<'_>, key: &str, default: Duration) -> Duration {
+    let default = u64::try_from(default.as_micros()).unwrap_or(u64::MAX);
+    let micros = r.get(key, "a whole number of microseconds", Some(default)).unwrap_or(default);
+    Duration::from_micros(micros)
 }
--- a/src/telemetry/admin.rs
+++ b/src/telemetry/admin.rs
@@ -1,24 +1,24 @@
-//! The admin address of every process: health, metrics and the state dump.
+//! HTTP endpoints of the admin address of every process: health, metrics and the state dump.
 
 use std::sync::Arc;
 
 use axum::{Json, Router, http::StatusCode, routing::get};
 use serde_json::Value;
 
-/// What differs between processes on the admin address.
+/// Handlers that a process provides for its admin address.
 #[derive(Clone)]
-pub struct Admin {
-    /// The text exposition of the process's metrics.
-    pub render: Arc<dyn Fn() -> String + Send + Sync>,
-    /// Whether the process takes work.
+pub struct AdminHandlers {
+    /// Renders the metrics in the OpenMetrics text format.
+    pub render_metrics: Arc<dyn Fn() -> String + Send + Sync>,
+    /// Whether the process accepts work.
     pub is_ready: Arc<dyn Fn() -> bool + Send + Sync>,
-    /// The state dump; it holds no keys.
-    pub dump: Arc<dyn Fn() -> Value + Send + Sync>,
+    /// Returns the state dump. It contains no secret keys.
+    pub dump_state: Arc<dyn Fn() -> Value + Send + Sync>,
 }
 
 /// Router of the admin address.
-pub fn router(admin: Admin) -> Router {
-    let Admin { render, is_ready, dump } = admin;
+pub fn router(handlers: AdminHandlers) -> Router {
+    let AdminHandlers { render_metrics, is_ready, dump_state } = handlers;
     Router::new()
         .route("/healthz", get(|| async { "ok" }))
         .route(
@@ -27,6 +27,6 @@
                 if is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }
             }),
         )
-        .route("/metrics", get(move || async move { render() }))
-        .route("/debug/state", get(move || async move { Json(dump()) }))
+        .route("/metrics", get(move || async move { render_metrics() }))
+        .route("/debug/state", get(move || async move { Json(dump_state()) }))
 }
--- a/tests/catalogue.rs
+++ b/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! The pages that list events and metrics agree with the code.
+//! Checks that `docs/EVENTS.md` and `docs/METRICS.md` match the code.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn the_event_page_has_every_event_as_the_code_has_it() {
+fn event_page_matches_the_catalogue() {
     let page = std::fs::read_to_string("docs/EVENTS.md").unwrap();
     let rows: Vec<Vec<&str>> = page
         .lines()
@@ -26,15 +26,15 @@
 }
 
 #[test]
-fn event_numbers_are_used_once_and_grow() {
+fn event_numbers_are_unique_and_ascending() {
     assert!(CATALOGUE.windows(2).all(|pair| pair[0].code < pair[1].code));
 }
 
 #[test]
-fn the_metrics_page_has_every_metric() {
+fn metrics_page_lists_every_metric() {
     let page = std::fs::read_to_string("docs/METRICS.md").unwrap();
     let metrics = Metrics::default();
-    touch(&metrics);
+    create_labelled_metrics(&metrics);
     let rendered = metrics.render();
     let named: BTreeSet<&str> = rendered
         .lines()
@@ -49,21 +49,21 @@
     assert_eq!(listed, named);
 }
 
-/// A metric with labels is shown once it has been counted.
-fn touch(metrics: &Metrics) {
+/// Records a value of every metric with labels, since they are rendered only after that.
+fn create_labelled_metrics(metrics: &Metrics) {
     let requests = RequestLabels { organisation: "o".into(), code: "ok".into() };
     metrics.requests.get_or_create(&requests).inc();
     let attempts = AttemptLabels { version: "v".into(), outcome: "done".into() };
     metrics.attempts.get_or_create(&attempts).inc();
     let stages = StageLabels { model: "m".into(), outcome: "passed".into() };
     metrics.stages.get_or_create(&stages).inc();
-    metrics.count_limited("first");
+    metrics.count_limited_send("first");
     metrics.repeats_left.get_or_create(&ServiceLabels { service: "s".into() }).set(1);
     let (service, version, count) = ("s".into(), "new".into(), "answers".into());
     metrics.evidence.get_or_create(&EvidenceLabels { service, version, count }).set(1);
-    metrics.count_repeat("s", true);
+    metrics.count_retry("s", true);
     metrics.count_unavailable_send("draining", "first");
-    metrics.count_avoided("paused", 1);
+    metrics.count_avoided_servers("paused", 1);
     metrics.count_unread_header("x-new");
     metrics.count_store_call("c");
     metrics.count_store_error("c");
--- a/tests/links.rs
+++ b/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links: peers that do not prove themselves, and frames that can't be read.
+//! Links between entries and agents: authentication of peers and handling of invalid frames.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -28,7 +28,7 @@
         platform: platform.settings(),
         link_key: KEY.into(),
         server: "ricarica/engine-1".into(),
-        backend: "http://127.0.0.1:1".into(),
+        backend_url: "http://127.0.0.1:1".into(),
         max_running: 4,
         max_queued: 4,
         token_target: Duration::from_millis(80),
@@ -54,30 +54,30 @@
 }
 
 #[tokio::test]
-async fn a_peer_with_the_key_is_let_in_and_gets_a_heartbeat() {
+async fn peer_with_the_shared_key_is_accepted_and_gets_a_heartbeat() {
     let (_platform, agent) = start_agent().await;
 
     let (mut ws, peer) =
         protocol::connect(agent.addresses.link, &entry_peer(), KEY.as_bytes()).await.unwrap();
 
     assert_eq!(&*peer.server, "ricarica/engine-1");
-    let Some(Ok(Message::Binary(buf))) = ws.next().await else { panic!("no frame") };
+    let Some(Ok(Message::Binary(buf))) = ws.next().await else { panic!("no frame received") };
     assert!(matches!(protocol::decode(&buf).unwrap(), protocol::ToEntry::Beat(_)));
 }
 
 #[tokio::test]
-async fn a_peer_with_another_key_is_not_let_in() {
+async fn peer_with_another_key_is_rejected() {
     let (_platform, agent) = start_agent().await;
 
     let refused = protocol::connect(agent.addresses.link, &entry_peer(), b"another key").await;
     let accepted = protocol::connect(agent.addresses.link, &entry_peer(), KEY.as_bytes()).await;
 
     assert!(refused.is_err());
-    assert!(accepted.is_ok(), "the agent goes on");
+    assert!(accepted.is_ok(), "the agent accepts other peers");
 }
 
 #[tokio::test]
-async fn an_agent_without_the_key_is_not_taken_for_one() {
+async fn agent_without_the_shared_key_is_rejected() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let impostor = tokio::spawn(async move {
@@ -92,19 +92,19 @@
 }
 
 #[tokio::test]
-async fn noise_before_the_proof_ends_the_connection_and_nothing_else() {
+async fn invalid_bytes_during_the_handshake_end_only_their_connection() {
     let (_platform, agent) = start_agent().await;
 
-    let mut noise = TcpStream::connect(agent.addresses.link).await.unwrap();
-    noise.write_all(&[0xff; 4096]).await.unwrap();
+    let mut stream = TcpStream::connect(agent.addresses.link).await.unwrap();
+    stream.write_all(&[0xff; 4096]).await.unwrap();
     let mut rest = Vec::new();
-    let _ = noise.read_to_end(&mut rest).await;
+    let _ = stream.read_to_end(&mut rest).await;
 
     assert!(protocol::connect(agent.addresses.link, &entry_peer(), KEY.as_bytes()).await.is_ok());
 }
 
 #[tokio::test]
-async fn a_frame_that_can_not_be_read_ends_its_link_only() {
+async fn invalid_frame_ends_only_its_link() {
     let (_platform, agent) = start_agent().await;
     let (mut bad, _) =
         protocol::connect(agent.addresses.link, &entry_peer(), KEY.as_bytes()).await.unwrap();
