--- a/tests/platform/cold.rs
+++ b/tests/platform/cold.rs
@@ -7,12 +7,12 @@
 
 use crate::{
     pool::free_address,
-    server::{Act, Server},
+    server::{Action, Server},
     site::{Site, always, configuration, list, server_row, until},
     store::Store,
 };
 
-const GOOD: Act = Act::Answer { status: 200, body: "good" };
+const GOOD: Action = Action::Respond { status: 200, body: "good" };
 
 /// A configuration under which servers of both services are cold for a minute.
 fn cold_configuration(version: u64) -> Value {
@@ -63,7 +63,7 @@
     let statuses = ask_often(&site, "/safe/").await;
 
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
-    assert!(cold.seen().len() <= 1, "{} reached it", cold.seen().len());
+    assert!(cold.requests().len() <= 1, "{} reached it", cold.requests().len());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -75,7 +75,7 @@
     assert_eq!(site.ask("GET", "/safe/first", "").await.status, 200);
     let refused = site.ask("GET", "/safe/second", "").await;
 
-    assert_eq!((refused.status, cold.seen().len()), (503, 1));
+    assert_eq!((refused.status, cold.requests().len()), (503, 1));
     assert!(refused.head.contains("retry-after: "), "{}", refused.head);
 }
 
@@ -85,17 +85,17 @@
     let site = Site::beside(store_of_cold(&[&server]).await).await;
     site.until_in_view(1).await;
     ask_often(&site, "/safe/cold").await;
-    assert_eq!(server.seen().len(), 1);
+    assert_eq!(server.requests().len(), 1);
 
     list_cold(&site.store, &server, "app", 0);
     until("it is warm", || !is_cold(&site, "i-1")).await;
     ask_often(&site, "/safe/warm").await;
-    assert_eq!(server.seen().len(), 21);
+    assert_eq!(server.requests().len(), 21);
 
     list_cold(&site.store, &server, "app", 60_000);
     until("it is cold", || is_cold(&site, "i-1")).await;
     ask_often(&site, "/safe/again").await;
-    assert_eq!(server.seen().len(), 21, "the one send in 100 s was made before");
+    assert_eq!(server.requests().len(), 21, "the one send in 100 s was made before");
 }
 
 /// Rows tell a heartbeat later that a zone came back cold.
@@ -113,28 +113,28 @@
     until("it is taken back", || site.entry.router.dump()["evacuated"] == json!([])).await;
     ask_often(&site, "/safe/").await;
 
-    assert_eq!(server.seen().len(), 1);
+    assert_eq!(server.requests().len(), 1);
 }
 
 /// Nobody answered for a server, and it is there again before its row tells of its start.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_was_gone_is_taken_as_cold_once_it_answers() {
-    let server = always("i-1", Act::Crash { has_begun: false }).await;
+    let server = always("i-1", Action::Crash { after_head: false }).await;
     let store = Store::start().await;
     store.put("op", "config", &cold_configuration(1));
     list(&store, &server, "app", "v1", "ready");
     let site = Site::beside(store).await;
     site.until_in_view(1).await;
     site.ask("GET", "/safe/a", "").await;
-    server.until_ended(0).await;
+    server.wait_until_terminated(0).await;
     site.ask("GET", "/safe/b", "").await;
 
-    server.start_again();
+    server.restart();
     for number in 0..20 {
         site.ask("GET", &format!("/safe/c{number}"), "").await;
     }
 
-    assert!(server.seen().len() <= 3, "{} reached it", server.seen().len());
+    assert!(server.requests().len() <= 3, "{} reached it", server.requests().len());
 }
 
 /// Each knows its place once it has heard of the others for some seconds.
@@ -165,5 +165,5 @@
         ask_often(site, "/safe/").await;
     }
 
-    assert_eq!(cold.seen().len(), 1, "one entry's one send");
+    assert_eq!(cold.requests().len(), 1, "one entry's one send");
 }
--- a/tests/platform/crashes.rs
+++ b/tests/platform/crashes.rs
@@ -9,8 +9,11 @@
 };
 
 use crate::{
-    pool::{CRASHING, DOWN, EVENTS, Pool, ask, ask_others, free_address, insist},
-    server::{Act, Server},
+    pool::{
+        CRASHING_BODY, EVENT_COUNT, Pool, RESTART_DELAY, free_address, post,
+        send_crashing_requests, send_other_requests,
+    },
+    server::{Action, Server},
     site::{Answer, Site, always, list, list_life, store_with, until},
     store::Fault,
 };
@@ -22,9 +25,9 @@
 
 /// Three servers ended, and hardly anything was sent after all had to know of it.
 fn assert_sends_are_borne(pool: &Pool) {
-    assert!(pool.witness.ends() >= 3, "it ended servers");
-    let late = pool.witness.arrivals_after_third(NEWS);
-    let (ends, tries) = (pool.witness.ends(), pool.witness.tries());
+    assert!(pool.crash_record.crash_count() >= 3, "it ended servers");
+    let late = pool.crash_record.arrivals_after_third_crash(NEWS);
+    let (ends, tries) = (pool.crash_record.crash_count(), pool.crash_record.distinct_requests());
     println!("{late} arrivals late, {ends} ends in all, in {tries} tries");
     assert!(late <= BORNE, "{late} arrivals late, {ends} ends in all, in {tries} tries");
 }
@@ -32,9 +35,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_ended_three_servers_reaches_no_more_of_them() {
     let pool = Pool::start("llm", 6, true).await;
-    let sites = pool.entries(4).await;
+    let sites = pool.start_entries(4).await;
 
-    insist(&sites, "/chat/a", Duration::from_secs(6)).await;
+    send_crashing_requests(&sites, "/chat/a", Duration::from_secs(6)).await;
 
     assert_sends_are_borne(&pool);
 }
@@ -43,9 +46,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn nor_does_one_whose_answer_never_began() {
     let pool = Pool::start("app", 6, false).await;
-    let sites = pool.entries(4).await;
+    let sites = pool.start_entries(4).await;
 
-    insist(&sites, "/safe/a", Duration::from_secs(6)).await;
+    send_crashing_requests(&sites, "/safe/a", Duration::from_secs(6)).await;
 
     assert_sends_are_borne(&pool);
 }
@@ -54,23 +57,25 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_requests_beside_it_are_served() {
     let pool = Pool::start("llm", 6, true).await;
-    let sites = pool.entries(4).await;
+    let sites = pool.start_entries(4).await;
     let lasts = Duration::from_secs(8);
-    let (calm_asked, calm_served) = ask_others(&sites, Duration::from_secs(2)).await;
+    let (calm_asked, calm_served) = send_other_requests(&sites, Duration::from_secs(2)).await;
 
-    let (_, (asked, served)) =
-        tokio::join!(insist(&sites, "/chat/a", lasts), ask_others(&sites, lasts));
+    let (_, (asked, served)) = tokio::join!(
+        send_crashing_requests(&sites, "/chat/a", lasts),
+        send_other_requests(&sites, lasts)
+    );
 
-    assert!(pool.witness.ends() >= 3, "it ended servers");
+    assert!(pool.crash_record.crash_count() >= 3, "it ended servers");
     let (calm, beside) = (calm_served as f64 / calm_asked as f64, served as f64 / asked as f64);
-    println!("beside it {served} of {asked} served, {} ends", pool.witness.ends());
+    println!("beside it {served} of {asked} served, {} ends", pool.crash_record.crash_count());
     assert!(beside >= 0.9 * calm, "{served} of {asked}, without it {calm_served} of {calm_asked}");
 }
 
 /// Sends the crashing request until it is refused at an entry.
 async fn until_refused(site: &Arc<Site>, path: &str) -> Answer {
     for _ in 0..100 {
-        let answer = ask(site, path, CRASHING).await;
+        let answer = post(site, path, CRASHING_BODY).await;
         if answer.status == 503 && answer.body.contains("servers ended") {
             return answer;
         }
@@ -86,14 +91,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn its_caller_is_told_at_once_and_truly() {
     let pool = Pool::start("llm", 6, true).await;
-    let sites = pool.entries(2).await;
+    let sites = pool.start_entries(2).await;
     until_refused(&sites[0], "/chat/a").await;
     until("the other one knows", || is_quarantined(&sites[1])).await;
-    let arrivals = || pool.witness.arrivals.lock().unwrap().len();
+    let arrivals = || pool.crash_record.arrivals.lock().unwrap().len();
     let before = arrivals();
 
     for site in &sites {
-        let answer = ask(site, "/chat/a", CRASHING).await;
+        let answer = post(site, "/chat/a", CRASHING_BODY).await;
 
         assert_eq!(answer.status, 503);
         assert!(answer.head.contains("retry-after: 2"), "nearly five minutes: {}", answer.head);
@@ -105,30 +110,30 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn what_others_send_is_not_taken_for_it() {
     let pool = Pool::start("llm", 10, true).await;
-    let sites = pool.entries(2).await;
+    let sites = pool.start_entries(2).await;
     until_refused(&sites[0], "/chat/a").await;
-    let arrivals = || pool.witness.arrivals.lock().unwrap().len();
+    let arrivals = || pool.crash_record.arrivals.lock().unwrap().len();
     let before = arrivals();
 
-    let _ = ask(&sites[0], "/chat/b", CRASHING).await;
+    let _ = post(&sites[0], "/chat/b", CRASHING_BODY).await;
     assert!(arrivals() > before, "another path is another request");
-    assert_eq!(ask(&sites[0], "/chat/a", "something else").await.status, 200);
+    assert_eq!(post(&sites[0], "/chat/a", "something else").await.status, 200);
 }
 
 /// All entries are killed at once, and the caller goes on asking.
 #[tokio::test(flavor = "multi_thread")]
 async fn entries_that_all_start_again_still_refuse_it() {
     let pool = Pool::start("llm", 6, true).await;
-    let sites = pool.entries(3).await;
+    let sites = pool.start_entries(3).await;
     until_refused(&sites[0], "/chat/a").await;
     until("the store keeps it", || pool.store.read("mintmoor", "quarantine").is_some()).await;
-    let arrivals = || pool.witness.arrivals.lock().unwrap().len();
+    let arrivals = || pool.crash_record.arrivals.lock().unwrap().len();
     let before = arrivals();
     drop(sites);
 
-    let sites = pool.entries(3).await;
+    let sites = pool.start_entries(3).await;
     for site in &sites {
-        assert_eq!(ask(site, "/chat/a", CRASHING).await.status, 503);
+        assert_eq!(post(site, "/chat/a", CRASHING_BODY).await.status, 503);
     }
 
     assert_eq!(arrivals(), before);
@@ -138,21 +143,21 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn entries_without_a_seed_learn_it_from_the_store() {
     let pool = Pool::start("llm", 6, true).await;
-    let sites = pool.entries_apart(3).await;
+    let sites = pool.start_isolated_entries(3).await;
 
     until_refused(&sites[0], "/chat/a").await;
     for site in &sites {
         until("it knows", || is_quarantined(site)).await;
     }
 
-    assert_eq!(pool.witness.ends(), 3);
+    assert_eq!(pool.crash_record.crash_count(), 3);
 }
 
 /// The three ends are seen by an entry each, none of which hears from the others.
 #[tokio::test(flavor = "multi_thread")]
 async fn ends_that_were_seen_apart_are_put_together_in_the_store() {
     let pool = Pool::start("app", 6, false).await;
-    let sites = pool.entries_apart(3).await;
+    let sites = pool.start_isolated_entries(3).await;
     let in_store = || {
         let row = pool.store.read("mintmoor", "quarantine").unwrap_or_default();
         row["cases"][0]["ends"].as_array().map_or(0, Vec::len)
@@ -160,30 +165,30 @@
 
     for (i, site) in sites.iter().enumerate() {
         // One send a try.
-        let _ = ask(site, "/once/a", CRASHING).await;
+        let _ = post(site, "/once/a", CRASHING_BODY).await;
         until("it is in the store", || in_store() == i + 1).await;
     }
 
     for site in &sites {
         until("it knows", || is_quarantined(site)).await;
     }
-    assert_eq!(pool.witness.ends(), 3);
+    assert_eq!(pool.crash_record.crash_count(), 3);
 }
 
 /// The same of one server, which is back each time before the list tells of its next life.
 #[tokio::test(flavor = "multi_thread")]
 async fn so_are_ends_of_lives_that_the_list_tells_nothing_of() {
-    let server = always("i-1", Act::Crash { has_begun: false }).await;
+    let server = always("i-1", Action::Crash { after_head: false }).await;
     let store = store_with(&[]).await;
     list_life(&store, &server, "app", 1_000);
-    let pool = Pool::of(store, vec![server.clone()]);
-    let sites = pool.entries_apart(3).await;
+    let pool = Pool::with_servers(store, vec![server.clone()]);
+    let sites = pool.start_isolated_entries(3).await;
 
     for (life, site) in sites.iter().enumerate() {
-        let _ = ask(site, "/once/a", CRASHING).await;
-        server.until_ended(life).await;
-        sleep(DOWN).await;
-        server.start_again();
+        let _ = post(site, "/once/a", CRASHING_BODY).await;
+        server.wait_until_terminated(life).await;
+        sleep(RESTART_DELAY).await;
+        server.restart();
     }
 
     for site in &sites {
@@ -196,24 +201,25 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn ends_that_the_list_tells_of_at_once_count_each() {
     let servers = [
-        always("i-1", Act::Close).await,
-        always("i-2", Act::Close).await,
-        always("i-3", Act::Close).await,
-        always("i-4", Act::Close).await,
+        always("i-1", Action::CloseConnection).await,
+        always("i-2", Action::CloseConnection).await,
+        always("i-3", Action::CloseConnection).await,
+        always("i-4", Action::CloseConnection).await,
     ];
     let listed: Vec<_> = servers.iter().map(|server| (server, "app", "v1")).collect();
     let site = Arc::new(Site::start(&listed).await);
     let met_by = |body: &str| {
-        let has_met = |server: &&Server| server.seen().iter().any(|s| s.body == body.as_bytes());
+        let has_met =
+            |server: &&Server| server.requests().iter().any(|s| s.body == body.as_bytes());
         servers.iter().filter(has_met).count()
     };
-    let is_all_met = || servers.iter().all(|server| !server.seen().is_empty());
+    let is_all_met = || servers.iter().all(|server| !server.requests().is_empty());
 
     for _ in 0..30 {
-        if met_by(CRASHING) >= 3 {
+        if met_by(CRASHING_BODY) >= 3 {
             break;
         }
-        let _ = ask(&site, "/once/a", CRASHING).await;
+        let _ = post(&site, "/once/a", CRASHING_BODY).await;
         sleep(Duration::from_millis(300)).await;
     }
     // The fourth ends under another request.
@@ -221,10 +227,10 @@
         if is_all_met() {
             break;
         }
-        let _ = ask(&site, "/once/a", "another that ends servers").await;
+        let _ = post(&site, "/once/a", "another that ends servers").await;
         sleep(Duration::from_millis(20)).await;
     }
-    assert!(met_by(CRASHING) == 3 && is_all_met());
+    assert!(met_by(CRASHING_BODY) == 3 && is_all_met());
     for server in &servers {
         list_life(&site.store, server, "app", 2_000);
     }
@@ -236,7 +242,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_store_is_told_when_it_is_back() {
     let pool = Pool::start("llm", 6, true).await;
-    let sites = pool.entries(3).await;
+    let sites = pool.start_entries(3).await;
     pool.store.set_fault(Fault::Down);
 
     until_refused(&sites[2], "/chat/a").await;
@@ -253,7 +259,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_store_that_comes_back_without_it_is_told_again() {
     let pool = Pool::start("llm", 6, true).await;
-    let sites = pool.entries(2).await;
+    let sites = pool.start_entries(2).await;
     let copy = pool.store.copy();
     until_refused(&sites[0], "/chat/a").await;
     let in_store = || pool.store.read("mintmoor", "quarantine").is_some();
@@ -268,7 +274,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_seed_that_is_killed_takes_no_end_with_it() {
     let pool = Pool::start("llm", 6, true).await;
-    let mut sites = pool.entries(4).await;
+    let mut sites = pool.start_entries(4).await;
     let last = sites.pop().unwrap();
     until_refused(&last, "/chat/a").await;
     // Whoever saw the ends lives until a seed has heard of them, and not until that has told others.
@@ -280,13 +286,13 @@
     for site in &sites {
         until("it knows", || is_quarantined(site)).await;
     }
-    assert_eq!(pool.witness.ends(), 3);
+    assert_eq!(pool.crash_record.crash_count(), 3);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_operator_lets_it_go_on_all_entries() {
     let pool = Pool::start("llm", 6, true).await;
-    let sites = pool.entries(2).await;
+    let sites = pool.start_entries(2).await;
     until_refused(&sites[0], "/chat/a").await;
     until("the other one knows", || is_quarantined(&sites[1])).await;
     until("the store keeps it", || pool.store.read("mintmoor", "quarantine").is_some()).await;
@@ -306,7 +312,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_popular_request_beside_it_is_served_again_soon() {
     let pool = Pool::start("llm", 3, true).await;
-    let sites = pool.entries(2).await;
+    let sites = pool.start_entries(2).await;
     let lasts = Duration::from_secs(3);
     let popular = async {
         let until = Instant::now() + lasts;
@@ -316,17 +322,17 @@
                 break;
             }
             let site = site.clone();
-            asking.spawn(async move { ask(&site, "/chat/a", "popular").await });
+            asking.spawn(async move { post(&site, "/chat/a", "popular").await });
             sleep(Duration::from_millis(5)).await;
         }
         asking.join_all().await
     };
 
-    tokio::join!(insist(&sites, "/chat/a", lasts), popular);
+    tokio::join!(send_crashing_requests(&sites, "/chat/a", lasts), popular);
 
     let mut served = 0;
     for _ in 0..200 {
-        let answer = ask(&sites[served % 2], "/chat/a", "popular").await;
+        let answer = post(&sites[served % 2], "/chat/a", "popular").await;
         served += usize::from(answer.status == 200 && answer.is_whole);
         sleep(Duration::from_millis(50)).await;
         if served >= 20 {
@@ -340,12 +346,13 @@
 /// A server that breaks connections and lives on proves nothing.
 #[tokio::test(flavor = "multi_thread")]
 async fn broken_answers_of_servers_that_live_speak_against_nothing() {
-    let servers = [always("i-1", Act::Close).await, always("i-2", Act::CutAnswer).await];
+    let servers =
+        [always("i-1", Action::CloseConnection).await, always("i-2", Action::Truncated).await];
     let listed: Vec<_> = servers.iter().map(|server| (server, "app", "v1")).collect();
     let site = Arc::new(Site::start(&listed).await);
 
     for _ in 0..20 {
-        ask(&site, "/safe/a", "asked often").await;
+        post(&site, "/safe/a", "asked often").await;
     }
 
     assert_eq!(site.entry.router.dump()["quarantine"], serde_json::json!([]));
@@ -354,12 +361,13 @@
 /// A request that ran beside the guilty one is cleared by its first whole answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_whole_answer_clears_what_ran_beside_it() {
-    let slow = Act::Paced { to: EVENTS, pause: Duration::from_millis(200) };
-    let (dies, serves) = (always("i-1", Act::Hang).await, always("i-2", slow).await);
+    let slow =
+        Action::PacedStream { last_event: EVENT_COUNT, interval: Duration::from_millis(200) };
+    let (dies, serves) = (always("i-1", Action::Hang).await, always("i-2", slow).await);
     let site = Arc::new(Site::start(&[(&dies, "llm", "v1")]).await);
     let asking = site.clone();
-    let asked = tokio::spawn(async move { ask(&asking, "/chat/a", "innocent").await });
-    until("it is there", || dies.seen().len() == 1).await;
+    let asked = tokio::spawn(async move { post(&asking, "/chat/a", "innocent").await });
+    until("it is there", || dies.requests().len() == 1).await;
     list(&site.store, &serves, "llm", "v1", "ready");
     until("both are in view", || site.entry.router.fleet.load().len() == 2).await;
 
@@ -374,7 +382,7 @@
 /// It comes back before its row tells of its next life, and meets the request again.
 #[tokio::test(flavor = "multi_thread")]
 async fn each_end_of_a_server_counts_though_the_list_is_behind() {
-    let server = always("i-1", Act::Crash { has_begun: false }).await;
+    let server = always("i-1", Action::Crash { after_head: false }).await;
     let site = Arc::new(Site::start(&[(&server, "app", "v1")]).await);
     let ends = || site.entry.router.dump()["quarantine"][0]["ends"].as_u64().unwrap_or(0);
 
@@ -383,23 +391,23 @@
             if ends() > life {
                 break;
             }
-            let _ = ask(&site, "/once/a", CRASHING).await;
+            let _ = post(&site, "/once/a", CRASHING_BODY).await;
             sleep(Duration::from_millis(50)).await;
         }
-        server.until_ended(life as usize).await;
-        sleep(DOWN).await;
-        server.start_again();
+        server.wait_until_terminated(life as usize).await;
+        sleep(RESTART_DELAY).await;
+        server.restart();
     }
 
     assert!(is_quarantined(&site));
-    assert_eq!(server.seen().len(), 3);
+    assert_eq!(server.requests().len(), 3);
 }
 
 /// Two entries lose their connections to one end of a server at different times, and the list tells each of it later:
 /// it is one end, though the second entry's own date for it is more than half a second later.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_end_that_the_list_tells_of_is_one_whoever_saw_it_when() {
-    let server = always("i-1", Act::Close).await;
+    let server = always("i-1", Action::CloseConnection).await;
     let seeds = [free_address(), free_address()];
     let mut sites = Vec::new();
     for seed in seeds {
@@ -416,9 +424,9 @@
         until("all report", || site.entry.router.dump()["entries"] == 2).await;
     }
     let ends = |site: &Site| site.entry.router.dump()["quarantine"][0]["ends"].clone();
-    ask(&sites[0], "/once/a", CRASHING).await;
+    post(&sites[0], "/once/a", CRASHING_BODY).await;
     sleep(Duration::from_millis(700)).await;
-    ask(&sites[1], "/once/a", CRASHING).await;
+    post(&sites[1], "/once/a", CRASHING_BODY).await;
 
     list_life(&sites[0].store, &server, "app", 2_000);
     until("the second one is told", || ends(&sites[1]) == 1).await;
--- a/tests/platform/evacuations.rs
+++ b/tests/platform/evacuations.rs
@@ -3,12 +3,12 @@
 use serde_json::{Value, json};
 
 use crate::{
-    server::{Act, Server},
+    server::{Action, Server},
     site::{Site, always, configuration, events, list, server_row, until},
     store::{Fault, Store},
 };
 
-const GOOD: Act = Act::Answer { status: 200, body: "good" };
+const GOOD: Action = Action::Respond { status: 200, body: "good" };
 const CHAT: &str = "X-Model: small\r\n";
 
 /// The row of a server in another zone than the entry's.
@@ -27,7 +27,7 @@
 }
 
 /// A site with a server in the entry's zone and one in another.
-async fn site_in_two_zones(service: &str, here: Act, there: Act) -> (Site, Server, Server) {
+async fn site_in_two_zones(service: &str, here: Action, there: Action) -> (Site, Server, Server) {
     let (here, there) = (always("i-here", here).await, always("i-there", there).await);
     let store = Store::start().await;
     store.put("op", "config", &configuration(1));
@@ -47,20 +47,20 @@
     for number in 0..20 {
         assert_eq!(site.ask("GET", &format!("/safe/{number}"), "").await.status, 200);
     }
-    assert_eq!((here.seen().len(), there.seen().len()), (0, 20));
+    assert_eq!((here.requests().len(), there.requests().len()), (0, 20));
 
     site.store.remove("op", "evacuate/zone-a");
     until("it is taken back", || zones(&site) == 0).await;
     for number in 0..20 {
         site.ask("GET", &format!("/safe/b{number}"), "").await;
     }
-    assert!(!here.seen().is_empty());
+    assert!(!here.requests().is_empty());
 }
 
 /// A retry would go there, as the only other server.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_retry_goes_to_an_evacuated_zone() {
-    let (site, here, _there) = site_in_two_zones("app", GOOD, Act::Close).await;
+    let (site, here, _there) = site_in_two_zones("app", GOOD, Action::CloseConnection).await;
     evacuate(&site.store, "zone-a");
     until("it is in force", || zones(&site) == 1).await;
 
@@ -68,23 +68,23 @@
         assert_eq!(site.ask("GET", &format!("/safe/{number}"), "").await.status, 502);
     }
 
-    assert!(here.seen().is_empty());
+    assert!(here.requests().is_empty());
 }
 
 /// Neither does the rest of a stream that broke off, nor the larger model.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_resumed_stream_and_no_larger_model_goes_to_an_evacuated_zone() {
-    let broken = Act::Stream { to: 2, is_whole: false, confidence: 90 };
-    let unsure = Act::Stream { to: 6, is_whole: true, confidence: 10 };
+    let broken = Action::Stream { last_event: 2, is_complete: false, confidence: 90 };
+    let unsure = Action::Stream { last_event: 6, is_complete: true, confidence: 10 };
     for act in [broken, unsure] {
-        let good = Act::Stream { to: 6, is_whole: true, confidence: 90 };
+        let good = Action::Stream { last_event: 6, is_complete: true, confidence: 90 };
         let (site, here, there) = site_in_two_zones("llm", good, act).await;
         evacuate(&site.store, "zone-a");
         until("it is in force", || zones(&site) == 1).await;
 
         let answer = site.ask("POST", "/chat/a", "").await;
 
-        assert!(here.seen().is_empty() && !there.seen().is_empty());
+        assert!(here.requests().is_empty() && !there.requests().is_empty());
         assert!(events(6).starts_with(&answer.body));
     }
 }
@@ -100,7 +100,7 @@
 
     assert_eq!(answer.status, 503);
     assert!(answer.head.contains("retry-after: "), "{}", answer.head);
-    assert!(here.seen().is_empty() && there.seen().is_empty());
+    assert!(here.requests().is_empty() && there.requests().is_empty());
 }
 
 /// The order stands when the process starts, and rows are read in the order of their keys.
@@ -118,7 +118,7 @@
         assert_eq!(site.ask("GET", "/safe/a", "").await.status, 200);
         assert_eq!(site.ask("GET", "/safe/b", "").await.status, 200);
 
-        assert_eq!((here.seen().len(), there.seen().len()), (0, 2));
+        assert_eq!((here.requests().len(), there.requests().len()), (0, 2));
     }
 }
 
--- a/tests/platform/homes.rs
+++ b/tests/platform/homes.rs
@@ -3,16 +3,20 @@
 use serde_json::{Value, json};
 
 use crate::{
-    server::{Act, Server},
+    server::{Action, Server},
     site::{Site, always, configuration, events, server_row},
     store::Store,
 };
 
-const GOOD: Act = Act::Answer { status: 200, body: "good" };
+const GOOD: Action = Action::Respond { status: 200, body: "good" };
 const REGIONS: [&str; 3] = ["north", "south", "west"];
 
 /// A site with a server in each region, an entry in the first, and this change of the configuration.
-async fn site(service: &str, acts: [Act; 3], change: impl Fn(&mut Value)) -> (Site, Vec<Server>) {
+async fn site(
+    service: &str,
+    acts: [Action; 3],
+    change: impl Fn(&mut Value),
+) -> (Site, Vec<Server>) {
     let store = Store::start().await;
     let mut config = configuration(1);
     change(&mut config);
@@ -36,7 +40,7 @@
 }
 
 fn seen(servers: &[Server]) -> Vec<bool> {
-    servers.iter().map(|server| !server.seen().is_empty()).collect()
+    servers.iter().map(|server| !server.requests().is_empty()).collect()
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -71,7 +75,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_retry_stays_at_home() {
     let home = |config: &mut Value| config["routes"][0]["allowed-regions"] = json!(["south"]);
-    let (site, servers) = site("app", [GOOD, Act::Close, GOOD], home).await;
+    let (site, servers) = site("app", [GOOD, Action::CloseConnection, GOOD], home).await;
 
     assert_eq!(site.ask("GET", "/safe/a", "").await.status, 502);
 
@@ -82,9 +86,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_resumed_stream_and_a_larger_model_stay_at_home() {
     let home = |config: &mut Value| config["tenants"][0]["allowed-regions"] = json!(["south"]);
-    let good = Act::Stream { to: 6, is_whole: true, confidence: 90 };
-    let broken = Act::Stream { to: 2, is_whole: false, confidence: 90 };
-    let unsure = Act::Stream { to: 6, is_whole: true, confidence: 10 };
+    let good = Action::Stream { last_event: 6, is_complete: true, confidence: 90 };
+    let broken = Action::Stream { last_event: 2, is_complete: false, confidence: 90 };
+    let unsure = Action::Stream { last_event: 6, is_complete: true, confidence: 10 };
     for act in [broken, unsure] {
         let (site, servers) = site("llm", [good.clone(), act, good.clone()], home).await;
 
--- a/tests/platform/lives.rs
+++ b/tests/platform/lives.rs
@@ -6,13 +6,13 @@
 use tokio::time::Instant;
 
 use crate::{
-    server::{Act, Server},
+    server::{Action, Server},
     site::{Answer, Site, always, events, first_then, list_life, server_row, until},
     store::Store,
 };
 
-const GOOD: Act = Act::Answer { status: 200, body: "good" };
-const WHOLE: Act = Act::Stream { to: 6, is_whole: true, confidence: 90 };
+const GOOD: Action = Action::Respond { status: 200, body: "good" };
+const WHOLE: Action = Action::Stream { last_event: 6, is_complete: true, confidence: 90 };
 /// A prompt of two parts, the first of which other requests may share.
 const PROMPT: &str = "X-Model: small\r\nX-Token-Usage: 1600,20\r\nX-Prefix-Hash: a:1500,b:100\r\n";
 
@@ -49,7 +49,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_failed_starts_again_without_its_failures() {
-    let server = always("i-1", Act::Close).await;
+    let server = always("i-1", Action::CloseConnection).await;
     let site = site_with(&server, "app").await;
     for _ in 0..3 {
         site.ask("GET", "/safe/a", "").await;
@@ -100,27 +100,27 @@
 /// run: without a word of the new life the answer would come at the route's timeout.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_once_only_request_of_a_former_life_ends_and_runs_no_second_time() {
-    let server = first_then("i-1", Act::Hang, GOOD).await;
+    let server = first_then("i-1", Action::Hang, GOOD).await;
     let site = site_with(&server, "app").await;
     let asked = asking(&site, "/once/a");
-    until("it is there", || server.seen().len() == 1).await;
+    until("it is there", || server.requests().len() == 1).await;
 
     list_life(&site.store, &server, "app", 2_000);
     let answer = asked.await.unwrap();
 
     assert_eq!(answer.status, 502, "nobody knows whether it ran");
-    assert_eq!(server.seen().len(), 1);
+    assert_eq!(server.requests().len(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_of_a_former_life_goes_on_at_another_server() {
     // The first server sends three events a second apart and would take an hour for the rest.
-    let slow = Act::Paced { to: 3_600, pause: Duration::from_secs(1) };
+    let slow = Action::PacedStream { last_event: 3_600, interval: Duration::from_secs(1) };
     let dies = always("i-1", slow).await;
     let site = site_with(&dies, "llm").await;
     let began = Instant::now();
     let asked = asking(&site, "/chat/a");
-    until("it is there", || dies.seen().len() == 1).await;
+    until("it is there", || dies.requests().len() == 1).await;
     let goes_on = always("i-2", WHOLE).await;
     list_life(&site.store, &goes_on, "llm", 1_000);
     until("both are in view", || site.entry.router.fleet.load().len() == 2).await;
@@ -130,7 +130,7 @@
 
     assert!(answer.is_whole);
     assert_eq!(answer.body, events(6));
-    assert_eq!(goes_on.seen().len(), 1, "after {:?}", began.elapsed());
+    assert_eq!(goes_on.requests().len(), 1, "after {:?}", began.elapsed());
 }
 
 /// Entries name the lives of servers in what they tell each other.
--- a/tests/platform/news.rs
+++ b/tests/platform/news.rs
@@ -9,8 +9,8 @@
 use tokio_tungstenite::{WebSocketStream, accept_async, client_async, tungstenite::Message};
 
 use crate::{
-    limited_pool::{healthy, load, pool_of},
-    pool::{CRASHING, Pool, ask},
+    limited_pool::{healthy_server, run_load, start_pool},
+    pool::{CRASHING_BODY, Pool, post},
     site::{Site, until},
 };
 
@@ -90,7 +90,7 @@
     healthy.until_in_view(pool.servers.len()).await;
     let sound_peer = healthy.entry.addresses.peer.unwrap();
     let muted = muted_seed(sound_peer).await;
-    let entry = pool.entry(&[muted, sound_peer], None).await;
+    let entry = pool.start_entry(&[muted, sound_peer], None).await;
     entry.until_in_view(pool.servers.len()).await;
     let follows = || entry.entry.router.dump()["follows_another_entry"] == true;
     until("it follows", follows).await;
@@ -100,12 +100,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_limit_is_heard_though_the_seed_that_is_followed_does_not_tell_it() {
-    let limited = healthy("i-limited").await;
-    let pool = pool_of(&[&limited]).await;
+    let limited = healthy_server("i-limited").await;
+    let pool = start_pool(&[&limited]).await;
     let [seed, entry] = beside_a_muted_seed(&pool).await;
 
     limited.advertise_limit(&["1.9"]);
-    load(std::slice::from_ref(&seed), Duration::from_millis(100)).await;
+    run_load(std::slice::from_ref(&seed), Duration::from_millis(100)).await;
 
     let limits = || entry.entry.router.dump()["limits"].clone();
     until("it knows the limit", || limits()[0]["rate"] == 1.9).await;
@@ -119,10 +119,10 @@
 
     for _ in 0..3 {
         // One send a try.
-        ask(&seed, "/once/a", CRASHING).await;
+        post(&seed, "/once/a", CRASHING_BODY).await;
     }
 
-    assert_eq!(pool.witness.ends(), 3);
+    assert_eq!(pool.crash_record.crash_count(), 3);
     let refused = || entry.entry.router.dump()["quarantine"][0]["refused"] == true;
     until("it refuses the request", refused).await;
 }
--- a/tests/platform/peers.rs
+++ b/tests/platform/peers.rs
@@ -11,12 +11,12 @@
 use tokio_tungstenite::{WebSocketStream, client_async, tungstenite::Message};
 
 use crate::{
-    server::Act,
+    server::Action,
     site::{Site, always, configuration, list, request, store_with, until},
     store::{Fault, Store},
 };
 
-const GOOD: Act = Act::Answer { status: 200, body: "good" };
+const GOOD: Action = Action::Respond { status: 200, body: "good" };
 
 fn version(site: &Site) -> u64 {
     site.entry.router.table.load().as_ref().as_ref().map_or(0, |table| table.version)
@@ -209,7 +209,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn entries_know_what_others_have_at_a_server() {
-    let server = always("i-1", Act::Endless).await;
+    let server = always("i-1", Action::EndlessStream).await;
     let (first, second) = linked().await;
     list(&first.store, &server, "llm", "v1", "ready");
     until("both see the server", || {
@@ -319,7 +319,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_learns_what_another_sent_a_server_and_so_does_one_that_starts() {
-    let stream = Act::Stream { to: 4, is_whole: true, confidence: 90 };
+    let stream = Action::Stream { last_event: 4, is_complete: true, confidence: 90 };
     let server = always("i-1", stream).await;
     let store = store_with(&[(&server, "llm", "v1")]).await;
     let first = Site::seed(store.clone(), None).await;
--- a/tests/platform/pool.rs
+++ b/tests/platform/pool.rs
@@ -17,94 +17,97 @@
 };
 
 use crate::{
-    server::{Act, Seen, Server},
+    server::{Action, ReceivedRequest, Server},
     site::{Answer, Site, list_life, request_with_id, store_with, until},
     store::Store,
 };
 
 /// Body of the request that ends every server that begins to run it.
-pub const CRASHING: &str = "ends whoever runs it";
+pub const CRASHING_BODY: &str = "ends whoever runs it";
 /// Time from a server's end to its next life.
-pub const DOWN: Duration = Duration::from_millis(600);
+pub const RESTART_DELAY: Duration = Duration::from_millis(600);
 /// Events of a whole answer.
-pub const EVENTS: u64 = 6;
+pub const EVENT_COUNT: u64 = 6;
 
 /// What reached the servers, and their ends.
 #[derive(Default)]
-pub struct Witness {
+pub struct CrashRecord {
     /// When the crashing request reached a server, and under which id.
     pub arrivals: Mutex<Vec<(Instant, String)>>,
     /// When a server ended under it.
-    pub ends: Mutex<Vec<Instant>>,
+    pub crashed_at: Mutex<Vec<Instant>>,
 }
 
-impl Witness {
+impl CrashRecord {
     /// Arrivals of the crashing request later than this after the third server had ended under it.
-    pub fn arrivals_after_third(&self, slack: Duration) -> usize {
-        let ends = self.ends.lock().unwrap();
-        let Some(third) = ends.get(2) else {
+    pub fn arrivals_after_third_crash(&self, tolerance: Duration) -> usize {
+        let crashed_at = self.crashed_at.lock().unwrap();
+        let Some(third) = crashed_at.get(2) else {
             return 0;
         };
         let arrivals = self.arrivals.lock().unwrap();
-        arrivals.iter().filter(|(at, _)| *at > *third + slack).count()
+        arrivals.iter().filter(|(at, _)| *at > *third + tolerance).count()
     }
 
     /// How many tries of callers all arrivals belong to.
-    pub fn tries(&self) -> usize {
+    pub fn distinct_requests(&self) -> usize {
         let arrivals = self.arrivals.lock().unwrap();
         arrivals.iter().map(|(_, id)| id).collect::<HashSet<_>>().len()
     }
 
-    pub fn ends(&self) -> usize {
-        self.ends.lock().unwrap().len()
+    pub fn crash_count(&self) -> usize {
+        self.crashed_at.lock().unwrap().len()
     }
 }
 
 /// The servers and the store that lists them.
 pub struct Pool {
     pub store: Store,
-    pub witness: Arc<Witness>,
+    pub crash_record: Arc<CrashRecord>,
     pub servers: Vec<Server>,
     /// Ends with the pool.
-    _lives: JoinSet<()>,
+    _restarts: JoinSet<()>,
 }
 
 impl Pool {
     /// Servers of a service, each of which answers streams and ends under the crashing request.
-    pub async fn start(service: &'static str, number: usize, has_begun: bool) -> Self {
-        let witness = Arc::new(Witness::default());
+    pub async fn start(service: &'static str, number: usize, after_head: bool) -> Self {
+        let crash_record = Arc::new(CrashRecord::default());
         let store = store_with(&[]).await;
-        let (mut servers, mut lives) = (Vec::new(), JoinSet::new());
+        let (mut servers, mut restarts) = (Vec::new(), JoinSet::new());
         for i in 0..number {
-            let seen_by = witness.clone();
-            let script = move |seen: &Seen| {
-                if seen.body != CRASHING.as_bytes() {
-                    return Act::Paced { to: EVENTS, pause: Duration::from_millis(15) };
+            let record = crash_record.clone();
+            let script = move |request: &ReceivedRequest| {
+                if request.body != CRASHING_BODY.as_bytes() {
+                    return Action::PacedStream {
+                        last_event: EVENT_COUNT,
+                        interval: Duration::from_millis(15),
+                    };
                 }
-                let id = seen.header("x-request-id").to_owned();
-                seen_by.arrivals.lock().unwrap().push((Instant::now(), id));
-                seen_by.ends.lock().unwrap().push(Instant::now());
-                Act::Crash { has_begun }
+                let id = request.header("x-request-id").to_owned();
+                record.arrivals.lock().unwrap().push((Instant::now(), id));
+                record.crashed_at.lock().unwrap().push(Instant::now());
+                Action::Crash { after_head }
             };
             let server = Server::start(&format!("i-{i}"), script).await;
             list_life(&store, &server, service, 1_000);
-            lives.spawn(live_again(store.clone(), server.clone(), service));
+            restarts.spawn(restart_after_crashes(store.clone(), server.clone(), service));
             servers.push(server);
         }
-        Self { store, witness, servers, _lives: lives }
+        Self { store, crash_record, servers, _restarts: restarts }
     }
 
     /// Servers that are in a store already, and are not started again by the pool.
-    pub fn of(store: Store, servers: Vec<Server>) -> Self {
-        Self { store, witness: Arc::default(), servers, _lives: JoinSet::new() }
+    pub fn with_servers(store: Store, servers: Vec<Server>) -> Self {
+        Self { store, crash_record: Arc::default(), servers, _restarts: JoinSet::new() }
     }
 
     /// Entries before the pool, of which the first two are seeds for all.
-    pub async fn entries(&self, number: usize) -> Vec<Arc<Site>> {
+    pub async fn start_entries(&self, number: usize) -> Vec<Arc<Site>> {
         let seeds: Vec<_> = (0..2).map(|_| free_address()).collect();
         let mut sites = Vec::new();
         for i in 0..number {
-            sites.push(Arc::new(self.entry(&seeds, seeds.get(i).copied()).await));
+            sites.push(Arc::new(self.start_entry(&seeds, seeds.get(i).copied()).await));
         }
         for site in &sites {
             site.until_in_view(self.servers.len()).await;
@@ -120,11 +123,11 @@
     }
 
     /// Entries that know of no seed that lives: none hears from another one.
-    pub async fn entries_apart(&self, number: usize) -> Vec<Arc<Site>> {
+    pub async fn start_isolated_entries(&self, number: usize) -> Vec<Arc<Site>> {
         let nobody = [free_address()];
         let mut sites = Vec::new();
         for _ in 0..number {
-            let site = self.entry(&nobody, None).await;
+            let site = self.start_entry(&nobody, None).await;
             site.until_in_view(self.servers.len()).await;
             sites.push(Arc::new(site));
         }
@@ -132,7 +135,7 @@
     }
 
     /// One entry with these seeds, at this address for other entries if it is to be one of them.
-    pub async fn entry(&self, seeds: &[SocketAddr], peer: Option<SocketAddr>) -> Site {
+    pub async fn start_entry(&self, seeds: &[SocketAddr], peer: Option<SocketAddr>) -> Site {
         Site::with(self.store.clone(), |host| {
             host.seed_peers = seeds.to_vec();
             host.peer_address = peer.or(host.peer_address);
@@ -151,18 +154,18 @@
 }
 
 /// Lists a server's next life a while after each end.
-async fn live_again(store: Store, server: Server, service: &'static str) {
-    let mut life = 0;
+async fn restart_after_crashes(store: Store, server: Server, service: &'static str) {
+    let mut incarnation = 0;
     loop {
-        server.until_ended(life).await;
-        sleep(DOWN).await;
-        life = server.start_again();
-        list_life(&store, &server, service, 1_000 + life as u64);
+        server.wait_until_terminated(incarnation).await;
+        sleep(RESTART_DELAY).await;
+        incarnation = server.restart();
+        list_life(&store, &server, service, 1_000 + incarnation as u64);
     }
 }
 
 /// Sends a body on a path under a new id.
-pub async fn ask(site: &Site, path: &str, body: &str) -> Answer {
+pub async fn post(site: &Site, path: &str, body: &str) -> Answer {
     static ASKED: AtomicUsize = AtomicUsize::new(0);
     let id = format!("p-{}", ASKED.fetch_add(1, Ordering::Relaxed));
     site.send(&request_with_id(&id, "POST", path, "X-Model: small\r\n", body)).await
@@ -170,7 +173,7 @@
 
 /// Asks for the crashing request over and over, at one entry after the other, without waiting for
 /// answers.
-pub async fn insist(sites: &[Arc<Site>], path: &'static str, lasts: Duration) {
+pub async fn send_crashing_requests(sites: &[Arc<Site>], path: &'static str, lasts: Duration) {
     let mut asking = JoinSet::new();
     let until = Instant::now() + lasts;
     for site in sites.iter().cycle() {
@@ -178,14 +181,14 @@
             break;
         }
         let site = site.clone();
-        asking.spawn(async move { ask(&site, path, CRASHING).await });
+        asking.spawn(async move { post(&site, path, CRASHING_BODY).await });
         sleep(Duration::from_millis(60)).await;
     }
     while asking.join_next().await.is_some() {}
 }
 
 /// Asks for other requests meanwhile, each of its own; how many were asked and how many served whole.
-pub async fn ask_others(sites: &[Arc<Site>], lasts: Duration) -> (usize, usize) {
+pub async fn send_other_requests(sites: &[Arc<Site>], lasts: Duration) -> (usize, usize) {
     let mut asking = JoinSet::new();
     let until = Instant::now() + lasts;
     for (i, site) in sites.iter().cycle().enumerate() {
@@ -194,7 +197,7 @@
         }
         let site = site.clone();
         asking.spawn(async move {
-            let answer = ask(&site, "/chat/other", &format!("other {i}")).await;
+            let answer = post(&site, "/chat/other", &format!("other {i}")).await;
             answer.status == 200 && answer.is_whole
         });
         sleep(Duration::from_millis(20)).await;
--- a/tests/platform/rate_limits.rs
+++ b/tests/platform/rate_limits.rs
@@ -7,7 +7,8 @@
 
 use crate::{
     limited_pool::{
-        CONTACT, answers_under_load, arrivals, assert_within_limit, flaky, healthy, load, pool_of,
+        LIMIT_PROPAGATION_TIME, arrival_times, assert_within_limit, flaky_server, healthy_server,
+        responses_under_load, run_load, start_pool,
     },
     site::{Site, list_life, until},
 };
@@ -21,15 +22,18 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_names_its_limit_gets_no_more_from_all_entries() {
-    let (limited, other, third) =
-        (healthy("i-limited").await, healthy("i-1").await, healthy("i-2").await);
-    let (fourth, flaky) = (healthy("i-3").await, flaky("i-flaky").await);
-    let pool = pool_of(&[&limited, &other, &third, &fourth, &flaky]).await;
-    let sites = pool.entries(4).await;
+    let (limited, other, third) = (
+        healthy_server("i-limited").await,
+        healthy_server("i-1").await,
+        healthy_server("i-2").await,
+    );
+    let (fourth, flaky) = (healthy_server("i-3").await, flaky_server("i-flaky").await);
+    let pool = start_pool(&[&limited, &other, &third, &fourth, &flaky]).await;
+    let sites = pool.start_entries(4).await;
 
     limited.advertise_limit(&["1.9"]);
-    let from = Instant::now() + CONTACT;
-    let (asked, served) = load(&sites, Duration::from_secs(9)).await;
+    let from = Instant::now() + LIMIT_PROPAGATION_TIME;
+    let (asked, served) = run_load(&sites, Duration::from_secs(9)).await;
 
     println!("{served} of {asked} served");
     sites.iter().for_each(|site| println!("{:?}", limited_sends(site)));
@@ -43,7 +47,7 @@
 
 /// Waits until all know the only limit that is named, and their places.
 async fn until_settled(sites: &[Arc<Site>]) {
-    load(sites, Duration::from_millis(300)).await;
+    run_load(sites, Duration::from_millis(300)).await;
     for site in sites {
         until("it knows the limit", || knows_limit(site)).await;
         until("it knows its place", || !site.entry.router.dump()["place"].is_null()).await;
@@ -54,7 +58,7 @@
 async fn only_sender(sites: &[Arc<Site>]) -> usize {
     until_settled(sites).await;
     let before: Vec<_> = sites.iter().map(|site| limited_sends(site)).collect();
-    load(sites, Duration::from_secs(3)).await;
+    run_load(sites, Duration::from_secs(3)).await;
     let has_sent = |i: &usize| limited_sends(&sites[*i]) != before[*i];
     let senders: Vec<usize> = (0..sites.len()).filter(has_sent).collect();
     assert_eq!(senders.len(), 1, "{senders:?}");
@@ -64,17 +68,17 @@
 /// One entry in five may send to it, and is killed.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_whose_only_sender_died_is_used_again_soon() {
-    let (limited, other) = (healthy("i-limited").await, healthy("i-1").await);
-    let pool = pool_of(&[&limited, &other]).await;
-    let mut sites = pool.entries(5).await;
+    let (limited, other) = (healthy_server("i-limited").await, healthy_server("i-1").await);
+    let pool = start_pool(&[&limited, &other]).await;
+    let mut sites = pool.start_entries(5).await;
     limited.advertise_limit(&["1"]);
     let sender = only_sender(&sites).await;
 
     drop(sites.remove(sender));
     let killed = Instant::now();
-    load(&sites, Duration::from_secs(4)).await;
+    run_load(&sites, Duration::from_secs(4)).await;
 
-    let soon = arrivals(&limited, killed + Duration::from_secs(2));
+    let soon = arrival_times(&limited, killed + Duration::from_secs(2));
     assert!(!soon.is_empty(), "nobody sends there any more");
     assert_within_limit(&limited, killed, 1.0);
 }
@@ -82,9 +86,9 @@
 /// Until then nobody sends to it but one entry, which has no callers.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_end_of_a_need_is_heard_though_its_only_sender_has_no_work() {
-    let (limited, other) = (healthy("i-limited").await, healthy("i-1").await);
-    let pool = pool_of(&[&limited, &other]).await;
-    let mut sites = pool.entries(4).await;
+    let (limited, other) = (healthy_server("i-limited").await, healthy_server("i-1").await);
+    let pool = start_pool(&[&limited, &other]).await;
+    let mut sites = pool.start_entries(4).await;
     limited.advertise_limit(&["1"]);
     let sender = only_sender(&sites).await;
     let idle = sites.remove(sender);
@@ -92,7 +96,7 @@
     limited.advertise_limit(&[]);
     let deadline = Instant::now() + Duration::from_secs(12);
     while sites.iter().any(|site| knows_limit(site)) && Instant::now() < deadline {
-        load(&sites, Duration::from_millis(100)).await;
+        run_load(&sites, Duration::from_millis(100)).await;
     }
 
     assert!(!sites.iter().any(|site| knows_limit(site)), "the end is not heard");
@@ -102,14 +106,15 @@
 /// Three servers take 6.6 requests a second, and callers ask 66.
 #[tokio::test(flavor = "multi_thread")]
 async fn where_all_servers_are_in_need_they_are_used_and_the_rest_is_refused_at_once() {
-    let servers = [healthy("i-1").await, healthy("i-2").await, healthy("i-3").await];
-    let pool = pool_of(&[&servers[0], &servers[1], &servers[2]]).await;
-    let sites = pool.entries(4).await;
+    let servers =
+        [healthy_server("i-1").await, healthy_server("i-2").await, healthy_server("i-3").await];
+    let pool = start_pool(&[&servers[0], &servers[1], &servers[2]]).await;
+    let sites = pool.start_entries(4).await;
     servers.iter().for_each(|server| server.advertise_limit(&["2.2"]));
     until_settled(&sites).await;
 
     let from = Instant::now();
-    let answers = answers_under_load(&sites, Duration::from_secs(8)).await;
+    let answers = responses_under_load(&sites, Duration::from_secs(8)).await;
 
     servers.iter().for_each(|server| assert_within_limit(server, from, 2.2));
     let served = answers.iter().filter(|(answer, _)| answer.status == 200).count();
@@ -128,14 +133,14 @@
 /// Nearly all that reaches it are resumed streams and larger models, after another server that serves few of them whole.
 #[tokio::test(flavor = "multi_thread")]
 async fn further_sends_of_a_request_keep_to_the_limit_as_first_ones_do() {
-    let (limited, flaky) = (healthy("i-limited").await, flaky("i-flaky").await);
-    let pool = pool_of(&[&limited, &flaky]).await;
-    let sites = pool.entries(4).await;
+    let (limited, flaky) = (healthy_server("i-limited").await, flaky_server("i-flaky").await);
+    let pool = start_pool(&[&limited, &flaky]).await;
+    let sites = pool.start_entries(4).await;
     limited.advertise_limit(&["1.9"]);
-    load(&sites, Duration::from_millis(500)).await;
-    let from = Instant::now() + CONTACT;
+    run_load(&sites, Duration::from_millis(500)).await;
+    let from = Instant::now() + LIMIT_PROPAGATION_TIME;
 
-    load(&sites, Duration::from_secs(8)).await;
+    run_load(&sites, Duration::from_secs(8)).await;
 
     let further =
         |site: &Arc<Site>| limited_sends(site).iter().any(|line| line.contains("further"));
@@ -145,50 +150,50 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_starts_knows_the_limit_before_it_serves() {
-    let (limited, other) = (healthy("i-limited").await, healthy("i-1").await);
-    let pool = pool_of(&[&limited, &other]).await;
-    let sites = pool.entries(3).await;
+    let (limited, other) = (healthy_server("i-limited").await, healthy_server("i-1").await);
+    let pool = start_pool(&[&limited, &other]).await;
+    let sites = pool.start_entries(3).await;
     limited.advertise_limit(&["1.9"]);
-    load(&sites, Duration::from_millis(300)).await;
+    run_load(&sites, Duration::from_millis(300)).await;
     until("it is known", || sites.iter().all(|site| knows_limit(site))).await;
     limited.advertise_limit(&[]);
 
     let seed = sites[0].entry.addresses.peer.unwrap();
-    let late = Arc::new(pool.entry(&[seed], None).await);
-    let before = limited.seen().len();
+    let late = Arc::new(pool.start_entry(&[seed], None).await);
+    let before = limited.requests().len();
     for _ in 0..10 {
         assert_eq!(late.ask("POST", "/chat/late", "X-Model: small\r\n").await.status, 200);
     }
 
-    assert_eq!(limited.seen().len(), before, "it has no place yet, and another server is free");
+    assert_eq!(limited.requests().len(), before, "it has no place yet, and another server is free");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_new_life_of_a_server_has_no_limit() {
-    let limited = healthy("i-limited").await;
-    let pool = pool_of(&[&limited]).await;
-    let sites = pool.entries(2).await;
+    let limited = healthy_server("i-limited").await;
+    let pool = start_pool(&[&limited]).await;
+    let sites = pool.start_entries(2).await;
     limited.advertise_limit(&["1.9"]);
-    load(&sites, Duration::from_millis(300)).await;
+    run_load(&sites, Duration::from_millis(300)).await;
     until("it is known", || sites.iter().all(|site| knows_limit(site))).await;
 
     limited.advertise_limit(&[]);
     list_life(&pool.store, &limited, "llm", 2_000);
 
     until("the new life has none", || !sites.iter().any(|site| knows_limit(site))).await;
-    let (asked, served) = load(&sites, Duration::from_secs(1)).await;
+    let (asked, served) = run_load(&sites, Duration::from_secs(1)).await;
     assert_eq!(served, asked);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_limit_that_cant_be_read_changes_nothing() {
-    let limited = healthy("i-limited").await;
-    let pool = pool_of(&[&limited]).await;
-    let sites = pool.entries(2).await;
+    let limited = healthy_server("i-limited").await;
+    let pool = start_pool(&[&limited]).await;
+    let sites = pool.start_entries(2).await;
 
     for lines in [["NaN"], ["-3"], ["few"], ["inf"]] {
         limited.advertise_limit(&lines);
-        let (asked, served) = load(&sites, Duration::from_millis(300)).await;
+        let (asked, served) = run_load(&sites, Duration::from_millis(300)).await;
         assert_eq!(served, asked, "{lines:?}");
     }
 
--- a/tests/platform/requests.rs
+++ b/tests/platform/requests.rs
@@ -6,12 +6,12 @@
 use mintmoor::policy::placement::hash_id;
 
 use crate::{
-    server::{Act, Server},
+    server::{Action, Server},
     site::{Site, always, first_then, request, until},
 };
 
-const GOOD: Act = Act::Answer { status: 200, body: "good" };
-const FAILS: Act = Act::Answer { status: 500, body: "bad" };
+const GOOD: Action = Action::Respond { status: 200, body: "good" };
+const FAILS: Action = Action::Respond { status: 500, body: "bad" };
 
 async fn site_of(servers: &[&Server]) -> Site {
     let listed: Vec<_> = servers.iter().map(|s| (*s, "app", "v1")).collect();
@@ -19,7 +19,7 @@
 }
 
 fn runs(servers: &[&Server]) -> usize {
-    servers.iter().map(|server| server.seen().len()).sum()
+    servers.iter().map(|server| server.requests().len()).sum()
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -31,21 +31,23 @@
 
     assert_eq!((answer.status, &*answer.body, answer.is_whole), (200, "good", true));
     assert!(answer.head.contains("x-instance-stamp: s"));
-    let seen = server.seen().remove(0);
-    assert_eq!(seen.line, "GET /safe/a?x=1 HTTP/1.1");
-    assert_eq!(seen.header("x-tenant"), "org");
-    assert_eq!(seen.header("x-expect-instance"), "i-1");
-    assert_eq!(seen.header("x-custom"), "kept");
-    assert_eq!(seen.header("authorization"), "");
-    let left: u64 = seen.header("x-deadline-ms").parse().unwrap();
+    let request = server.requests().remove(0);
+    assert_eq!(request.request_line, "GET /safe/a?x=1 HTTP/1.1");
+    assert_eq!(request.header("x-tenant"), "org");
+    assert_eq!(request.header("x-expect-instance"), "i-1");
+    assert_eq!(request.header("x-custom"), "kept");
+    assert_eq!(request.header("authorization"), "");
+    let left: u64 = request.header("x-deadline-ms").parse().unwrap();
     assert!((1..=3_000).contains(&left), "the route allows 3 s, the caller 5 s; sent {left} ms");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_at_the_same_time_get_each_their_own_answer() {
-    let after = Duration::from_millis(20);
-    let (one, two) =
-        (always("i-1", Act::Echo { after }).await, always("i-2", Act::Echo { after }).await);
+    let delay = Duration::from_millis(20);
+    let (one, two) = (
+        always("i-1", Action::EchoIdAfter { delay }).await,
+        always("i-2", Action::EchoIdAfter { delay }).await,
+    );
     let site = site_of(&[&one, &two]).await;
     let paths: Vec<String> = (0..20).map(|i| format!("/safe/{i}")).collect();
 
@@ -58,7 +60,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_failed_idempotent_request_is_asked_elsewhere() {
-    for first in [FAILS, Act::Close, Act::CutAnswer, Act::WrongId, Act::Unsigned, Act::Encoded] {
+    for first in [
+        FAILS,
+        Action::CloseConnection,
+        Action::Truncated,
+        Action::WrongRequestId,
+        Action::Unsigned,
+        Action::Gzip,
+    ] {
         let (fails_once, good) = (first_then("i-1", first, GOOD).await, always("i-2", GOOD).await);
         let site = site_of(&[&fails_once, &good]).await;
 
@@ -83,7 +92,13 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_once_only_request_that_may_have_run_is_not_sent_again_nor_called_not_run() {
-    for act in [Act::Close, Act::CutAnswer, Act::WrongId, Act::Unsigned, Act::Hang] {
+    for act in [
+        Action::CloseConnection,
+        Action::Truncated,
+        Action::WrongRequestId,
+        Action::Unsigned,
+        Action::Hang,
+    ] {
         let (one, two) = (always("i-1", act.clone()).await, always("i-2", act).await);
         let site = site_of(&[&one, &two]).await;
 
@@ -97,7 +112,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_once_only_request_that_provably_did_not_run_is_sent_elsewhere() {
-    for act in [Act::Shed, Act::OtherServer] {
+    for act in [Action::NotExecuted, Action::Misrouted] {
         let (one, two) = (always("i-1", act).await, always("i-2", GOOD).await);
         let site = site_of(&[&one, &two]).await;
 
@@ -110,7 +125,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_nobody_ran_is_refused_with_a_time_to_come_back() {
-    let server = always("i-1", Act::Shed).await;
+    let server = always("i-1", Action::NotExecuted).await;
     let site = site_of(&[&server]).await;
 
     let answer = site.ask("POST", "/once/a", "").await;
@@ -159,7 +174,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_gives_answers_of_others_is_taken_out() {
-    for act in [Act::WrongId, Act::Unsigned] {
+    for act in [Action::WrongRequestId, Action::Unsigned] {
         let server = always("i-1", act).await;
         let site = site_of(&[&server]).await;
 
@@ -173,7 +188,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_without_a_length_is_whole_when_its_connection_ends_well() {
-    let server = always("i-1", Act::Unframed).await;
+    let server = always("i-1", Action::CloseDelimited).await;
     let site = site_of(&[&server]).await;
 
     let answer = site.ask("GET", "/safe/a", "").await;
@@ -183,7 +198,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_second_answer_to_one_request_reaches_nobody() {
-    let server = always("i-1", Act::Twice).await;
+    let server = always("i-1", Action::Duplicate).await;
     let site = site_of(&[&server]).await;
 
     for i in 0..6 {
@@ -210,7 +225,7 @@
     for (bytes, status) in cases {
         assert_eq!(site.send(&bytes).await.status, status, "{}", &bytes[..bytes.len().min(200)]);
     }
-    assert!(server.seen().is_empty());
+    assert!(server.requests().is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -225,7 +240,8 @@
     let answer = site.send(&outer).await;
 
     assert_eq!(answer.status, 200);
-    let lines: Vec<String> = server.seen().into_iter().map(|seen| seen.line).collect();
+    let lines: Vec<String> =
+        server.requests().into_iter().map(|request| request.request_line).collect();
     assert_eq!(lines, ["POST /once/outer HTTP/1.1"]);
 }
 
@@ -239,26 +255,26 @@
     let answer = site.send(&format!("{head}3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")).await;
 
     assert_eq!(answer.status, 200);
-    assert_eq!(server.seen()[0].body, b"abcde");
+    assert_eq!(server.requests()[0].body, b"abcde");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_is_let_off_when_the_caller_leaves() {
     use tokio::io::AsyncWriteExt;
-    let server = always("i-1", Act::Hang).await;
+    let server = always("i-1", Action::Hang).await;
     let site = site_of(&[&server]).await;
     let mut stream = tokio::net::TcpStream::connect(site.caller).await.unwrap();
     stream.write_all(request("POST", "/once/a", "", "").as_bytes()).await.unwrap();
-    until("the server is at work", || server.at_work() == 1).await;
+    until("the server is at work", || server.active_requests() == 1).await;
 
     drop(stream);
 
-    until("the server is let off", || server.at_work() == 0).await;
+    until("the server is let off", || server.active_requests() == 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_finishes_what_runs_and_turns_long_requests_away() {
-    let (app, llm) = (always("i-1", GOOD).await, always("i-2", Act::Endless).await);
+    let (app, llm) = (always("i-1", GOOD).await, always("i-2", Action::EndlessStream).await);
     let site = Site::start(&[(&app, "app", "v1"), (&llm, "llm", "v1")]).await;
     let (caller, readiness) = (site.caller, site.readiness);
     let router = site.entry.router.clone();
@@ -296,10 +312,10 @@
 /// finds anybody.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_can_not_be_reached_is_asked_once_by_a_request() {
-    let server = always("i-1", Act::Crash { has_begun: false }).await;
+    let server = always("i-1", Action::Crash { after_head: false }).await;
     let site = Site::start(&[(&server, "app", "v1")]).await;
     site.ask("POST", "/once/a", "").await;
-    server.until_ended(0).await;
+    server.wait_until_terminated(0).await;
     let refused = || {
         let rendered = site.entry.router.metrics.render();
         let lines = rendered
--- a/tests/platform/restores.rs
+++ b/tests/platform/restores.rs
@@ -10,13 +10,13 @@
 use serde_json::{Value, json};
 
 use crate::{
-    server::{Act, Server},
+    server::{Action, Server},
     site::{Site, always, configuration, list, server_row, until},
     store::{Fault, Store},
 };
 
-const GOOD: Act = Act::Answer { status: 200, body: "good" };
-const FAILS: Act = Act::Answer { status: 500, body: "bad" };
+const GOOD: Action = Action::Respond { status: 200, body: "good" };
+const FAILS: Action = Action::Respond { status: 500, body: "bad" };
 
 fn version(site: &Site) -> u64 {
     site.entry.router.table.load().as_ref().as_ref().map_or(0, |table| table.version)
@@ -214,11 +214,11 @@
     site.store.put("op", "rollout/app", &order);
     until("the store is told again", || state(&site) == "rolled_back").await;
 
-    let before = new.seen().len();
+    let before = new.requests().len();
     for number in 0..60 {
         site.ask("GET", &format!("/safe/b{number}"), "").await;
     }
-    assert_eq!(new.seen().len(), before);
+    assert_eq!(new.requests().len(), before);
 }
 
 /// What was to be told again meets what somebody else wrote meanwhile.
--- a/tests/platform/roll_outs.rs
+++ b/tests/platform/roll_outs.rs
@@ -5,13 +5,13 @@
 use serde_json::json;
 
 use crate::{
-    server::{Act, Server},
+    server::{Action, Server},
     site::{Site, always, until},
     store::Fault,
 };
 
-const GOOD: Act = Act::Answer { status: 200, body: "good" };
-const FAILS: Act = Act::Answer { status: 500, body: "bad" };
+const GOOD: Action = Action::Respond { status: 200, body: "good" };
+const FAILS: Action = Action::Respond { status: 500, body: "bad" };
 
 fn order(to: &str, seconds: f64) -> serde_json::Value {
     json!({"service": "app", "to": to, "duration-s": seconds})
@@ -44,7 +44,7 @@
     asked
 }
 
-async fn two_versions(new: Act) -> (Server, Server, Site) {
+async fn two_versions(new: Action) -> (Server, Server, Site) {
     let (old, new) = (always("i-1", GOOD).await, always("i-2", new).await);
     let site = Site::start(&[(&old, "app", "v1"), (&new, "app", "v2")]).await;
     (old, new, site)
@@ -55,18 +55,18 @@
     let (_old, new, site) = two_versions(FAILS).await;
     site.store.put("op", "rollout/app", &order("v2", 600.0));
     until("it is under way", || state(&site) == "in_progress").await;
-    let before = new.seen().len();
+    let before = new.requests().len();
 
     let asked = ask_until(&site, "rolled_back").await;
 
-    let exposed = new.seen().len() - before;
+    let exposed = new.requests().len() - before;
     assert!(exposed < 30, "{exposed} of {asked} requests reached the bad version");
-    let after = new.seen().len();
+    let after = new.requests().len();
     for i in 0..40 {
         let answer = site.ask("GET", "/safe/a", &format!("Session: t-{i}\r\n")).await;
         assert_eq!(answer.status, 200);
     }
-    assert_eq!(new.seen().len(), after, "a version that was rolled back gets nothing");
+    assert_eq!(new.requests().len(), after, "a version that was rolled back gets nothing");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -78,39 +78,39 @@
     let of_session = |i| ("/safe/a".into(), format!("Session: s-{i}\r\n"));
     let asked = ask_each_until(&site, "rolled_back", of_session).await;
 
-    let exposed = new.seen().len();
+    let exposed = new.requests().len();
     assert!(exposed < 30, "{exposed} of {asked} requests reached the bad version");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_version_whose_answers_break_off_is_rolled_back() {
-    let (_old, new, site) = two_versions(Act::CutAnswer).await;
+    let (_old, new, site) = two_versions(Action::Truncated).await;
     site.store.put("op", "rollout/app", &order("v2", 600.0));
     until("it is under way", || state(&site) == "in_progress").await;
 
     let asked = ask_until(&site, "rolled_back").await;
 
-    let exposed = new.seen().len();
+    let exposed = new.requests().len();
     assert!(exposed < 30, "{exposed} of {asked} requests reached the bad version");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_version_that_answers_slowly_is_rolled_back() {
-    let slow = Act::Late { body: "good", after: Duration::from_millis(150) };
+    let slow = Action::RespondAfter { body: "good", delay: Duration::from_millis(150) };
     let (_old, new, site) = two_versions(slow).await;
     site.store.put("op", "rollout/app", &order("v2", 600.0));
     until("it is under way", || state(&site) == "in_progress").await;
 
     let asked = ask_until(&site, "rolled_back").await;
 
-    let exposed = new.seen().len();
+    let exposed = new.requests().len();
     assert!(exposed < 60, "{exposed} of {asked} requests reached the slow version");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_version_whose_streams_trickle_is_rolled_back() {
-    let fast = Act::Stream { to: 8, is_whole: true, confidence: 90 };
-    let slow = Act::Paced { to: 8, pause: Duration::from_millis(120) };
+    let fast = Action::Stream { last_event: 8, is_complete: true, confidence: 90 };
+    let slow = Action::PacedStream { last_event: 8, interval: Duration::from_millis(120) };
     let (old, new) = (always("i-1", fast).await, always("i-2", slow).await);
     let site = Site::start(&[(&old, "llm", "v1"), (&new, "llm", "v2")]).await;
     let order = json!({"service": "llm", "to": "v2", "duration-s": 600.0});
@@ -133,11 +133,11 @@
 
     ask_until(&site, "completed").await;
 
-    let before = old.seen().len();
+    let before = old.requests().len();
     for i in 0..20 {
         site.ask("GET", "/safe/a", &format!("Session: t-{i}\r\n")).await;
     }
-    assert_eq!(old.seen().len(), before);
+    assert_eq!(old.requests().len(), before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -150,13 +150,13 @@
 
     site.store.put("op", "rollout/app", &order("v2", 600.0));
     until("it is under way", || state(&site) == "in_progress").await;
-    let before = new.seen().len();
+    let before = new.requests().len();
     for session in &sessions {
         site.ask("GET", "/safe/a", session).await;
     }
 
     // Before the order any server may serve; after it, running sessions are on the old version.
-    assert_eq!(new.seen().len(), before);
+    assert_eq!(new.requests().len(), before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -171,11 +171,11 @@
     })
     .await;
 
-    let before = new.seen().len();
+    let before = new.requests().len();
     for i in 0..60 {
         site.ask("GET", "/safe/a", &format!("Session: t-{i}\r\n")).await;
     }
-    assert_eq!(new.seen().len(), before);
+    assert_eq!(new.requests().len(), before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -192,11 +192,11 @@
     })
     .await;
 
-    let before = new.seen().len();
+    let before = new.requests().len();
     for i in 0..60 {
         next.ask("GET", "/safe/a", &format!("Session: u-{i}\r\n")).await;
     }
-    assert_eq!(new.seen().len(), before);
+    assert_eq!(new.requests().len(), before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -214,7 +214,7 @@
         next.ask("GET", "/safe/a", &format!("Session: u-{i}\r\n")).await;
     }
 
-    assert_eq!(new.seen().len(), 10, "all requests are on the new version by now");
+    assert_eq!(new.requests().len(), 10, "all requests are on the new version by now");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -227,7 +227,7 @@
     for i in 0..600 {
         site.ask("GET", &format!("/safe/{i}"), "").await;
     }
-    let exposed = new.seen().len();
+    let exposed = new.requests().len();
     assert!(exposed < 30, "{exposed} requests reached the bad version");
 
     site.store.set_fault(Fault::None);
--- a/tests/platform/rows.rs
+++ b/tests/platform/rows.rs
@@ -8,12 +8,12 @@
 use serde_json::{Value, json};
 
 use crate::{
-    server::{Act, Server},
+    server::{Action, Server},
     site::{Site, always, configuration, list, list_life, server_row, until},
     store::Store,
 };
 
-const GOOD: Act = Act::Answer { status: 200, body: "good" };
+const GOOD: Action = Action::Respond { status: 200, body: "good" };
 /// What a server tells of itself, each time it writes.
 const FIELDS: [&str; 8] =
     ["service", "address", "zone", "version", "slots", "state", "cold-remaining-ms", "sequence"];
--- a/tests/platform/server.rs
+++ b/tests/platform/server.rs
@@ -19,14 +19,14 @@
 
 /// A request as it reached the server.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    pub at: Instant,
-    pub line: String,
+pub struct ReceivedRequest {
+    pub received_at: Instant,
+    pub request_line: String,
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
 }
 
-impl Seen {
+impl ReceivedRequest {
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
@@ -34,61 +34,61 @@
 
 /// What the server does with one request.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum Action {
     /// A whole answer.
-    Answer { status: u16, body: &'static str },
+    Respond { status: u16, body: &'static str },
     /// A whole answer after a while.
-    Late { body: &'static str, after: Duration },
+    RespondAfter { body: &'static str, delay: Duration },
     /// A whole answer after a while that repeats the request's id.
-    Echo { after: Duration },
+    EchoIdAfter { delay: Duration },
     /// An answer in one piece that breaks off.
-    CutAnswer,
+    Truncated,
     /// Says that it did not run it.
-    Shed,
+    NotExecuted,
     /// Says that it did not run it, and asks for a pause.
-    Pause { retry_after: String },
+    NotExecutedRetryAfter { retry_after: String },
     /// Says that another server is meant.
-    OtherServer,
+    Misrouted,
     /// Answers another request.
-    WrongId,
+    WrongRequestId,
     /// An answer without a signature.
     Unsigned,
     /// A body with an encoding nobody asked for.
-    Encoded,
+    Gzip,
     /// Ends the connection once the request is here.
-    Close,
+    CloseConnection,
     /// Never answers.
     Hang,
     /// Events from after the caller's last to `to`; ends whole, or breaks off inside an event.
-    Stream { to: u64, is_whole: bool, confidence: u8 },
+    Stream { last_event: u64, is_complete: bool, confidence: u8 },
     /// A whole stream whose events come one by one after a pause.
-    Paced { to: u64, pause: Duration },
+    PacedStream { last_event: u64, interval: Duration },
     /// Events without an end, each after a pause.
-    Endless,
+    EndlessStream,
     /// The same from a model that has this opinion of them.
-    Trickle { confidence: u8 },
+    EndlessStreamWithConfidence { confidence: u8 },
     /// An answer without a length that ends with its connection.
-    Unframed,
+    CloseDelimited,
     /// A whole answer, and a second one after it.
-    Twice,
+    Duplicate,
     /// The whole process ends as it begins to run the request, with the head of a stream's answer or
     /// without any.
-    Crash { has_begun: bool },
+    Crash { after_head: bool },
 }
 
 /// Opinion of an answer that is asked again of no larger model.
-const SURE: u8 = 90;
+const CONFIDENT: u8 = 90;
 /// Pause of a stream without an end.
-const OFTEN: Duration = Duration::from_millis(10);
+const EVENT_INTERVAL: Duration = Duration::from_millis(10);
 
-type Script = Arc<dyn Fn(&Seen) -> Act + Send + Sync>;
+type Script = Arc<dyn Fn(&ReceivedRequest) -> Action + Send + Sync>;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Life {
-    Alive,
+enum ProcessState {
+    Running,
     /// Nobody listens any more; its connections end next, as those of a process that is gone.
-    Ending,
-    Over,
+    Terminating,
+    Terminated,
 }
 
 /// The stand-in.
@@ -96,60 +96,63 @@
 pub struct Server {
     pub id: String,
     pub address: SocketAddr,
-    seen: Arc<Mutex<Vec<Seen>>>,
-    open: Arc<AtomicUsize>,
+    requests: Arc<Mutex<Vec<ReceivedRequest>>>,
+    active_requests: Arc<AtomicUsize>,
     /// Requests a second that it advertises in its answers, as it writes them.
-    limit: Arc<Mutex<Vec<String>>>,
+    limit_headers: Arc<Mutex<Vec<String>>>,
     /// Header lines that all its answers have now.
-    announced: Arc<Mutex<Vec<String>>>,
+    extra_headers: Arc<Mutex<Vec<String>>>,
     /// `Retry-After` of its rejections; it rejects everything while there is one.
-    pause: Arc<Mutex<Option<String>>>,
+    retry_after: Arc<Mutex<Option<String>>>,
     /// Number of its present life, from 0, and how far that got.
-    life: Arc<watch::Sender<(usize, Life)>>,
+    process: Arc<watch::Sender<(usize, ProcessState)>>,
 }
 
 impl Server {
-    pub async fn start(id: &str, script: impl Fn(&Seen) -> Act + Send + Sync + 'static) -> Self {
+    pub async fn start(
+        id: &str,
+        script: impl Fn(&ReceivedRequest) -> Action + Send + Sync + 'static,
+    ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let server = Self {
             id: id.into(),
             address: listener.local_addr().unwrap(),
-            seen: Arc::default(),
-            open: Arc::default(),
-            limit: Arc::default(),
-            announced: Arc::default(),
-            pause: Arc::default(),
-            life: Arc::new(watch::Sender::new((0, Life::Alive))),
+            requests: Arc::default(),
+            active_requests: Arc::default(),
+            limit_headers: Arc::default(),
+            extra_headers: Arc::default(),
+            retry_after: Arc::default(),
+            process: Arc::new(watch::Sender::new((0, ProcessState::Running))),
         };
         let script: Script = Arc::new(script);
-        tokio::spawn(server.clone().live(listener, script));
+        tokio::spawn(server.clone().serve(listener, script));
         server
     }
 
     /// Takes connections, life after life.
-    async fn live(self, mut listener: TcpListener, script: Script) {
+    async fn serve(self, mut listener: TcpListener, script: Script) {
         loop {
-            let life = self.life.borrow().0;
+            let incarnation = self.process.borrow().0;
             let accept = async {
                 while let Ok((stream, _)) = listener.accept().await {
                     let (server, script) = (self.clone(), script.clone());
                     tokio::spawn(async move {
                         tokio::select! {
-                            () = server.talk(stream, script) => {}
-                            () = server.until_ended(life) => {}
+                            () = server.serve_connection(stream, script) => {}
+                            () = server.wait_until_terminated(incarnation) => {}
                         }
                     });
                 }
             };
             tokio::select! {
                 () = accept => return,
-                () = self.until(|state| state.1 != Life::Alive) => {}
+                () = self.wait_until(|state| state.1 != ProcessState::Running) => {}
             }
             // Nobody listens between two lives: connections are refused.
             drop(listener);
-            self.life.send_modify(|state| state.1 = Life::Over);
-            let mut lives = self.life.subscribe();
-            if lives.wait_for(|state| state.1 == Life::Alive).await.is_err() {
+            self.process.send_modify(|state| state.1 = ProcessState::Terminated);
+            let mut states = self.process.subscribe();
+            if states.wait_for(|state| state.1 == ProcessState::Running).await.is_err() {
                 return;
             }
             listener = TcpListener::bind(self.address).await.unwrap();
@@ -157,89 +160,90 @@
     }
 
     /// Waits until a life has ended.
-    pub async fn until_ended(&self, life: usize) {
-        self.until(|state| state.0 > life || state.1 == Life::Over).await;
+    pub async fn wait_until_terminated(&self, incarnation: usize) {
+        self.wait_until(|state| state.0 > incarnation || state.1 == ProcessState::Terminated).await;
     }
 
-    async fn until(&self, holds: impl Fn(&(usize, Life)) -> bool) {
-        let mut lives = self.life.subscribe();
-        lives.wait_for(holds).await.expect("the server is still here");
+    async fn wait_until(&self, condition: impl Fn(&(usize, ProcessState)) -> bool) {
+        let mut states = self.process.subscribe();
+        states.wait_for(condition).await.expect("the server is still here");
     }
 
     /// Names a limit in its answers from now on, on a line for each of these; none ends it.
     pub fn advertise_limit(&self, lines: &[&str]) {
-        *self.limit.lock().unwrap() = lines.iter().map(|line| (*line).to_owned()).collect();
+        *self.limit_headers.lock().unwrap() = lines.iter().map(|line| (*line).to_owned()).collect();
     }
 
     /// Has these header lines in all its answers from now on.
-    pub fn announce(&self, lines: &[&str]) {
-        *self.announced.lock().unwrap() = lines.iter().map(|line| (*line).to_owned()).collect();
+    pub fn set_extra_headers(&self, lines: &[&str]) {
+        *self.extra_headers.lock().unwrap() = lines.iter().map(|line| (*line).to_owned()).collect();
     }
 
     /// Announces in its answers that it is draining; its row stays as it is.
-    pub fn drain(&self) {
-        self.announce(&["Server-Leaving: 1"]);
+    pub fn announce_draining(&self) {
+        self.set_extra_headers(&["Server-Leaving: 1"]);
     }
 
     /// Rejects all requests with this `Retry-After`, or none any more.
-    pub fn ask_for_pause(&self, retry_after: Option<&str>) {
-        *self.pause.lock().unwrap() = retry_after.map(Into::into);
+    pub fn set_retry_after(&self, retry_after: Option<&str>) {
+        *self.retry_after.lock().unwrap() = retry_after.map(Into::into);
     }
 
     /// Header lines of an answer that it writes now.
-    fn lines(&self) -> String {
-        let limit = self.limit.lock().unwrap();
+    fn header_lines(&self) -> String {
+        let limit = self.limit_headers.lock().unwrap();
         let limit = limit.iter().map(|line| format!("Server-Limit: {line}\r\n"));
-        let announced = self.announced.lock().unwrap();
-        limit.chain(announced.iter().map(|line| format!("{line}\r\n"))).collect()
+        let extra = self.extra_headers.lock().unwrap();
+        limit.chain(extra.iter().map(|line| format!("{line}\r\n"))).collect()
     }
 
     /// Ends its life at once, with all its connections.
     pub fn crash(&self) {
-        self.life.send_modify(|state| state.1 = Life::Ending);
+        self.process.send_modify(|state| state.1 = ProcessState::Terminating);
     }
 
     /// Begins its next life, and gives its number.
-    pub fn start_again(&self) -> usize {
-        self.life.send_modify(|state| *state = (state.0 + 1, Life::Alive));
-        self.life.borrow().0
+    pub fn restart(&self) -> usize {
+        self.process.send_modify(|state| *state = (state.0 + 1, ProcessState::Running));
+        self.process.borrow().0
     }
 
     /// Requests that reached it.
-    pub fn seen(&self) -> Vec<Seen> {
-        self.seen.lock().unwrap().clone()
+    pub fn requests(&self) -> Vec<ReceivedRequest> {
+        self.requests.lock().unwrap().clone()
     }
 
     /// Requests it is at work on.
-    pub fn at_work(&self) -> usize {
-        self.open.load(Ordering::SeqCst)
+    pub fn active_requests(&self) -> usize {
+        self.active_requests.load(Ordering::SeqCst)
     }
 
-    async fn talk(&self, mut stream: TcpStream, script: Script) {
-        while let Some(seen) = read_request(&mut stream).await {
-            self.seen.lock().unwrap().push(seen.clone());
-            self.open.fetch_add(1, Ordering::SeqCst);
-            let pause = self.pause.lock().unwrap().clone();
-            let act = match pause {
-                Some(retry_after) => Act::Pause { retry_after },
-                None => script(&seen),
+    async fn serve_connection(&self, mut stream: TcpStream, script: Script) {
+        while let Some(request) = read_request(&mut stream).await {
+            self.requests.lock().unwrap().push(request.clone());
+            self.active_requests.fetch_add(1, Ordering::SeqCst);
+            let retry_after = self.retry_after.lock().unwrap().clone();
+            let action = match retry_after {
+                Some(retry_after) => Action::NotExecutedRetryAfter { retry_after },
+                None => script(&request),
             };
-            let ends = matches!(act, Act::Crash { .. });
-            let goes_on = answer(&mut stream, &seen, act, &self.lines()).await;
-            if ends {
-                let life = self.life.borrow().0;
+            let crashes = matches!(action, Action::Crash { .. });
+            let keeps_connection =
+                respond(&mut stream, &request, action, &self.header_lines()).await;
+            if crashes {
+                let incarnation = self.process.borrow().0;
                 self.crash();
-                self.until_ended(life).await;
+                self.wait_until_terminated(incarnation).await;
             }
-            self.open.fetch_sub(1, Ordering::SeqCst);
-            if !goes_on {
+            self.active_requests.fetch_sub(1, Ordering::SeqCst);
+            if !keeps_connection {
                 return;
             }
         }
     }
 }
 
-async fn read_request(stream: &mut TcpStream) -> Option<Seen> {
+async fn read_request(stream: &mut TcpStream) -> Option<ReceivedRequest> {
     let mut buf = Vec::new();
     let end = loop {
         if let Some(end) = buf.windows(4).position(|w| w == b"\r\n\r\n") {
@@ -251,7 +255,7 @@
     };
     let head = String::from_utf8_lossy(&buf[..end]).into_owned();
     let mut lines = head.split("\r\n");
-    let line = lines.next()?.to_owned();
+    let request_line = lines.next()?.to_owned();
     let headers: HashMap<String, String> = lines
         .filter_map(|l| l.split_once(": "))
         .map(|(name, value)| (name.to_lowercase(), value.to_owned()))
@@ -263,66 +267,75 @@
         let n = stream.read(&mut chunk).await.ok().filter(|n| *n > 0)?;
         body.extend_from_slice(&chunk[..n]);
     }
-    Some(Seen { at: Instant::now(), line, headers, body })
+    Some(ReceivedRequest { received_at: Instant::now(), request_line, headers, body })
 }
 
 /// Does it; whether the connection goes on.
-async fn answer(stream: &mut TcpStream, seen: &Seen, act: Act, lines: &str) -> bool {
-    let id = seen.header("x-request-id");
+async fn respond(
+    stream: &mut TcpStream,
+    request: &ReceivedRequest,
+    action: Action,
+    lines: &str,
+) -> bool {
+    let id = request.header("x-request-id");
     let signed = format!("X-Request-Id: {id}\r\nX-Instance-Stamp: s\r\n{lines}");
-    let whole = |status: u16, headers: &str, body: &str| {
+    let reply = |status: u16, headers: &str, body: &str| {
         format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
     };
-    if let Act::Late { after, .. } | Act::Echo { after } = &act {
-        sleep(*after).await;
+    if let Action::RespondAfter { delay, .. } | Action::EchoIdAfter { delay } = &action {
+        sleep(*delay).await;
     }
-    let (bytes, goes_on) = match act {
-        Act::Late { body, .. } => (whole(200, &signed, body), true),
-        Act::Echo { .. } => (whole(200, &signed, id), true),
-        Act::Answer { status, body } => (whole(status, &signed, body), true),
-        Act::CutAnswer => {
+    let (bytes, keeps_connection) = match action {
+        Action::RespondAfter { body, .. } => (reply(200, &signed, body), true),
+        Action::EchoIdAfter { .. } => (reply(200, &signed, id), true),
+        Action::Respond { status, body } => (reply(status, &signed, body), true),
+        Action::Truncated => {
             (format!("HTTP/1.1 200 X\r\n{signed}Content-Length: 100\r\n\r\nhalf"), false)
         }
-        Act::Shed => (whole(503, &format!("X-Not-Executed: 1\r\n{lines}"), ""), true),
-        Act::Pause { retry_after } => {
+        Action::NotExecuted => (reply(503, &format!("X-Not-Executed: 1\r\n{lines}"), ""), true),
+        Action::NotExecutedRetryAfter { retry_after } => {
             let head = format!("X-Not-Executed: 1\r\nRetry-After: {retry_after}\r\n{lines}");
-            (whole(503, &head, ""), true)
+            (reply(503, &head, ""), true)
         }
-        Act::OtherServer => (whole(421, &format!("X-Instance-Id: i-other\r\n{lines}"), ""), true),
-        Act::WrongId => {
+        Action::Misrouted => (reply(421, &format!("X-Instance-Id: i-other\r\n{lines}"), ""), true),
+        Action::WrongRequestId => {
             let head = format!("X-Request-Id: other\r\nX-Instance-Stamp: s\r\n{lines}");
-            (whole(200, &head, "no"), true)
+            (reply(200, &head, "no"), true)
         }
-        Act::Unsigned => (whole(200, &format!("X-Request-Id: {id}\r\n{lines}"), "no"), true),
-        Act::Encoded => (whole(200, &format!("{signed}Content-Encoding: gzip\r\n"), "no"), true),
-        Act::Close | Act::Crash { has_begun: false } => (String::new(), false),
-        Act::Crash { has_begun: true } => {
-            let sent = stream.write_all(stream_head(&signed, SURE).as_bytes()).await.is_ok();
+        Action::Unsigned => (reply(200, &format!("X-Request-Id: {id}\r\n{lines}"), "no"), true),
+        Action::Gzip => (reply(200, &format!("{signed}Content-Encoding: gzip\r\n"), "no"), true),
+        Action::CloseConnection | Action::Crash { after_head: false } => (String::new(), false),
+        Action::Crash { after_head: true } => {
+            let sent = stream.write_all(stream_head(&signed, CONFIDENT).as_bytes()).await.is_ok();
             // The head is on its way before the process ends.
-            sleep(OFTEN).await;
+            sleep(EVENT_INTERVAL).await;
             return sent;
         }
-        Act::Hang => {
+        Action::Hang => {
             // Until the entry gives up on the connection.
             let mut rest = [0; 16];
             let _ = stream.read(&mut rest).await;
             return false;
         }
-        Act::Unframed => (format!("HTTP/1.1 200 X\r\n{signed}\r\nall of it"), false),
-        Act::Twice => {
-            let one = whole(200, &signed, "once");
-            (format!("{one}{one}"), true)
+        Action::CloseDelimited => (format!("HTTP/1.1 200 X\r\n{signed}\r\nall of it"), false),
+        Action::Duplicate => {
+            let once = reply(200, &signed, "once");
+            (format!("{once}{once}"), true)
+        }
+        Action::Stream { last_event, is_complete, confidence } => {
+            return send_burst(stream, request, &signed, last_event, is_complete, confidence).await;
+        }
+        Action::PacedStream { last_event, interval } => {
+            return send_paced(stream, &signed, last_event, interval, CONFIDENT).await;
         }
-        Act::Stream { to, is_whole, confidence } => {
-            return send_events(stream, seen, &signed, to, is_whole, confidence).await;
+        Action::EndlessStream => {
+            return send_paced(stream, &signed, u64::MAX, EVENT_INTERVAL, CONFIDENT).await;
         }
-        Act::Paced { to, pause } => return send_paced(stream, &signed, to, pause, SURE).await,
-        Act::Endless => return send_paced(stream, &signed, u64::MAX, OFTEN, SURE).await,
-        Act::Trickle { confidence } => {
-            return send_paced(stream, &signed, u64::MAX, OFTEN, confidence).await;
+        Action::EndlessStreamWithConfidence { confidence } => {
+            return send_paced(stream, &signed, u64::MAX, EVENT_INTERVAL, confidence).await;
         }
     };
-    stream.write_all(bytes.as_bytes()).await.is_ok() && goes_on
+    stream.write_all(bytes.as_bytes()).await.is_ok() && keeps_connection
 }
 
 /// Head of a stream's answer.
@@ -336,41 +349,41 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-async fn send_events(
+async fn send_burst(
     stream: &mut TcpStream,
-    seen: &Seen,
+    request: &ReceivedRequest,
     signed: &str,
-    to: u64,
-    is_whole: bool,
+    last_event: u64,
+    is_complete: bool,
     confidence: u8,
 ) -> bool {
-    let from: u64 = seen.header("last-event-id").parse().unwrap_or(0);
+    let last_received: u64 = request.header("last-event-id").parse().unwrap_or(0);
     let head = stream_head(signed, confidence);
     let mut out = head;
-    for event in from + 1..=to {
+    for event in last_received + 1..=last_event {
         out += &chunk(&format!("id: {event}\ndata: e{event}\n\n"));
     }
-    out += if is_whole { "0\r\n\r\n" } else { "9\r\nid: 99\nda\r\n" };
-    stream.write_all(out.as_bytes()).await.is_ok() && is_whole
+    out += if is_complete { "0\r\n\r\n" } else { "9\r\nid: 99\nda\r\n" };
+    stream.write_all(out.as_bytes()).await.is_ok() && is_complete
 }
 
 async fn send_paced(
     stream: &mut TcpStream,
     signed: &str,
-    to: u64,
-    pause: Duration,
+    last_event: u64,
+    interval: Duration,
     confidence: u8,
 ) -> bool {
     let head = stream_head(signed, confidence);
     if stream.write_all(head.as_bytes()).await.is_err() {
         return false;
     }
-    for event in 1..=to {
+    for event in 1..=last_event {
         let text = chunk(&format!("id: {event}\ndata: e{event}\n\n"));
         if stream.write_all(text.as_bytes()).await.is_err() {
             return false;
         }
-        sleep(pause).await;
+        sleep(interval).await;
     }
     stream.write_all(b"0\r\n\r\n").await.is_ok()
 }
--- a/tests/platform/sessions.rs
+++ b/tests/platform/sessions.rs
@@ -7,11 +7,11 @@
 
 use crate::{
     roll_outs::ask_until,
-    server::Act,
+    server::Action,
     site::{Site, always, list, store_with, until},
 };
 
-const GOOD: Act = Act::Answer { status: 200, body: "good" };
+const GOOD: Action = Action::Respond { status: 200, body: "good" };
 
 fn begun(site: &Site) -> bool {
     site.entry.router.dump()["roll_outs"][0]["began"] == true
@@ -53,8 +53,8 @@
         other.ask("GET", "/safe/a", session).await;
     }
 
-    assert_eq!(old.seen().len(), 2 * sessions.len());
-    assert_eq!(new.seen().len(), 0, "sessions moved to the new version in the first half");
+    assert_eq!(old.requests().len(), 2 * sessions.len());
+    assert_eq!(new.requests().len(), 0, "sessions moved to the new version in the first half");
 }
 
 /// What callers saw: for two seconds after an entry was restarted, requests of sessions that were on the
@@ -75,7 +75,7 @@
     let order = json!({"service": "app", "to": "v2", "duration-s": 1.0});
     first.store.put("op", "rollout/app", &order);
     ask_until(&first, "completed").await;
-    let before = old.seen().len();
+    let before = old.requests().len();
 
     let next = Site::following(first.store.clone(), &first).await;
     until("it is ready", || next.entry.router.is_ready()).await;
@@ -83,7 +83,7 @@
         next.ask("GET", "/safe/a", &format!("Session: s-{i}\r\n")).await;
     }
 
-    assert_eq!(old.seen().len(), before, "requests ran on the old version after the roll-out");
+    assert_eq!(old.requests().len(), before, "requests ran on the old version after the roll-out");
 }
 
 fn listed(id: &str, version: &str) -> BackendServer {
--- a/tests/platform/site.rs
+++ b/tests/platform/site.rs
@@ -20,7 +20,7 @@
 };
 
 use crate::{
-    server::{Act, Seen, Server},
+    server::{Action, ReceivedRequest, Server},
     store::Store,
 };
 
@@ -274,14 +274,14 @@
 }
 
 /// A server that does the same with every request.
-pub async fn always(id: &str, act: Act) -> Server {
-    Server::start(id, move |_: &Seen| act.clone()).await
+pub async fn always(id: &str, act: Action) -> Server {
+    Server::start(id, move |_: &ReceivedRequest| act.clone()).await
 }
 
 /// A server that does one thing with its first request and another with the rest.
-pub async fn first_then(id: &str, first: Act, then: Act) -> Server {
+pub async fn first_then(id: &str, first: Action, then: Action) -> Server {
     let asked = std::sync::atomic::AtomicBool::new(false);
-    Server::start(id, move |_: &Seen| {
+    Server::start(id, move |_: &ReceivedRequest| {
         let was_asked = asked.swap(true, std::sync::atomic::Ordering::SeqCst);
         if was_asked { then.clone() } else { first.clone() }
     })
--- a/tests/platform/state.rs
+++ b/tests/platform/state.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 
 use crate::{
-    server::Act,
+    server::Action,
     site::{Site, always, configuration, list, server_row, until},
     store::{Fault, Store},
 };
@@ -13,7 +13,7 @@
 /// Where nobody listens.
 const ANYWHERE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
 
-const GOOD: Act = Act::Answer { status: 200, body: "good" };
+const GOOD: Action = Action::Respond { status: 200, body: "good" };
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_without_a_configuration_is_not_ready_and_refuses() {
@@ -87,12 +87,12 @@
         fleet.of_service("app").iter().filter(|member| !member.is_draining()).count()
     };
     until("one takes requests", || takes() == 1).await;
-    let before = leaves.seen().len();
+    let before = leaves.requests().len();
     for _ in 0..6 {
         assert_eq!(site.ask("GET", "/safe/a", "").await.status, 200);
     }
 
-    assert_eq!(leaves.seen().len(), before);
+    assert_eq!(leaves.requests().len(), before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/tests/platform/streams.rs
+++ b/tests/platform/streams.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use crate::{
-    server::{Act, Seen, Server},
+    server::{Action, ReceivedRequest, Server},
     site::{Site, always, events, first_then, request, until},
 };
 
-const WHOLE: Act = Act::Stream { to: 5, is_whole: true, confidence: 90 };
+const WHOLE: Action = Action::Stream { last_event: 5, is_complete: true, confidence: 90 };
 
 async fn site_of(servers: &[&Server]) -> Site {
     let listed: Vec<_> = servers.iter().map(|s| (*s, "llm", "v1")).collect();
@@ -27,12 +27,12 @@
 
     assert_eq!((answer.status, answer.is_whole), (200, true));
     assert_eq!(answer.body, events(5));
-    assert_eq!(server.seen()[0].header("x-model"), "small");
+    assert_eq!(server.requests()[0].header("x-model"), "small");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_broken_stream_goes_on_at_another_server_without_loss_or_repeat() {
-    let breaks = Act::Stream { to: 3, is_whole: false, confidence: 90 };
+    let breaks = Action::Stream { last_event: 3, is_complete: false, confidence: 90 };
     let (one, two) =
         (first_then("i-1", breaks.clone(), WHOLE).await, first_then("i-2", breaks, WHOLE).await);
     let site = site_of(&[&one, &two]).await;
@@ -41,37 +41,38 @@
 
     assert_eq!((answer.status, answer.is_whole), (200, true));
     assert_eq!(answer.body, events(5));
-    let resumed: Vec<Seen> = [one.seen(), two.seen()].concat();
-    assert!(resumed.iter().any(|seen| seen.header("last-event-id") == "3"));
+    let resumed: Vec<ReceivedRequest> = [one.requests(), two.requests()].concat();
+    assert!(resumed.iter().any(|request| request.header("last-event-id") == "3"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_broken_stream_that_may_not_be_resumed_does_not_look_whole() {
-    let server = always("i-1", Act::Stream { to: 3, is_whole: false, confidence: 90 }).await;
+    let server =
+        always("i-1", Action::Stream { last_event: 3, is_complete: false, confidence: 90 }).await;
     let site = site_of(&[&server]).await;
 
     let answer = site.ask("POST", "/plain/a", "X-Model: small\r\n").await;
 
     assert_eq!((answer.status, answer.is_whole), (200, false));
     assert_eq!(answer.body, events(3), "whole events only");
-    assert_eq!(server.seen().len(), 1);
+    assert_eq!(server.requests().len(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_is_not_resumed_beyond_the_allowed_attempts() {
-    let breaks = |to| Act::Stream { to, is_whole: false, confidence: 90 };
+    let breaks = |last_event| Action::Stream { last_event, is_complete: false, confidence: 90 };
     let (one, two) = (always("i-1", breaks(1)).await, always("i-2", breaks(1)).await);
     let site = site_of(&[&one, &two]).await;
 
     let answer = site.ask("POST", "/chat/a", prompt()).await;
 
     assert!(!answer.is_whole);
-    assert_eq!(one.seen().len() + two.seen().len(), 3);
+    assert_eq!(one.requests().len() + two.requests().len(), 3);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_slow_server_is_not_left_when_nothing_more_may_be_sent() {
-    let slow = Act::Paced { to: 2, pause: Duration::from_millis(2_000) };
+    let slow = Action::PacedStream { last_event: 2, interval: Duration::from_millis(2_000) };
     let (one, two) = (always("i-1", slow.clone()).await, always("i-2", slow).await);
     let site = Site::without_repeats(&[(&one, "llm", "v1"), (&two, "llm", "v1")]).await;
 
@@ -84,8 +85,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_event_that_is_missing_breaks_the_stream() {
     // The second server goes on at event 5 though event 3 is due.
-    let breaks = Act::Stream { to: 2, is_whole: false, confidence: 90 };
-    let server = first_then("i-1", breaks, Act::Endless).await;
+    let breaks = Action::Stream { last_event: 2, is_complete: false, confidence: 90 };
+    let server = first_then("i-1", breaks, Action::EndlessStream).await;
     let site = site_of(&[&server]).await;
 
     let answer = site.ask("POST", "/chat/a", prompt()).await;
@@ -97,9 +98,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_unsure_answer_is_asked_again_of_the_largest_model() {
-    let server = Server::start("i-1", |seen: &Seen| {
-        let confidence = if seen.header("x-model") == "small" { 10 } else { 95 };
-        Act::Stream { to: 2, is_whole: true, confidence }
+    let server = Server::start("i-1", |request: &ReceivedRequest| {
+        let confidence = if request.header("x-model") == "small" { 10 } else { 95 };
+        Action::Stream { last_event: 2, is_complete: true, confidence }
     })
     .await;
     let site = site_of(&[&server]).await;
@@ -109,14 +110,14 @@
     assert_eq!((answer.status, answer.is_whole), (200, true));
     assert!(answer.head.contains("x-confidence: 95"));
     let models: Vec<String> =
-        server.seen().iter().map(|seen| seen.header("x-model").to_owned()).collect();
+        server.requests().iter().map(|request| request.header("x-model").to_owned()).collect();
     assert_eq!(models, ["small", "large"]);
 }
 
 /// A server whose small model is unsure; the large one does this.
-async fn unsure_then(large: Act) -> Server {
-    Server::start("i-1", move |seen: &Seen| match seen.header("x-model") {
-        "small" => Act::Stream { to: 4, is_whole: true, confidence: 10 },
+async fn unsure_then(large: Action) -> Server {
+    Server::start("i-1", move |request: &ReceivedRequest| match request.header("x-model") {
+        "small" => Action::Stream { last_event: 4, is_complete: true, confidence: 10 },
         _ => large.clone(),
     })
     .await
@@ -124,7 +125,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_in_hand_reaches_its_caller_when_the_largest_model_gives_none() {
-    let nothing = [Act::Hang, Act::Shed, Act::Close, Act::Answer { status: 500, body: "no" }];
+    let nothing = [
+        Action::Hang,
+        Action::NotExecuted,
+        Action::CloseConnection,
+        Action::Respond { status: 500, body: "no" },
+    ];
     for large in nothing {
         let server = unsure_then(large.clone()).await;
         let site = site_of(&[&server]).await;
@@ -140,16 +146,17 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_servers_work_on_an_answer_in_hand_ends_when_the_larger_model_has_begun() {
-    let server = Server::start("i-1", |seen: &Seen| match seen.header("x-model") {
-        "small" => Act::Trickle { confidence: 10 },
-        _ => Act::Paced { to: 8, pause: Duration::from_millis(400) },
-    })
-    .await;
+    let server =
+        Server::start("i-1", |request: &ReceivedRequest| match request.header("x-model") {
+            "small" => Action::EndlessStreamWithConfidence { confidence: 10 },
+            _ => Action::PacedStream { last_event: 8, interval: Duration::from_millis(400) },
+        })
+        .await;
     let site = site_of(&[&server]).await;
 
     let (answer, ()) = tokio::join!(site.ask("POST", "/chat/a", prompt()), async {
-        until("both run", || server.at_work() == 2).await;
-        until("the larger one alone", || server.at_work() == 1).await;
+        until("both run", || server.active_requests() == 2).await;
+        until("the larger one alone", || server.active_requests() == 1).await;
     });
 
     assert_eq!((answer.is_whole, answer.body), (true, events(8)));
@@ -157,20 +164,21 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_model_the_caller_names_is_left_alone() {
-    let server = always("i-1", Act::Stream { to: 2, is_whole: true, confidence: 10 }).await;
+    let server =
+        always("i-1", Action::Stream { last_event: 2, is_complete: true, confidence: 10 }).await;
     let site = site_of(&[&server]).await;
 
     let answer = site.ask("POST", "/chat/a", "X-Model: small\r\n").await;
 
     assert_eq!(answer.status, 200);
-    assert_eq!(server.seen().len(), 1);
-    assert_eq!(server.seen()[0].header("x-model"), "small");
+    assert_eq!(server.requests().len(), 1);
+    assert_eq!(server.requests()[0].header("x-model"), "small");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_stops_when_the_caller_of_its_stream_leaves() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    let server = always("i-1", Act::Endless).await;
+    let server = always("i-1", Action::EndlessStream).await;
     let site = site_of(&[&server]).await;
     let mut stream = tokio::net::TcpStream::connect(site.caller).await.unwrap();
     stream.write_all(request("POST", "/chat/a", prompt(), "").as_bytes()).await.unwrap();
@@ -179,6 +187,6 @@
 
     drop(stream);
 
-    until("the server stops", || server.at_work() == 0).await;
+    until("the server stops", || server.active_requests() == 0).await;
     until("nothing is in flight", || site.entry.router.in_flight() == 0).await;
 }
--- a/tests/platform/suspended.rs
+++ b/tests/platform/suspended.rs
@@ -7,11 +7,11 @@
 use tokio::time::Instant;
 
 use crate::{
-    server::{Act, Server},
+    server::{Action, Server},
     site::{Site, always, first_then, list, store_with, until},
 };
 
-const GOOD: Act = Act::Answer { status: 200, body: "good" };
+const GOOD: Action = Action::Respond { status: 200, body: "good" };
 /// Longer than callers here wait, five seconds.
 const LONG: Duration = Duration::from_secs(20);
 
@@ -57,12 +57,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_whose_time_passed_meanwhile_ends_at_once() {
-    let server = always("i-1", Act::Hang).await;
+    let server = always("i-1", Action::Hang).await;
     let site = Arc::new(Site::start(&[(&server, "llm", "v1")]).await);
     let asking = site.clone();
     let began = Instant::now();
     let asked = tokio::spawn(async move { asking.ask("POST", "/plain/a", "").await });
-    until("it is there", || server.seen().len() == 1).await;
+    until("it is there", || server.requests().len() == 1).await;
 
     site.entry.router.clock.simulate_suspension(LONG);
     let answer = asked.await.unwrap();
@@ -74,11 +74,11 @@
 /// Callers' requests have five seconds here.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_is_told_the_time_that_is_left_after_a_suspension() {
-    let (dies, serves) = (always("i-1", Act::Hang).await, always("i-2", GOOD).await);
+    let (dies, serves) = (always("i-1", Action::Hang).await, always("i-2", GOOD).await);
     let site = Arc::new(Site::start(&[(&dies, "app", "v1")]).await);
     let asking = site.clone();
     let asked = tokio::spawn(async move { asking.ask("GET", "/safe/a", "").await });
-    until("it is there", || dies.seen().len() == 1).await;
+    until("it is there", || dies.requests().len() == 1).await;
     list(&site.store, &serves, "app", "v1", "ready");
     until("both are in view", || site.entry.router.fleet.load().len() == 2).await;
 
@@ -87,7 +87,7 @@
     let answer = asked.await.unwrap();
 
     assert_eq!(answer.status, 200);
-    let told: u64 = serves.seen()[0].header("x-deadline-ms").parse().unwrap();
+    let told: u64 = serves.requests()[0].header("x-deadline-ms").parse().unwrap();
     // The route's timeout is 3 s.
     assert!(told <= 1_500, "{told} ms");
 }
@@ -114,7 +114,7 @@
         for i in 0..20 {
             assert_eq!(site.ask("GET", &format!("/safe/{i}"), "").await.status, 200);
         }
-        assert_eq!(leaves.seen().len(), 0, "it leaves");
+        assert_eq!(leaves.requests().len(), 0, "it leaves");
         list(&store, &leaves, "app", "v1", "ready");
         let takes = || site.entry.router.dump()["servers"].as_array().unwrap().len() == 2;
         until("it is back", takes).await;
--- a/tests/platform/unavailable.rs
+++ b/tests/platform/unavailable.rs
@@ -9,9 +9,9 @@
 use tokio::time::sleep;
 
 use crate::{
-    limited_pool::{answers_under_load, arrivals, flaky, load, pool_of},
+    limited_pool::{arrival_times, flaky_server, responses_under_load, run_load, start_pool},
     pool::Pool,
-    server::{Act, Seen, Server},
+    server::{Action, ReceivedRequest, Server},
     site::{Site, always, list, list_life, store_with, until},
     store::Fault,
 };
@@ -37,15 +37,15 @@
 
 /// A server whose answers take half a second, so that load builds up on all servers.
 async fn busy(id: &str) -> Server {
-    always(id, Act::Paced { to: 5, pause: Duration::from_millis(100) }).await
+    always(id, Action::PacedStream { last_event: 5, interval: Duration::from_millis(100) }).await
 }
 
 /// A pool of three busy servers behind one entry.
 async fn three_servers() -> (Pool, Vec<Arc<Site>>, [Server; 3]) {
     let servers = [busy("i-0").await, busy("i-1").await, busy("i-2").await];
-    let pool = pool_of(&servers.each_ref()).await;
-    let sites = pool.entries_apart(1).await;
-    load(&sites, Duration::from_millis(300)).await;
+    let pool = start_pool(&servers.each_ref()).await;
+    let sites = pool.start_isolated_entries(1).await;
+    run_load(&sites, Duration::from_millis(300)).await;
     (pool, sites, servers)
 }
 
@@ -58,7 +58,7 @@
 
 /// Requests that reached a paused server until the end of its pause, but for those on their way at its first rejection.
 fn arrivals_in_pause(server: &Server, from: Instant) -> usize {
-    let rejected = arrivals(server, from);
+    let rejected = arrival_times(server, from);
     let began = *rejected.first().expect("it rejected none");
     let is_within = |at: &&Instant| **at > began + ON_THEIR_WAY && **at < began + PAUSE;
     rejected.iter().filter(is_within).count()
@@ -67,15 +67,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_announced_draining_in_an_answer_gets_no_further_request() {
     let (_pool, sites, [draining, ..]) = three_servers().await;
-    draining.drain();
-    load(&sites, Duration::from_millis(300)).await;
+    draining.announce_draining();
+    run_load(&sites, Duration::from_millis(300)).await;
     until("it is known", || !dump_of(&sites[0], &draining)["draining_ms"].is_null()).await;
 
     let from = Instant::now();
-    let (asked, served) = load(&sites, Duration::from_secs(3)).await;
+    let (asked, served) = run_load(&sites, Duration::from_secs(3)).await;
 
     println!("{:?}", unavailable_sends(&sites[0]));
-    assert_eq!(arrivals(&draining, from).len(), 0, "of {asked} requests");
+    assert_eq!(arrival_times(&draining, from).len(), 0, "of {asked} requests");
     assert_eq!(served, asked);
     assert_eq!(dump_of(&sites[0], &draining)["idle_connections"], 0);
 }
@@ -84,36 +84,36 @@
 async fn a_server_that_asked_for_a_pause_gets_no_request_until_it_ends() {
     let (_pool, sites, [paused, ..]) = three_servers().await;
     let from = Instant::now();
-    paused.ask_for_pause(Some("3"));
+    paused.set_retry_after(Some("3"));
 
-    let (asked, served) = load(&sites, PAUSE).await;
+    let (asked, served) = run_load(&sites, PAUSE).await;
 
     println!("{:?}", unavailable_sends(&sites[0]));
     assert_eq!(arrivals_in_pause(&paused, from), 0, "of {asked} requests");
     assert_eq!(served, asked);
-    paused.ask_for_pause(None);
+    paused.set_retry_after(None);
     sleep(Duration::from_millis(200)).await;
     let from = Instant::now();
-    load(&sites, Duration::from_secs(1)).await;
-    assert!(!arrivals(&paused, from).is_empty(), "it is not used again");
+    run_load(&sites, Duration::from_secs(1)).await;
+    assert!(!arrival_times(&paused, from).is_empty(), "it is not used again");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn where_all_servers_drain_they_serve_for_half_of_the_drain_time_and_get_nothing_later() {
     let servers = [busy("i-0").await, busy("i-1").await, busy("i-2").await];
-    let pool = pool_of(&servers.each_ref()).await;
+    let pool = start_pool(&servers.each_ref()).await;
     let site = Site::with(pool.store.clone(), |host| host.drain_time = 2 * LAST_RESORT).await;
     site.until_in_view(servers.len()).await;
     let sites = [Arc::new(site)];
-    servers.iter().for_each(Server::drain);
-    let (asked, served) = load(&sites, Duration::from_millis(700)).await;
+    servers.iter().for_each(Server::announce_draining);
+    let (asked, served) = run_load(&sites, Duration::from_millis(700)).await;
     assert_eq!(served, asked);
 
     sleep(LAST_RESORT).await;
     let from = Instant::now();
-    let answers = answers_under_load(&sites, Duration::from_secs(1)).await;
+    let answers = responses_under_load(&sites, Duration::from_secs(1)).await;
 
-    let later: usize = servers.iter().map(|server| arrivals(server, from).len()).sum();
+    let later: usize = servers.iter().map(|server| arrival_times(server, from).len()).sum();
     assert_eq!(later, 0, "of {} requests", answers.len());
     for (answer, took) in &answers {
         assert_eq!(answer.status, 503, "{answer:?}");
@@ -124,9 +124,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_row_that_lapses_and_returns_for_the_same_life_ends_neither_draining_nor_a_pause() {
     let (pool, sites, [draining, paused, _]) = three_servers().await;
-    draining.drain();
-    paused.ask_for_pause(Some("60"));
-    load(&sites, Duration::from_millis(300)).await;
+    draining.announce_draining();
+    paused.set_retry_after(Some("60"));
+    run_load(&sites, Duration::from_millis(300)).await;
     until("both are known", || knows_both(&sites[0], &draining, &paused)).await;
 
     for server in [&draining, &paused] {
@@ -139,56 +139,56 @@
     sites[0].until_in_view(3).await;
     sleep(ON_THEIR_WAY).await;
     let from = Instant::now();
-    let (asked, served) = load(&sites, Duration::from_secs(2)).await;
+    let (asked, served) = run_load(&sites, Duration::from_secs(2)).await;
 
-    assert_eq!(arrivals(&draining, from).len(), 0, "of {asked} requests");
-    assert_eq!(arrivals(&paused, from).len(), 0, "of {asked} requests");
+    assert_eq!(arrival_times(&draining, from).len(), 0, "of {asked} requests");
+    assert_eq!(arrival_times(&paused, from).len(), 0, "of {asked} requests");
     assert_eq!(served, asked);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_whose_address_another_one_has_is_not_asked_again_when_its_row_returns() {
-    let (replaced, healthy) = (always("i-0", Act::OtherServer).await, busy("i-1").await);
-    let pool = pool_of(&[&replaced, &healthy]).await;
-    let sites = pool.entries_apart(1).await;
-    load(&sites, Duration::from_millis(300)).await;
-    assert!(!replaced.seen().is_empty());
+    let (replaced, healthy) = (always("i-0", Action::Misrouted).await, busy("i-1").await);
+    let pool = start_pool(&[&replaced, &healthy]).await;
+    let sites = pool.start_isolated_entries(1).await;
+    run_load(&sites, Duration::from_millis(300)).await;
+    assert!(!replaced.requests().is_empty());
 
     pool.store.remove("servers", &replaced.id);
     sites[0].until_in_view(1).await;
     list_life(&pool.store, &replaced, "llm", 1_000);
     sites[0].until_in_view(2).await;
     let from = Instant::now();
-    load(&sites, Duration::from_secs(1)).await;
+    run_load(&sites, Duration::from_secs(1)).await;
 
-    assert_eq!(arrivals(&replaced, from).len(), 0);
+    assert_eq!(arrival_times(&replaced, from).len(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn what_servers_announce_holds_while_the_store_is_away() {
     let (pool, sites, [draining, paused, _]) = three_servers().await;
     pool.store.set_fault(Fault::Down);
-    draining.drain();
-    paused.ask_for_pause(Some("60"));
-    load(&sites, Duration::from_millis(300)).await;
+    draining.announce_draining();
+    paused.set_retry_after(Some("60"));
+    run_load(&sites, Duration::from_millis(300)).await;
     until("both are known", || knows_both(&sites[0], &draining, &paused)).await;
 
     let from = Instant::now();
-    let (asked, served) = load(&sites, Duration::from_secs(2)).await;
+    let (asked, served) = run_load(&sites, Duration::from_secs(2)).await;
 
-    assert_eq!(arrivals(&draining, from).len(), 0, "of {asked} requests");
-    assert_eq!(arrivals(&paused, from).len(), 0, "of {asked} requests");
+    assert_eq!(arrival_times(&draining, from).len(), 0, "of {asked} requests");
+    assert_eq!(arrival_times(&paused, from).len(), 0, "of {asked} requests");
     assert_eq!(served, asked);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_new_life_of_a_server_neither_drains_nor_pauses() {
     let (pool, sites, [draining, paused, _]) = three_servers().await;
-    draining.drain();
-    paused.ask_for_pause(Some("60"));
-    load(&sites, Duration::from_millis(300)).await;
-    draining.announce(&[]);
-    paused.ask_for_pause(None);
+    draining.announce_draining();
+    paused.set_retry_after(Some("60"));
+    run_load(&sites, Duration::from_millis(300)).await;
+    draining.set_extra_headers(&[]);
+    paused.set_retry_after(None);
 
     list_life(&pool.store, &draining, "llm", 2_000);
     list_life(&pool.store, &paused, "llm", 2_000);
@@ -199,59 +199,60 @@
     .await;
 
     let from = Instant::now();
-    load(&sites, Duration::from_secs(1)).await;
-    assert!(!arrivals(&draining, from).is_empty());
-    assert!(!arrivals(&paused, from).is_empty());
+    run_load(&sites, Duration::from_secs(1)).await;
+    assert!(!arrival_times(&draining, from).is_empty());
+    assert!(!arrival_times(&paused, from).is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_pause_ends_while_the_host_is_suspended() {
     let (_pool, sites, [paused, ..]) = three_servers().await;
-    paused.ask_for_pause(Some("60"));
-    load(&sites, Duration::from_millis(300)).await;
-    paused.ask_for_pause(None);
+    paused.set_retry_after(Some("60"));
+    run_load(&sites, Duration::from_millis(300)).await;
+    paused.set_retry_after(None);
     assert_ne!(dump_of(&sites[0], &paused)["paused_ms"], 0);
 
     sites[0].entry.router.clock.simulate_suspension(Duration::from_secs(60));
 
     let from = Instant::now();
-    load(&sites, Duration::from_secs(1)).await;
-    assert!(!arrivals(&paused, from).is_empty());
+    run_load(&sites, Duration::from_secs(1)).await;
+    assert!(!arrival_times(&paused, from).is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn retries_resumed_streams_and_larger_models_keep_away_from_such_servers() {
-    let (draining, paused, flaky) = (busy("i-0").await, busy("i-1").await, flaky("i-2").await);
-    let pool = pool_of(&[&draining, &paused, &flaky]).await;
-    let sites = pool.entries_apart(1).await;
-    load(&sites, Duration::from_millis(300)).await;
-    draining.drain();
-    paused.ask_for_pause(Some("60"));
-    load(&sites, Duration::from_millis(300)).await;
+    let (draining, paused, flaky) =
+        (busy("i-0").await, busy("i-1").await, flaky_server("i-2").await);
+    let pool = start_pool(&[&draining, &paused, &flaky]).await;
+    let sites = pool.start_isolated_entries(1).await;
+    run_load(&sites, Duration::from_millis(300)).await;
+    draining.announce_draining();
+    paused.set_retry_after(Some("60"));
+    run_load(&sites, Duration::from_millis(300)).await;
     until("both are known", || knows_both(&sites[0], &draining, &paused)).await;
 
     // Until then the draining server may serve what the flaky one did not.
     sleep(sites[0].entry.router.settings.load().drain_time / 2 + ON_THEIR_WAY).await;
     let from = Instant::now();
-    load(&sites, Duration::from_secs(2)).await;
+    run_load(&sites, Duration::from_secs(2)).await;
 
-    let is_resumed = |seen: &Seen| !seen.header("last-event-id").is_empty();
-    assert!(flaky.seen().iter().any(is_resumed), "no stream was resumed");
-    assert_eq!(arrivals(&draining, from).len(), 0);
-    assert_eq!(arrivals(&paused, from).len(), 0);
+    let is_resumed = |request: &ReceivedRequest| !request.header("last-event-id").is_empty();
+    assert!(flaky.requests().iter().any(is_resumed), "no stream was resumed");
+    assert_eq!(arrival_times(&draining, from).len(), 0);
+    assert_eq!(arrival_times(&paused, from).len(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn what_is_announced_in_an_answer_of_another_server_is_not_believed() {
-    for act in [Act::Unsigned, Act::WrongId, Act::Encoded, Act::OtherServer] {
+    for act in [Action::Unsigned, Action::WrongRequestId, Action::Gzip, Action::Misrouted] {
         let (other, healthy) = (always("i-0", act.clone()).await, busy("i-1").await);
-        let pool = pool_of(&[&other, &healthy]).await;
-        let sites = pool.entries_apart(1).await;
-        other.announce(&["Server-Leaving: 1", "Retry-After: 60"]);
+        let pool = start_pool(&[&other, &healthy]).await;
+        let sites = pool.start_isolated_entries(1).await;
+        other.set_extra_headers(&["Server-Leaving: 1", "Retry-After: 60"]);
 
-        load(&sites, Duration::from_millis(500)).await;
+        run_load(&sites, Duration::from_millis(500)).await;
 
-        assert!(!other.seen().is_empty());
+        assert!(!other.requests().is_empty());
         let dumped = dump_of(&sites[0], &other);
         assert!(dumped["draining_ms"].is_null(), "{act:?}");
         assert_eq!(dumped["paused_ms"], 0, "{act:?}");
@@ -262,8 +263,8 @@
 async fn a_pause_that_cant_be_read_changes_nothing() {
     let (_pool, sites, [server, ..]) = three_servers().await;
     for junk in ["soon", "-3", "NaN", ""] {
-        server.ask_for_pause(Some(junk));
-        let (asked, served) = load(&sites, Duration::from_millis(300)).await;
+        server.set_retry_after(Some(junk));
+        let (asked, served) = run_load(&sites, Duration::from_millis(300)).await;
         assert_eq!(served, asked, "{junk}");
         assert_eq!(dump_of(&sites[0], &server)["paused_ms"], 0, "{junk}");
     }
@@ -273,13 +274,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_exits_after_a_drain_notice_in_an_answer_is_not_taken_for_crashed() {
     let (leaving, other) = (busy("i-0").await, busy("i-1").await);
-    let pool = pool_of(&[&leaving, &other]).await;
-    let sites = pool.entries_apart(1).await;
-    leaving.drain();
-    let work = load(&sites, Duration::from_millis(600));
+    let pool = start_pool(&[&leaving, &other]).await;
+    let sites = pool.start_isolated_entries(1).await;
+    leaving.announce_draining();
+    let work = run_load(&sites, Duration::from_millis(600));
     let exit = async {
         sleep(Duration::from_millis(400)).await;
-        assert!(leaving.at_work() > 0);
+        assert!(leaving.active_requests() > 0);
         leaving.crash();
     };
 
@@ -292,9 +293,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_header_that_nothing_reads_shows_in_the_metrics() {
     let (_pool, sites, [server, ..]) = three_servers().await;
-    server.announce(&["Server-Mood: grim"]);
+    server.set_extra_headers(&["Server-Mood: grim"]);
 
-    load(&sites, Duration::from_millis(300)).await;
+    run_load(&sites, Duration::from_millis(300)).await;
 
     let text = sites[0].entry.router.metrics.render();
     assert!(text.contains("mintmoor_unread_headers_total{name=\"server-mood\"}"), "{text}");
@@ -304,9 +305,9 @@
 async fn where_all_servers_asked_for_a_pause_requests_are_rejected_without_sending_them() {
     let (_pool, sites, servers) = three_servers().await;
     let from = Instant::now();
-    servers.iter().for_each(|server| server.ask_for_pause(Some("3")));
+    servers.iter().for_each(|server| server.set_retry_after(Some("3")));
 
-    let answers = answers_under_load(&sites, PAUSE).await;
+    let answers = responses_under_load(&sites, PAUSE).await;
 
     println!("{:?}", unavailable_sends(&sites[0]));
     let in_pause: Vec<usize> = servers.iter().map(|s| arrivals_in_pause(s, from)).collect();
@@ -329,5 +330,5 @@
     let answer = site.ask("POST", "/chat/a", "X-Model: small\r\n").await;
 
     assert_eq!(answer.status, 503);
-    assert!(draining.seen().is_empty());
+    assert!(draining.requests().is_empty());
 }
--- a/tests/soak/system.rs
+++ b/tests/soak/system.rs
@@ -26,7 +26,7 @@
     fleet::{Entry, host_of},
     proxy::Proxy,
     record::{CONTACT, CRASHING, EVENTS, NEW, OLD, Ordered, ROLLED_OUT, RateLimited, Record, Run},
-    server::{Act, Seen, Server},
+    server::{Action, ReceivedRequest, Server},
     site::{configuration, server_row},
     store::Store,
     unavailable::{RETRY_AFTER, Rejection, be_unavailable},
@@ -95,10 +95,10 @@
     async fn live_again(&self, store: &Store) {
         let mut life = 0;
         loop {
-            self.server.until_ended(life).await;
+            self.server.wait_until_terminated(life).await;
             self.end_limit();
             sleep(DOWN).await;
-            life = self.server.start_again();
+            life = self.server.restart();
             // Whatever else is done to its row comes after.
             let _alone = self.row.lock().await;
             self.start_again(store);
@@ -123,7 +123,7 @@
 
     /// Announces in its answers that it is draining.
     pub fn drain(&self) {
-        self.server.drain();
+        self.server.announce_draining();
     }
 
     /// Ends its life after it has drained.
@@ -139,7 +139,7 @@
     /// Starts again under its id: what it ran is lost, and it neither advertises a limit nor drains.
     pub fn start_again(&self, store: &Store) {
         self.end_limit();
-        self.server.announce(&[]);
+        self.server.set_extra_headers(&[]);
         *self.started.lock().unwrap() = Instant::now();
         self.born.fetch_add(1_000, Ordering::SeqCst);
         self.list(store, "ready");
@@ -242,30 +242,33 @@
     let rng = std::sync::Mutex::new(ChaCha8Rng::seed_from_u64(seed ^ number as u64));
     let rejects = Arc::new(AtomicBool::default());
     let is_rejecting = rejects.clone();
-    let script = move |seen: &Seen| {
-        record.arrivals.lock().unwrap().push((server_id.clone(), seen.at));
+    let script = move |request: &ReceivedRequest| {
+        record.arrivals.lock().unwrap().push((server_id.clone(), request.received_at));
         if is_rejecting.load(Ordering::SeqCst) {
-            let id = seen.header("x-request-id").into();
-            let rejection = Rejection { server: server_id.clone(), id, at: seen.at };
+            let id = request.header("x-request-id").into();
+            let rejection = Rejection { server: server_id.clone(), id, at: request.received_at };
             record.rejections.lock().unwrap().push(rejection);
-            return Act::Pause { retry_after: RETRY_AFTER.into() };
+            return Action::NotExecutedRetryAfter { retry_after: RETRY_AFTER.into() };
         }
-        let body = String::from_utf8_lossy(&seen.body);
+        let body = String::from_utf8_lossy(&request.body);
         let crashing = body.starts_with(CRASHING).then(|| body.into_owned());
         let act = match crashing {
-            Some(_) => Act::Crash { has_begun: true },
-            None if version == NEW => Act::Echo { after: GOOD_TAKES },
+            Some(_) => Action::Crash { after_head: true },
+            None if version == NEW => Action::EchoIdAfter { delay: GOOD_TAKES },
             None => draw_act(&mut rng.lock().unwrap(), service),
         };
-        if !matches!(act, Act::Shed) {
+        if !matches!(act, Action::NotExecuted) {
             let run = Run {
-                id: seen.header("x-request-id").into(),
-                session: seen.header("session").into(),
+                id: request.header("x-request-id").into(),
+                session: request.header("session").into(),
                 server: server_id.clone(),
                 service,
                 version,
                 at: Instant::now(),
-                breaks: matches!(act, Act::Stream { is_whole: false, .. } | Act::Crash { .. }),
+                breaks: matches!(
+                    act,
+                    Action::Stream { is_complete: false, .. } | Action::Crash { .. }
+                ),
                 crashing,
             };
             record.runs.lock().unwrap().push(run);
@@ -299,17 +302,19 @@
 const GOOD_TAKES: Duration = Duration::from_millis(20);
 
 /// What a server does with a request: mostly what it should.
-fn draw_act(rng: &mut ChaCha8Rng, service: &str) -> Act {
+fn draw_act(rng: &mut ChaCha8Rng, service: &str) -> Action {
     let draw = rng.random_range(0..100);
     if draw < 3 {
-        return Act::Shed;
+        return Action::NotExecuted;
     }
     match service {
-        "app" if draw < 6 => Act::Answer { status: 500, body: "failed" },
-        "app" => Act::Echo { after: Duration::from_millis(rng.random_range(1..60)) },
-        _ if draw < 6 => Act::Stream { to: EVENTS / 2, is_whole: false, confidence: 90 },
-        _ if draw < 20 => Act::Stream { to: EVENTS, is_whole: true, confidence: 10 },
-        _ => Act::Stream { to: EVENTS, is_whole: true, confidence: 90 },
+        "app" if draw < 6 => Action::Respond { status: 500, body: "failed" },
+        "app" => Action::EchoIdAfter { delay: Duration::from_millis(rng.random_range(1..60)) },
+        _ if draw < 6 => {
+            Action::Stream { last_event: EVENTS / 2, is_complete: false, confidence: 90 }
+        }
+        _ if draw < 20 => Action::Stream { last_event: EVENTS, is_complete: true, confidence: 10 },
+        _ => Action::Stream { last_event: EVENTS, is_complete: true, confidence: 90 },
     }
 }
 
