--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -1,12 +1,12 @@
 //! An entry on the users' platform, against small stand-ins of its store and its servers.
 
 mod adapter;
+mod allowed_regions;
 mod cold;
 mod crashes;
 mod evacuations;
-mod homes;
+mod host_suspension;
 mod limited_pool;
-mod lives;
 mod news;
 mod peers;
 mod pool;
@@ -16,10 +16,10 @@
 mod roll_outs;
 mod rows;
 mod server;
+mod server_restarts;
 mod sessions;
 mod site;
-mod state;
 mod store;
+mod store_updates;
 mod streams;
-mod suspended;
-mod unavailable;
+mod unavailable_servers;
