--- a/tests/platform/adapter.rs
+++ b/tests/platform/adapter.rs
@@ -18,19 +18,19 @@
 
 use crate::store::{Fault, Store};
 
-type Pairs<'a> = &'a [(&'static str, &'a str)];
+type HeaderPairs<'a> = &'a [(&'static str, &'a str)];
 
-fn headers(pairs: Pairs<'_>) -> HeaderMap {
+fn headers(pairs: HeaderPairs<'_>) -> HeaderMap {
     pairs.iter().map(|(name, value)| (name.parse().unwrap(), value.parse().unwrap())).collect()
 }
 
-fn get(pairs: Pairs<'_>) -> Result<mintmoor::routing::RequestHead, HeadError> {
+fn parse_get(pairs: HeaderPairs<'_>) -> Result<mintmoor::routing::RequestHead, HeadError> {
     parse_request_head(&Method::GET, &Uri::from_static("/a/b?c"), &headers(pairs))
 }
 
 #[test]
-fn a_request_head_is_read_whole() {
-    let head = get(&[
+fn all_fields_of_a_request_head_are_parsed() {
+    let head = parse_get(&[
         ("host", "h.example:80"),
         ("x-request-id", "r1"),
         ("authorization", "Bearer k"),
@@ -55,8 +55,8 @@
 }
 
 #[test]
-fn what_is_ours_to_set_is_not_taken_from_callers() {
-    let forged = [
+fn headers_reserved_for_the_router_are_removed_from_requests() {
+    let reserved = [
         "x-tenant",
         "x-expect-instance",
         "x-hold",
@@ -73,18 +73,18 @@
         "upgrade",
     ];
     let mut pairs = vec![("host", "h"), ("x-request-id", "r"), ("x-kept", "1")];
-    pairs.extend(forged.iter().map(|name| (*name, "x-dropped")));
+    pairs.extend(reserved.iter().map(|name| (*name, "x-dropped")));
     pairs.push(("x-dropped", "1"));
 
-    let head = get(&pairs).unwrap();
+    let head = parse_get(&pairs).unwrap();
 
-    let passed: Vec<&str> = head.headers.keys().map(|name| name.as_str()).collect();
-    assert_eq!(passed, ["host", "x-request-id", "x-kept"]);
+    let forwarded: Vec<&str> = head.headers.keys().map(|name| name.as_str()).collect();
+    assert_eq!(forwarded, ["host", "x-request-id", "x-kept"]);
 }
 
 #[test]
-fn an_attempt_names_its_server_its_time_and_its_organisation() {
-    let head = get(&[("host", "h"), ("x-request-id", "r"), ("x-model", "*")]).unwrap();
+fn attempt_headers_carry_server_deadline_and_organisation() {
+    let head = parse_get(&[("host", "h"), ("x-request-id", "r"), ("x-model", "*")]).unwrap();
     let organisation =
         Organisation { name: "org".into(), priority: None, permitted_regions: Vec::new() };
     let attempt = AttemptHeaders {
@@ -108,31 +108,31 @@
 }
 
 #[test]
-fn two_lengths_and_missing_names_are_refused() {
-    let both = [
+fn an_ambiguous_length_and_missing_headers_are_rejected() {
+    let conflicting = [
         ("host", "h"),
         ("x-request-id", "r"),
         ("content-length", "3"),
         ("transfer-encoding", "chunked"),
     ];
-    assert_eq!(get(&both).unwrap_err(), HeadError::AmbiguousLength);
-    assert_eq!(get(&[("host", "h")]).unwrap_err(), HeadError::MissingId);
-    assert_eq!(get(&[("x-request-id", "r")]).unwrap_err(), HeadError::MissingHost);
+    assert_eq!(parse_get(&conflicting).unwrap_err(), HeadError::AmbiguousLength);
+    assert_eq!(parse_get(&[("host", "h")]).unwrap_err(), HeadError::MissingId);
+    assert_eq!(parse_get(&[("x-request-id", "r")]).unwrap_err(), HeadError::MissingHost);
 }
 
 #[test]
-fn an_answer_proves_no_more_than_it_says() {
+fn response_heads_are_classified_by_status_and_signature() {
     let signed = ("x-instance-stamp", "s");
-    let ours = ("x-request-id", "r");
-    let cases: [(u16, Pairs, ResponseKind); 8] = [
-        (200, &[signed, ours], ResponseKind::Success),
-        (500, &[signed, ours], ResponseKind::Failure),
+    let matching_id = ("x-request-id", "r");
+    let cases: [(u16, HeaderPairs, ResponseKind); 8] = [
+        (200, &[signed, matching_id], ResponseKind::Success),
+        (500, &[signed, matching_id], ResponseKind::Failure),
         (503, &[("x-not-executed", "1")], ResponseKind::NotRun),
-        (503, &[signed, ours], ResponseKind::Failure),
+        (503, &[signed, matching_id], ResponseKind::Failure),
         (421, &[], ResponseKind::WrongServer),
-        (200, &[ours], ResponseKind::Unsigned),
+        (200, &[matching_id], ResponseKind::Unsigned),
         (200, &[signed, ("x-request-id", "other")], ResponseKind::WrongRequest),
-        (200, &[signed, ours, ("content-encoding", "gzip")], ResponseKind::Unsigned),
+        (200, &[signed, matching_id, ("content-encoding", "gzip")], ResponseKind::Unsigned),
     ];
     for (status, pairs, kind) in cases {
         let status = StatusCode::from_u16(status).unwrap();
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_header_that_the_adapter_does_not_know_is_named() {
+fn unknown_response_headers_are_reported() {
     let known = headers(&[
         ("x-request-id", "r"),
         ("x-instance-stamp", "s"),
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_drain_notice_and_a_pause_are_read() {
+fn a_draining_notice_and_retry_after_are_parsed() {
     let read = |pairs| parse_response_head(StatusCode::SERVICE_UNAVAILABLE, &headers(pairs), "r");
     let draining = |pairs| read(pairs).is_draining;
     assert!(!draining(&[]));
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn only_known_kinds_of_orders_are_read() {
+fn unknown_order_kinds_are_reported() {
     for known in ["config", "rollout/app", "evacuate/zone-a"] {
         assert_eq!(unknown_row_kind(known), None);
     }
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn the_limit_that_an_answer_names_is_read() {
+fn the_advertised_rate_limit_is_parsed() {
     let cases: [(&[&str], AdvertisedLimit); 11] = [
         (&[], AdvertisedLimit::Nothing),
         (&["1.9"], AdvertisedLimit::Rate(1.9)),
@@ -210,14 +210,14 @@
         (&["NaN"], AdvertisedLimit::Unreadable),
         (&["inf"], AdvertisedLimit::Unreadable),
     ];
-    for (lines, wanted) in cases {
-        let mut named = HeaderMap::new();
+    for (lines, expected) in cases {
+        let mut header_map = HeaderMap::new();
         lines.iter().for_each(|line| {
-            named.append("server-limit", line.parse().unwrap());
+            header_map.append("server-limit", line.parse().unwrap());
         });
         assert_eq!(
-            parse_response_head(StatusCode::OK, &named, "r").rate_limit,
-            wanted,
+            parse_response_head(StatusCode::OK, &header_map, "r").rate_limit,
+            expected,
             "{lines:?}"
         );
     }
@@ -241,7 +241,7 @@
 "#;
 
 #[test]
-fn the_platforms_settings_are_read_and_unknown_fields_ignored() {
+fn host_settings_are_parsed_and_unknown_fields_ignored() {
     let settings = host_settings::parse(SETTINGS).unwrap();
 
     assert_eq!((&*settings.host, &*settings.zone), ("edge-a-1", "a"));
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn all_problems_of_the_platforms_settings_are_told_at_once() {
+fn all_problems_in_host_settings_are_reported_together() {
     let text = SETTINGS.replace("10.1.0.40:8227", "nowhere").replace("address", "adress");
 
     let error = host_settings::parse(&text).unwrap_err().to_string();
@@ -263,7 +263,7 @@
 }
 
 #[tokio::test]
-async fn a_write_takes_effect_only_under_its_condition() {
+async fn a_write_succeeds_only_if_the_row_has_the_expected_version() {
     let store = Store::start().await;
     let client = StoreClient::new(HttpClient::default(), &store.address.to_string());
     let put =
@@ -278,7 +278,7 @@
 }
 
 #[tokio::test]
-async fn a_refused_call_is_told_from_one_that_may_have_taken_effect() {
+async fn a_refused_write_is_distinguished_from_one_that_may_have_succeeded() {
     use mintmoor::platform::Error;
     let store = Store::start().await;
     let client = StoreClient::new(HttpClient::default(), &store.address.to_string());
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn names_of_the_platform_stay_in_its_folder() {
+fn platform_names_appear_only_in_src_platform() {
     // Headers, calls and fields that nothing but the adapter may know.
     const NAMES: [&str; 19] = [
         "x-deadline-ms",
--- a/tests/platform/allowed_regions.rs
+++ b/tests/platform/allowed_regions.rs
@@ -8,13 +8,13 @@
     store::Store,
 };
 
-const GOOD: Action = Action::Respond { status: 200, body: "good" };
+const SUCCESS: Action = Action::Respond { status: 200, body: "good" };
 const REGIONS: [&str; 3] = ["north", "south", "west"];
 
 /// A site with a server in each region, an entry in the first, and this change of the configuration.
-async fn site(
+async fn start_site(
     service: &str,
-    acts: [Action; 3],
+    actions: [Action; 3],
     change: impl Fn(&mut Value),
 ) -> (Site, Vec<Server>) {
     let store = Store::start().await;
@@ -22,8 +22,8 @@
     change(&mut config);
     store.put("op", "config", &config);
     let mut servers = Vec::new();
-    for (region, act) in REGIONS.iter().zip(acts) {
-        let server = always(&format!("i-{region}"), act).await;
+    for (region, action) in REGIONS.iter().zip(actions) {
+        let server = always(&format!("i-{region}"), action).await;
         let mut row = server_row(server.address, service, "v1", "ready");
         row["zone"] = json!(format!("{region}-1"));
         store.put("servers", &server.id, &row);
@@ -39,73 +39,75 @@
     (site, servers)
 }
 
-fn seen(servers: &[Server]) -> Vec<bool> {
+fn received_any(servers: &[Server]) -> Vec<bool> {
     servers.iter().map(|server| !server.requests().is_empty()).collect()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_route_with_homes_stays_there() {
-    let home =
+async fn a_route_with_allowed_regions_uses_only_those() {
+    let allowed =
         |config: &mut Value| config["routes"][0]["allowed-regions"] = json!(["south", "west"]);
-    let (site, servers) = site("app", [GOOD, GOOD, GOOD], home).await;
+    let (site, servers) = start_site("app", [SUCCESS, SUCCESS, SUCCESS], allowed).await;
 
     for number in 0..20 {
         assert_eq!(site.ask("GET", &format!("/safe/{number}"), "").await.status, 200);
     }
 
-    assert_eq!(seen(&servers), [false, true, true]);
+    assert_eq!(received_any(&servers), [false, true, true]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn where_route_and_organisation_have_homes_both_bind() {
-    let homes = |config: &mut Value| {
+async fn allowed_regions_of_route_and_organisation_both_apply() {
+    let allowed = |config: &mut Value| {
         config["routes"][0]["allowed-regions"] = json!(["south", "west"]);
         config["tenants"][0]["allowed-regions"] = json!(["north", "west"]);
     };
-    let (site, servers) = site("app", [GOOD, GOOD, GOOD], homes).await;
+    let (site, servers) = start_site("app", [SUCCESS, SUCCESS, SUCCESS], allowed).await;
 
     for number in 0..20 {
         assert_eq!(site.ask("GET", &format!("/safe/{number}"), "").await.status, 200);
     }
 
-    assert_eq!(seen(&servers), [false, false, true]);
+    assert_eq!(received_any(&servers), [false, false, true]);
 }
 
 /// Its only home fails: no retry leaves it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_retry_stays_at_home() {
-    let home = |config: &mut Value| config["routes"][0]["allowed-regions"] = json!(["south"]);
-    let (site, servers) = site("app", [GOOD, Action::CloseConnection, GOOD], home).await;
+async fn a_retry_stays_in_the_allowed_region() {
+    let allowed = |config: &mut Value| config["routes"][0]["allowed-regions"] = json!(["south"]);
+    let (site, servers) =
+        start_site("app", [SUCCESS, Action::CloseConnection, SUCCESS], allowed).await;
 
     assert_eq!(site.ask("GET", "/safe/a", "").await.status, 502);
 
-    assert_eq!(seen(&servers), [false, true, false]);
+    assert_eq!(received_any(&servers), [false, true, false]);
 }
 
 /// Neither does the rest of a stream that broke off, nor the larger model.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_resumed_stream_and_a_larger_model_stay_at_home() {
-    let home = |config: &mut Value| config["tenants"][0]["allowed-regions"] = json!(["south"]);
-    let good = Action::Stream { last_event: 6, is_complete: true, confidence: 90 };
-    let broken = Action::Stream { last_event: 2, is_complete: false, confidence: 90 };
-    let unsure = Action::Stream { last_event: 6, is_complete: true, confidence: 10 };
-    for act in [broken, unsure] {
-        let (site, servers) = site("llm", [good.clone(), act, good.clone()], home).await;
+async fn resumed_streams_and_escalations_stay_in_the_allowed_region() {
+    let allowed = |config: &mut Value| config["tenants"][0]["allowed-regions"] = json!(["south"]);
+    let complete = Action::Stream { last_event: 6, is_complete: true, confidence: 90 };
+    let truncated = Action::Stream { last_event: 2, is_complete: false, confidence: 90 };
+    let unconfident = Action::Stream { last_event: 6, is_complete: true, confidence: 10 };
+    for action in [truncated, unconfident] {
+        let (site, servers) =
+            start_site("llm", [complete.clone(), action, complete.clone()], allowed).await;
 
         let answer = site.ask("POST", "/chat/a", "").await;
 
-        assert_eq!(seen(&servers), [false, true, false]);
+        assert_eq!(received_any(&servers), [false, true, false]);
         assert!(events(6).starts_with(&answer.body));
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_has_no_server_at_home_is_refused_at_once() {
-    let home = |config: &mut Value| config["routes"][0]["allowed-regions"] = json!(["nowhere"]);
-    let (site, servers) = site("app", [GOOD, GOOD, GOOD], home).await;
+async fn a_request_without_a_server_in_an_allowed_region_is_refused() {
+    let allowed = |config: &mut Value| config["routes"][0]["allowed-regions"] = json!(["nowhere"]);
+    let (site, servers) = start_site("app", [SUCCESS, SUCCESS, SUCCESS], allowed).await;
 
     let answer = site.ask("GET", "/safe/a", "").await;
 
     assert_eq!(answer.status, 503);
-    assert_eq!(seen(&servers), [false, false, false]);
+    assert_eq!(received_any(&servers), [false, false, false]);
 }
--- a/tests/platform/host_suspension.rs
+++ b/tests/platform/host_suspension.rs
@@ -11,52 +11,52 @@
     site::{Site, always, first_then, list, store_with, until},
 };
 
-const GOOD: Action = Action::Respond { status: 200, body: "good" };
+const SUCCESS: Action = Action::Respond { status: 200, body: "good" };
 /// Longer than callers here wait, five seconds.
-const LONG: Duration = Duration::from_secs(20);
+const SUSPENSION: Duration = Duration::from_secs(20);
 
 #[tokio::test]
-async fn a_clock_goes_on_while_the_host_is_suspended() {
+async fn the_clock_includes_the_time_of_a_suspension() {
     let clock = Clock::starting_at(Duration::ZERO);
     assert_eq!(clock.detect_suspension(), None);
 
-    clock.simulate_suspension(LONG);
+    clock.simulate_suspension(SUSPENSION);
 
-    assert!(clock.now() >= LONG);
+    assert!(clock.now() >= SUSPENSION);
     // Both clocks are read one after the other.
-    let noticed = clock.detect_suspension().expect("it is noticed");
-    assert!(noticed.abs_diff(LONG) < Duration::from_millis(100), "{noticed:?}");
-    assert!(clock.last_resumed_at() >= LONG);
+    let detected = clock.detect_suspension().expect("it is noticed");
+    assert!(detected.abs_diff(SUSPENSION) < Duration::from_millis(100), "{detected:?}");
+    assert!(clock.last_resumed_at() >= SUSPENSION);
     assert_eq!(clock.detect_suspension(), None, "it is told once");
 }
 
 #[tokio::test]
-async fn a_wait_ends_whose_moment_passed_while_the_host_was_suspended() {
+async fn a_timeout_that_expired_during_a_suspension_fires_on_resume() {
     let clock = Arc::new(Clock::starting_at(Duration::ZERO));
     let waiting = clock.clone();
     let began = Instant::now();
     let never = std::future::pending::<()>();
-    let wait = tokio::spawn(async move { waiting.timeout_at(LONG, never).await });
+    let wait = tokio::spawn(async move { waiting.timeout_at(SUSPENSION, never).await });
     tokio::task::yield_now().await;
 
-    clock.simulate_suspension(LONG);
+    clock.simulate_suspension(SUSPENSION);
     clock.detect_suspension();
 
     assert_eq!(wait.await.unwrap(), None);
-    assert!(began.elapsed() < LONG / 2);
+    assert!(began.elapsed() < SUSPENSION / 2);
 }
 
 /// An answer that came while the Host was suspended is delivered, also late.
 #[tokio::test]
-async fn what_is_ready_when_the_host_resumes_is_taken() {
+async fn a_result_that_is_ready_on_resume_is_returned_although_its_timeout_expired() {
     let clock = Clock::starting_at(Duration::ZERO);
-    clock.simulate_suspension(LONG);
+    clock.simulate_suspension(SUSPENSION);
 
     assert_eq!(clock.timeout_at(Duration::from_secs(1), std::future::ready(1)).await, Some(1));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_whose_time_passed_meanwhile_ends_at_once() {
+async fn a_request_whose_deadline_passed_during_a_suspension_fails_at_once() {
     let server = always("i-1", Action::Hang).await;
     let site = Arc::new(Site::start(&[(&server, "llm", "v1")]).await);
     let asking = site.clone();
@@ -64,7 +64,7 @@
     let asked = tokio::spawn(async move { asking.ask("POST", "/plain/a", "").await });
     until("it is there", || server.requests().len() == 1).await;
 
-    site.entry.router.clock.simulate_suspension(LONG);
+    site.entry.router.clock.simulate_suspension(SUSPENSION);
     let answer = asked.await.unwrap();
 
     assert_eq!(answer.status, 504);
@@ -73,64 +73,64 @@
 
 /// Callers' requests have five seconds here.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_is_told_the_time_that_is_left_after_a_suspension() {
-    let (dies, serves) = (always("i-1", Action::Hang).await, always("i-2", GOOD).await);
-    let site = Arc::new(Site::start(&[(&dies, "app", "v1")]).await);
+async fn the_forwarded_deadline_excludes_the_time_of_a_suspension() {
+    let (crashing, healthy) = (always("i-1", Action::Hang).await, always("i-2", SUCCESS).await);
+    let site = Arc::new(Site::start(&[(&crashing, "app", "v1")]).await);
     let asking = site.clone();
     let asked = tokio::spawn(async move { asking.ask("GET", "/safe/a", "").await });
-    until("it is there", || dies.requests().len() == 1).await;
-    list(&site.store, &serves, "app", "v1", "ready");
+    until("it is there", || crashing.requests().len() == 1).await;
+    list(&site.store, &healthy, "app", "v1", "ready");
     until("both are in view", || site.entry.router.fleet.load().len() == 2).await;
 
     site.entry.router.clock.simulate_suspension(Duration::from_millis(1_500));
-    dies.crash();
+    crashing.crash();
     let answer = asked.await.unwrap();
 
     assert_eq!(answer.status, 200);
-    let told: u64 = serves.requests()[0].header("x-deadline-ms").parse().unwrap();
+    let forwarded_ms: u64 = healthy.requests()[0].header("x-deadline-ms").parse().unwrap();
     // The route's timeout is 3 s.
-    assert!(told <= 1_500, "{told} ms");
+    assert!(forwarded_ms <= 1_500, "{forwarded_ms} ms");
 }
 
-fn follows(site: &Site) -> bool {
+fn follows_peer(site: &Site) -> bool {
     site.entry.router.dump()["follows_another_entry"] == true
 }
 
 /// Its list is from before: it asks anew, and sends nothing to a server that has left meanwhile.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_list_is_heard_anew_before_a_request_is_sent() {
-    let (stays, leaves) = (always("i-1", GOOD).await, always("i-2", GOOD).await);
+async fn the_server_list_is_refreshed_after_a_suspension_before_requests_are_sent() {
+    let (stays, leaves) = (always("i-1", SUCCESS).await, always("i-2", SUCCESS).await);
     let store = store_with(&[(&stays, "app", "v1"), (&leaves, "app", "v1")]).await;
     let seed = Site::seed(store.clone(), None).await;
     seed.until_in_view(2).await;
     let follower = Site::following(store.clone(), &seed).await;
     follower.until_in_view(2).await;
-    until("it follows", || follows(&follower)).await;
+    until("it follows", || follows_peer(&follower)).await;
 
     for site in [&seed, &follower] {
         // The news has reached nobody yet when the Host resumes.
         list(&store, &leaves, "app", "v1", "draining");
-        site.entry.router.clock.simulate_suspension(LONG);
+        site.entry.router.clock.simulate_suspension(SUSPENSION);
         for i in 0..20 {
             assert_eq!(site.ask("GET", &format!("/safe/{i}"), "").await.status, 200);
         }
         assert_eq!(leaves.requests().len(), 0, "it leaves");
         list(&store, &leaves, "app", "v1", "ready");
-        let takes = || site.entry.router.dump()["servers"].as_array().unwrap().len() == 2;
-        until("it is back", takes).await;
+        let both_in_view = || site.entry.router.dump()["servers"].as_array().unwrap().len() == 2;
+        until("it is back", both_in_view).await;
     }
 }
 
 /// Connections that were idle meanwhile may be closed at the other end.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_once_only_request_takes_no_connection_from_before() {
-    let server: Server = first_then("i-1", GOOD, GOOD).await;
+async fn a_once_only_request_uses_no_idle_connection_from_before_a_suspension() {
+    let server: Server = first_then("i-1", SUCCESS, SUCCESS).await;
     let site = Site::start(&[(&server, "app", "v1")]).await;
     site.ask("POST", "/once/a", "").await;
     let idle = || site.entry.router.dump()["servers"][0]["idle_connections"].clone();
     assert_eq!(idle(), 1);
 
-    site.entry.router.clock.simulate_suspension(LONG);
+    site.entry.router.clock.simulate_suspension(SUSPENSION);
     assert_eq!(site.ask("POST", "/once/b", "").await.status, 200);
 
     assert_eq!(idle(), 1, "the old one was dropped, the new one kept");
--- a/tests/platform/limited_pool.rs
+++ b/tests/platform/limited_pool.rs
@@ -62,22 +62,22 @@
     sites: &[Arc<Site>],
     duration: Duration,
 ) -> Vec<(Answer, Duration)> {
-    let mut asking = JoinSet::new();
-    let until = Instant::now() + duration;
+    let mut requests = JoinSet::new();
+    let end = Instant::now() + duration;
     for (number, site) in sites.iter().cycle().enumerate() {
-        if Instant::now() >= until {
+        if Instant::now() >= end {
             break;
         }
         let site = site.clone();
-        asking.spawn(async move {
+        requests.spawn(async move {
             let id = format!("load-{number}");
-            let asked = Instant::now();
+            let sent_at = Instant::now();
             let req = request_with_id(&id, "POST", "/chat/load", ANY_MODEL_HEADER, &id);
-            (site.send(&req).await, asked.elapsed())
+            (site.send(&req).await, sent_at.elapsed())
         });
         sleep(REQUEST_INTERVAL).await;
     }
-    asking.join_all().await
+    requests.join_all().await
 }
 
 /// When requests reached a server from a time on.
--- a/tests/platform/pool.rs
+++ b/tests/platform/pool.rs
@@ -124,10 +124,10 @@
 
     /// Entries that know of no seed that lives: none hears from another one.
     pub async fn start_isolated_entries(&self, number: usize) -> Vec<Arc<Site>> {
-        let nobody = [free_address()];
+        let unused_seed = [free_address()];
         let mut sites = Vec::new();
         for _ in 0..number {
-            let site = self.start_entry(&nobody, None).await;
+            let site = self.start_entry(&unused_seed, None).await;
             site.until_in_view(self.servers.len()).await;
             sites.push(Arc::new(site));
         }
@@ -147,8 +147,8 @@
 /// An address that nobody listens at, for an entry that others have to know before it starts. It is on a host
 /// address of its own: on the usual one, a connection that is opened meanwhile may be given its port.
 pub fn free_address() -> SocketAddr {
-    static GIVEN: AtomicUsize = AtomicUsize::new(0);
-    let [.., high, low] = GIVEN.fetch_add(1, Ordering::Relaxed).to_be_bytes();
+    static NEXT_HOST: AtomicUsize = AtomicUsize::new(0);
+    let [.., high, low] = NEXT_HOST.fetch_add(1, Ordering::Relaxed).to_be_bytes();
     let host = std::net::Ipv4Addr::new(127, 1, high, low.max(1));
     std::net::TcpListener::bind((host, 0)).unwrap().local_addr().unwrap()
 }
@@ -166,42 +166,42 @@
 
 /// Sends a body on a path under a new id.
 pub async fn post(site: &Site, path: &str, body: &str) -> Answer {
-    static ASKED: AtomicUsize = AtomicUsize::new(0);
-    let id = format!("p-{}", ASKED.fetch_add(1, Ordering::Relaxed));
+    static NEXT_ID: AtomicUsize = AtomicUsize::new(0);
+    let id = format!("p-{}", NEXT_ID.fetch_add(1, Ordering::Relaxed));
     site.send(&request_with_id(&id, "POST", path, "X-Model: small\r\n", body)).await
 }
 
 /// Asks for the crashing request over and over, at one entry after the other, without waiting for
 /// answers.
-pub async fn send_crashing_requests(sites: &[Arc<Site>], path: &'static str, lasts: Duration) {
-    let mut asking = JoinSet::new();
-    let until = Instant::now() + lasts;
+pub async fn send_crashing_requests(sites: &[Arc<Site>], path: &'static str, duration: Duration) {
+    let mut requests = JoinSet::new();
+    let end = Instant::now() + duration;
     for site in sites.iter().cycle() {
-        if Instant::now() >= until {
+        if Instant::now() >= end {
             break;
         }
         let site = site.clone();
-        asking.spawn(async move { post(&site, path, CRASHING_BODY).await });
+        requests.spawn(async move { post(&site, path, CRASHING_BODY).await });
         sleep(Duration::from_millis(60)).await;
     }
-    while asking.join_next().await.is_some() {}
+    while requests.join_next().await.is_some() {}
 }
 
 /// Asks for other requests meanwhile, each of its own; how many were asked and how many served whole.
-pub async fn send_other_requests(sites: &[Arc<Site>], lasts: Duration) -> (usize, usize) {
-    let mut asking = JoinSet::new();
-    let until = Instant::now() + lasts;
+pub async fn send_other_requests(sites: &[Arc<Site>], duration: Duration) -> (usize, usize) {
+    let mut requests = JoinSet::new();
+    let end = Instant::now() + duration;
     for (i, site) in sites.iter().cycle().enumerate() {
-        if Instant::now() >= until {
+        if Instant::now() >= end {
             break;
         }
         let site = site.clone();
-        asking.spawn(async move {
+        requests.spawn(async move {
             let answer = post(&site, "/chat/other", &format!("other {i}")).await;
             answer.status == 200 && answer.is_whole
         });
         sleep(Duration::from_millis(20)).await;
     }
-    let answers = asking.join_all().await;
+    let answers = requests.join_all().await;
     (answers.len(), answers.iter().filter(|is_whole| **is_whole).count())
 }
--- a/tests/platform/rate_limits.rs
+++ b/tests/platform/rate_limits.rs
@@ -21,7 +21,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_names_its_limit_gets_no_more_from_all_entries() {
+async fn all_entries_together_keep_to_an_advertised_rate_limit() {
     let (limited, other, third) = (
         healthy_server("i-limited").await,
         healthy_server("i-1").await,
@@ -33,12 +33,12 @@
 
     limited.advertise_limit(&["1.9"]);
     let from = Instant::now() + LIMIT_PROPAGATION_TIME;
-    let (asked, served) = run_load(&sites, Duration::from_secs(9)).await;
+    let (sent, served) = run_load(&sites, Duration::from_secs(9)).await;
 
-    println!("{served} of {asked} served");
+    println!("{served} of {sent} served");
     sites.iter().for_each(|site| println!("{:?}", limited_sends(site)));
     assert_within_limit(&limited, from, 1.9);
-    assert!(served * 10 >= asked * 9, "{served} of {asked} served");
+    assert!(served * 10 >= sent * 9, "{served} of {sent} served");
 }
 
 fn knows_limit(site: &Site) -> bool {
@@ -46,7 +46,7 @@
 }
 
 /// Waits until all know the only limit that is named, and their places.
-async fn until_settled(sites: &[Arc<Site>]) {
+async fn wait_until_settled(sites: &[Arc<Site>]) {
     run_load(sites, Duration::from_millis(300)).await;
     for site in sites {
         until("it knows the limit", || knows_limit(site)).await;
@@ -55,8 +55,8 @@
 }
 
 /// The only entry that sends to a server that names one request a second.
-async fn only_sender(sites: &[Arc<Site>]) -> usize {
-    until_settled(sites).await;
+async fn find_only_sender(sites: &[Arc<Site>]) -> usize {
+    wait_until_settled(sites).await;
     let before: Vec<_> = sites.iter().map(|site| limited_sends(site)).collect();
     run_load(sites, Duration::from_secs(3)).await;
     let has_sent = |i: &usize| limited_sends(&sites[*i]) != before[*i];
@@ -67,12 +67,12 @@
 
 /// One entry in five may send to it, and is killed.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_whose_only_sender_died_is_used_again_soon() {
+async fn a_rate_limited_server_is_used_again_soon_after_its_only_sender_dies() {
     let (limited, other) = (healthy_server("i-limited").await, healthy_server("i-1").await);
     let pool = start_pool(&[&limited, &other]).await;
     let mut sites = pool.start_entries(5).await;
     limited.advertise_limit(&["1"]);
-    let sender = only_sender(&sites).await;
+    let sender = find_only_sender(&sites).await;
 
     drop(sites.remove(sender));
     let killed = Instant::now();
@@ -85,12 +85,12 @@
 
 /// Until then nobody sends to it but one entry, which has no callers.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_end_of_a_need_is_heard_though_its_only_sender_has_no_work() {
+async fn the_end_of_a_rate_limit_is_noticed_although_its_only_sender_is_idle() {
     let (limited, other) = (healthy_server("i-limited").await, healthy_server("i-1").await);
     let pool = start_pool(&[&limited, &other]).await;
     let mut sites = pool.start_entries(4).await;
     limited.advertise_limit(&["1"]);
-    let sender = only_sender(&sites).await;
+    let sender = find_only_sender(&sites).await;
     let idle = sites.remove(sender);
 
     limited.advertise_limit(&[]);
@@ -105,21 +105,21 @@
 
 /// Three servers take 6.6 requests a second, and callers ask 66.
 #[tokio::test(flavor = "multi_thread")]
-async fn where_all_servers_are_in_need_they_are_used_and_the_rest_is_refused_at_once() {
+async fn when_all_servers_are_rate_limited_excess_requests_are_refused_at_once() {
     let servers =
         [healthy_server("i-1").await, healthy_server("i-2").await, healthy_server("i-3").await];
     let pool = start_pool(&[&servers[0], &servers[1], &servers[2]]).await;
     let sites = pool.start_entries(4).await;
     servers.iter().for_each(|server| server.advertise_limit(&["2.2"]));
-    until_settled(&sites).await;
+    wait_until_settled(&sites).await;
 
     let from = Instant::now();
     let answers = responses_under_load(&sites, Duration::from_secs(8)).await;
 
     servers.iter().for_each(|server| assert_within_limit(server, from, 2.2));
     let served = answers.iter().filter(|(answer, _)| answer.status == 200).count();
-    let taken = 3.0 * 2.2 * 8.0;
-    assert!(served as f64 >= 0.9 * taken, "{served} served, {taken} are taken");
+    let capacity = 3.0 * 2.2 * 8.0;
+    assert!(served as f64 >= 0.9 * capacity, "{served} served, {capacity} are taken");
     for (answer, took) in &answers {
         assert!(*took < Duration::from_secs(1), "{answer:?} after {took:?}");
         let is_reported = answer.status == 200
@@ -132,7 +132,7 @@
 
 /// Nearly all that reaches it are resumed streams and larger models, after another server that serves few of them whole.
 #[tokio::test(flavor = "multi_thread")]
-async fn further_sends_of_a_request_keep_to_the_limit_as_first_ones_do() {
+async fn retries_and_resumed_streams_keep_to_the_rate_limit() {
     let (limited, flaky) = (healthy_server("i-limited").await, flaky_server("i-flaky").await);
     let pool = start_pool(&[&limited, &flaky]).await;
     let sites = pool.start_entries(4).await;
@@ -149,7 +149,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_starts_knows_the_limit_before_it_serves() {
+async fn a_new_entry_knows_the_rate_limit_before_it_serves() {
     let (limited, other) = (healthy_server("i-limited").await, healthy_server("i-1").await);
     let pool = start_pool(&[&limited, &other]).await;
     let sites = pool.start_entries(3).await;
@@ -169,7 +169,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_new_life_of_a_server_has_no_limit() {
+async fn a_restarted_server_has_no_rate_limit() {
     let limited = healthy_server("i-limited").await;
     let pool = start_pool(&[&limited]).await;
     let sites = pool.start_entries(2).await;
@@ -181,20 +181,20 @@
     list_life(&pool.store, &limited, "llm", 2_000);
 
     until("the new life has none", || !sites.iter().any(|site| knows_limit(site))).await;
-    let (asked, served) = run_load(&sites, Duration::from_secs(1)).await;
-    assert_eq!(served, asked);
+    let (sent, served) = run_load(&sites, Duration::from_secs(1)).await;
+    assert_eq!(served, sent);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_limit_that_cant_be_read_changes_nothing() {
+async fn an_unreadable_rate_limit_is_ignored() {
     let limited = healthy_server("i-limited").await;
     let pool = start_pool(&[&limited]).await;
     let sites = pool.start_entries(2).await;
 
     for lines in [["NaN"], ["-3"], ["few"], ["inf"]] {
         limited.advertise_limit(&lines);
-        let (asked, served) = run_load(&sites, Duration::from_millis(300)).await;
-        assert_eq!(served, asked, "{lines:?}");
+        let (sent, served) = run_load(&sites, Duration::from_millis(300)).await;
+        assert_eq!(served, sent, "{lines:?}");
     }
 
     assert!(!sites.iter().any(|site| knows_limit(site)));
--- a/tests/platform/requests.rs
+++ b/tests/platform/requests.rs
@@ -10,22 +10,22 @@
     site::{Site, always, first_then, request, until},
 };
 
-const GOOD: Action = Action::Respond { status: 200, body: "good" };
-const FAILS: Action = Action::Respond { status: 500, body: "bad" };
+const SUCCESS: Action = Action::Respond { status: 200, body: "good" };
+const FAILURE: Action = Action::Respond { status: 500, body: "bad" };
 
-async fn site_of(servers: &[&Server]) -> Site {
+async fn start_site(servers: &[&Server]) -> Site {
     let listed: Vec<_> = servers.iter().map(|s| (*s, "app", "v1")).collect();
     Site::start(&listed).await
 }
 
-fn runs(servers: &[&Server]) -> usize {
+fn request_count(servers: &[&Server]) -> usize {
     servers.iter().map(|server| server.requests().len()).sum()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_is_passed_on_unchanged_with_its_signature() {
-    let server = always("i-1", GOOD).await;
-    let site = site_of(&[&server]).await;
+async fn a_response_is_forwarded_unchanged_with_its_signature() {
+    let server = always("i-1", SUCCESS).await;
+    let site = start_site(&[&server]).await;
 
     let answer = site.ask("GET", "/safe/a?x=1", "X-Custom: kept\r\nX-Tenant: forged\r\n").await;
 
@@ -42,13 +42,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_at_the_same_time_get_each_their_own_answer() {
+async fn concurrent_requests_each_get_their_own_response() {
     let delay = Duration::from_millis(20);
     let (one, two) = (
         always("i-1", Action::EchoIdAfter { delay }).await,
         always("i-2", Action::EchoIdAfter { delay }).await,
     );
-    let site = site_of(&[&one, &two]).await;
+    let site = start_site(&[&one, &two]).await;
     let paths: Vec<String> = (0..20).map(|i| format!("/safe/{i}")).collect();
 
     let answers = join_all(paths.iter().map(|path| site.ask("GET", path, ""))).await;
@@ -59,17 +59,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_failed_idempotent_request_is_asked_elsewhere() {
+async fn a_failed_idempotent_request_is_retried_on_another_server() {
     for first in [
-        FAILS,
+        FAILURE,
         Action::CloseConnection,
         Action::Truncated,
         Action::WrongRequestId,
         Action::Unsigned,
         Action::Gzip,
     ] {
-        let (fails_once, good) = (first_then("i-1", first, GOOD).await, always("i-2", GOOD).await);
-        let site = site_of(&[&fails_once, &good]).await;
+        let (fails_first, good) =
+            (first_then("i-1", first, SUCCESS).await, always("i-2", SUCCESS).await);
+        let site = start_site(&[&fails_first, &good]).await;
 
         for _ in 0..4 {
             let answer = site.ask("GET", "/safe/a", "").await;
@@ -79,42 +80,42 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_failure_everywhere_is_passed_on_as_the_server_gave_it() {
-    let (one, two) = (always("i-1", FAILS).await, always("i-2", FAILS).await);
-    let site = site_of(&[&one, &two]).await;
+async fn when_all_attempts_fail_the_error_response_is_forwarded_unchanged() {
+    let (one, two) = (always("i-1", FAILURE).await, always("i-2", FAILURE).await);
+    let site = start_site(&[&one, &two]).await;
 
     let answer = site.ask("GET", "/safe/a", "").await;
 
     assert_eq!((answer.status, &*answer.body), (500, "bad"));
     assert!(answer.head.contains("x-instance-stamp: s"));
-    assert_eq!(runs(&[&one, &two]), 2, "the route allows two attempts");
+    assert_eq!(request_count(&[&one, &two]), 2, "the route allows two attempts");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_once_only_request_that_may_have_run_is_not_sent_again_nor_called_not_run() {
-    for act in [
+async fn a_once_only_request_that_may_have_run_is_neither_retried_nor_reported_as_not_run() {
+    for action in [
         Action::CloseConnection,
         Action::Truncated,
         Action::WrongRequestId,
         Action::Unsigned,
         Action::Hang,
     ] {
-        let (one, two) = (always("i-1", act.clone()).await, always("i-2", act).await);
-        let site = site_of(&[&one, &two]).await;
+        let (one, two) = (always("i-1", action.clone()).await, always("i-2", action).await);
+        let site = start_site(&[&one, &two]).await;
 
         let answer = site.ask("POST", "/once/a", "").await;
 
         assert!([502, 504].contains(&answer.status), "told {}", answer.status);
         assert!(!answer.head.contains("x-instance-stamp"));
-        assert_eq!(runs(&[&one, &two]), 1);
+        assert_eq!(request_count(&[&one, &two]), 1);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_once_only_request_that_provably_did_not_run_is_sent_elsewhere() {
-    for act in [Action::NotExecuted, Action::Misrouted] {
-        let (one, two) = (always("i-1", act).await, always("i-2", GOOD).await);
-        let site = site_of(&[&one, &two]).await;
+async fn a_once_only_request_that_provably_did_not_run_is_retried_on_another_server() {
+    for action in [Action::NotExecuted, Action::Misrouted] {
+        let (one, two) = (always("i-1", action).await, always("i-2", SUCCESS).await);
+        let site = start_site(&[&one, &two]).await;
 
         for _ in 0..3 {
             let answer = site.ask("POST", "/once/a", "").await;
@@ -124,9 +125,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_nobody_ran_is_refused_with_a_time_to_come_back() {
+async fn a_request_that_no_server_ran_gets_503_with_retry_after() {
     let server = always("i-1", Action::NotExecuted).await;
-    let site = site_of(&[&server]).await;
+    let site = start_site(&[&server]).await;
 
     let answer = site.ask("POST", "/once/a", "").await;
 
@@ -135,14 +136,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_listens_no_more_is_passed_over() {
-    let good = always("i-1", GOOD).await;
-    let mut gone = always("i-2", GOOD).await;
+async fn a_server_that_refuses_connections_is_skipped() {
+    let good = always("i-1", SUCCESS).await;
+    let mut unreachable = always("i-2", SUCCESS).await;
     // Bound for as long as the test lasts, so that nobody else gets the port, but not listening.
-    let deaf = tokio::net::TcpSocket::new_v4().unwrap();
-    deaf.bind("127.0.0.1:0".parse().unwrap()).unwrap();
-    gone.address = deaf.local_addr().unwrap();
-    let site = site_of(&[&good, &gone]).await;
+    let closed = tokio::net::TcpSocket::new_v4().unwrap();
+    closed.bind("127.0.0.1:0".parse().unwrap()).unwrap();
+    unreachable.address = closed.local_addr().unwrap();
+    let site = start_site(&[&good, &unreachable]).await;
 
     for _ in 0..4 {
         assert_eq!(site.ask("POST", "/once/a", "").await.status, 200);
@@ -150,10 +151,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn servers_that_listen_no_more_cost_neither_attempts_nor_budget() {
-    let good = always("i-good", GOOD).await;
-    let mut deaf = Vec::new();
-    let mut gone: Vec<Server> = Vec::new();
+async fn servers_that_refuse_connections_use_up_neither_attempts_nor_retry_budget() {
+    let good = always("i-good", SUCCESS).await;
+    let mut closed = Vec::new();
+    let mut unreachable: Vec<Server> = Vec::new();
     // All that are tried before the good one: costs are equal, so the order is that of the ids.
     let ids = (0..).map(|i| format!("i-{i}")).filter(|id| hash_id(id) < hash_id("i-good"));
     for id in ids.take(8) {
@@ -161,10 +162,10 @@
         socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let mut server = good.clone();
         (server.address, server.id) = (socket.local_addr().unwrap(), id);
-        gone.push(server);
-        deaf.push(socket);
+        unreachable.push(server);
+        closed.push(socket);
     }
-    let listed: Vec<_> = gone.iter().chain([&good]).map(|s| (s, "app", "v1")).collect();
+    let listed: Vec<_> = unreachable.iter().chain([&good]).map(|s| (s, "app", "v1")).collect();
     let site = Site::without_repeats(&listed).await;
 
     let answer = site.ask("POST", "/once/a", "").await;
@@ -173,10 +174,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_gives_answers_of_others_is_taken_out() {
-    for act in [Action::WrongRequestId, Action::Unsigned] {
-        let server = always("i-1", act).await;
-        let site = site_of(&[&server]).await;
+async fn a_server_that_returns_invalid_responses_is_ejected() {
+    for action in [Action::WrongRequestId, Action::Unsigned] {
+        let server = always("i-1", action).await;
+        let site = start_site(&[&server]).await;
 
         for _ in 0..2 {
             site.ask("POST", "/once/a", "").await;
@@ -187,9 +188,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_without_a_length_is_whole_when_its_connection_ends_well() {
+async fn a_close_delimited_response_is_complete_when_its_connection_closes_cleanly() {
     let server = always("i-1", Action::CloseDelimited).await;
-    let site = site_of(&[&server]).await;
+    let site = start_site(&[&server]).await;
 
     let answer = site.ask("GET", "/safe/a", "").await;
 
@@ -197,9 +198,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_second_answer_to_one_request_reaches_nobody() {
+async fn a_duplicate_response_is_discarded() {
     let server = always("i-1", Action::Duplicate).await;
-    let site = site_of(&[&server]).await;
+    let site = start_site(&[&server]).await;
 
     for i in 0..6 {
         let answer = site.ask("GET", &format!("/safe/{i}"), "").await;
@@ -209,9 +210,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn routes_keys_and_lengths_are_checked_before_anything_is_sent() {
-    let server = always("i-1", GOOD).await;
-    let site = site_of(&[&server]).await;
+async fn invalid_requests_are_rejected_before_anything_is_sent() {
+    let server = always("i-1", SUCCESS).await;
+    let site = start_site(&[&server]).await;
     let plain = request("GET", "/safe/a", "", "");
     let cases = [
         (request("GET", "/nowhere/a", "", ""), 404),
@@ -229,9 +230,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_hidden_behind_another_never_runs() {
-    let server = always("i-1", GOOD).await;
-    let site = site_of(&[&server]).await;
+async fn a_smuggled_request_never_runs() {
+    let server = always("i-1", SUCCESS).await;
+    let site = start_site(&[&server]).await;
     let hidden = request("POST", "/once/hidden", "", "");
     let body = format!("0\r\n\r\n{hidden}");
     let outer = request("POST", "/once/outer", "Transfer-Encoding: chunked\r\n", &body);
@@ -246,9 +247,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_chunked_body_arrives_whole() {
-    let server = always("i-1", GOOD).await;
-    let site = site_of(&[&server]).await;
+async fn a_chunked_request_body_reaches_the_server_whole() {
+    let server = always("i-1", SUCCESS).await;
+    let site = start_site(&[&server]).await;
     let head = request("POST", "/once/a", "Transfer-Encoding: chunked\r\n", "");
     let head = head.replace("Content-Length: 0\r\n", "");
 
@@ -259,10 +260,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_is_let_off_when_the_caller_leaves() {
+async fn the_server_connection_is_closed_when_the_caller_disconnects() {
     use tokio::io::AsyncWriteExt;
     let server = always("i-1", Action::Hang).await;
-    let site = site_of(&[&server]).await;
+    let site = start_site(&[&server]).await;
     let mut stream = tokio::net::TcpStream::connect(site.caller).await.unwrap();
     stream.write_all(request("POST", "/once/a", "", "").as_bytes()).await.unwrap();
     until("the server is at work", || server.active_requests() == 1).await;
@@ -273,8 +274,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_finishes_what_runs_and_turns_long_requests_away() {
-    let (app, llm) = (always("i-1", GOOD).await, always("i-2", Action::EndlessStream).await);
+async fn a_graceful_shutdown_serves_short_requests_and_refuses_long_ones() {
+    let (app, llm) = (always("i-1", SUCCESS).await, always("i-2", Action::EndlessStream).await);
     let site = Site::start(&[(&app, "app", "v1"), (&llm, "llm", "v1")]).await;
     let (caller, readiness) = (site.caller, site.readiness);
     let router = site.entry.router.clone();
@@ -284,17 +285,17 @@
     until("the entry is unready", || !router.is_ready()).await;
 
     // Callers that connected before the balancer knew may go elsewhere at once.
-    let early = raw(caller, &request("POST", "/chat/a", "", "")).await;
+    let early = send_raw(caller, &request("POST", "/chat/a", "", "")).await;
     assert!(early.contains("retry-after: 0.050"), "{early}");
     // With a grace of 4 s a stream, which may take 4.9 s, is turned away; a short one is served.
-    assert_eq!(status_of(caller, &request("POST", "/chat/a", "", "")).await, 503);
-    assert_eq!(status_of(caller, &request("POST", "/once/a", "", "")).await, 200);
+    assert_eq!(send_for_status(caller, &request("POST", "/chat/a", "", "")).await, 503);
+    assert_eq!(send_for_status(caller, &request("POST", "/once/a", "", "")).await, 200);
     let ready = "GET /-/readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-    assert_eq!(status_of(readiness, ready).await, 503);
+    assert_eq!(send_for_status(readiness, ready).await, 503);
     assert_eq!(stopping.await.unwrap(), 0, "nothing was cut off");
 }
 
-async fn raw(address: std::net::SocketAddr, bytes: &str) -> String {
+async fn send_raw(address: std::net::SocketAddr, bytes: &str) -> String {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let mut stream = tokio::net::TcpStream::connect(address).await.unwrap();
     stream.write_all(bytes.as_bytes()).await.unwrap();
@@ -304,14 +305,14 @@
     String::from_utf8_lossy(&raw).into_owned()
 }
 
-async fn status_of(address: std::net::SocketAddr, bytes: &str) -> u16 {
-    raw(address, bytes).await[9..12].parse().unwrap()
+async fn send_for_status(address: std::net::SocketAddr, bytes: &str) -> u16 {
+    send_raw(address, bytes).await[9..12].parse().unwrap()
 }
 
 /// The last server of a service is gone: nobody listens at its address, and no second look within a moment
 /// finds anybody.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_can_not_be_reached_is_asked_once_by_a_request() {
+async fn a_request_tries_an_unreachable_server_only_once() {
     let server = always("i-1", Action::Crash { after_head: false }).await;
     let site = Site::start(&[(&server, "app", "v1")]).await;
     site.ask("POST", "/once/a", "").await;
--- a/tests/platform/sessions.rs
+++ b/tests/platform/sessions.rs
@@ -11,9 +11,9 @@
     site::{Site, always, list, store_with, until},
 };
 
-const GOOD: Action = Action::Respond { status: 200, body: "good" };
+const SUCCESS: Action = Action::Respond { status: 200, body: "good" };
 
-fn begun(site: &Site) -> bool {
+fn roll_out_began(site: &Site) -> bool {
     site.entry.router.dump()["roll_outs"][0]["began"] == true
 }
 
@@ -33,21 +33,21 @@
 /// requests 1,075 came through several entries.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_session_that_another_entry_served_stays_on_the_old_version_in_the_first_half() {
-    let (old, new) = (always("i-1", GOOD).await, always("i-2", GOOD).await);
+    let (old, new) = (always("i-1", SUCCESS).await, always("i-2", SUCCESS).await);
     let store = store_with(&[(&old, "app", "v1")]).await;
-    let one = Site::beside(store.clone()).await;
+    let first_entry = Site::beside(store.clone()).await;
     let other = Site::beside(store.clone()).await;
-    one.until_in_view(1).await;
+    first_entry.until_in_view(1).await;
     other.until_in_view(1).await;
     let sessions: Vec<String> = (0..200).map(|i| format!("Session: s-{i}\r\n")).collect();
     for session in &sessions {
-        one.ask("GET", "/safe/a", session).await;
+        first_entry.ask("GET", "/safe/a", session).await;
     }
 
     store.put("op", "rollout/app", &json!({"service": "app", "to": "v2", "duration-s": 600.0}));
     list(&store, &new, "app", "v2", "ready");
-    until("both know of it", || begun(&one) && begun(&other)).await;
-    one.until_in_view(2).await;
+    until("both know of it", || roll_out_began(&first_entry) && roll_out_began(&other)).await;
+    first_entry.until_in_view(2).await;
     other.until_in_view(2).await;
     for session in &sessions {
         other.ask("GET", "/safe/a", session).await;
@@ -69,8 +69,8 @@
 /// Evidence: in the soak an entry that started 0.16 s after the end logged the order at once and the
 /// verdict 2.01 s later; eight requests of sessions that were on the new version ran on the old one.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_starts_after_a_roll_out_knows_how_it_ended() {
-    let (old, new) = (always("i-1", GOOD).await, always("i-2", GOOD).await);
+async fn an_entry_that_starts_after_a_roll_out_knows_its_outcome() {
+    let (old, new) = (always("i-1", SUCCESS).await, always("i-2", SUCCESS).await);
     let first = Site::start(&[(&old, "app", "v1"), (&new, "app", "v2")]).await;
     let order = json!({"service": "app", "to": "v2", "duration-s": 1.0});
     first.store.put("op", "rollout/app", &order);
@@ -86,7 +86,7 @@
     assert_eq!(old.requests().len(), before, "requests ran on the old version after the roll-out");
 }
 
-fn listed(id: &str, version: &str) -> BackendServer {
+fn backend_server(id: &str, version: &str) -> BackendServer {
     BackendServer {
         id: id.into(),
         started_at: None,
@@ -104,7 +104,7 @@
 }
 
 /// Ids of the servers that wait for the orders to be read.
-fn unannounced(fleet: &Fleet, now: Duration) -> Vec<&str> {
+fn awaiting_roll_out_order(fleet: &Fleet, now: Duration) -> Vec<&str> {
     let members = fleet.of_service("app").iter();
     let mut ids: Vec<&str> =
         members.filter(|m| m.awaits_roll_out_order(now)).map(|m| &*m.server.id).collect();
@@ -115,23 +115,27 @@
 /// Servers and orders are read apart. With a configuration changed just before the order of a roll-out,
 /// the servers of the new version were in view up to 30 ms before the order, and served any session.
 #[test]
-fn servers_of_a_version_that_is_new_to_the_service_wait_until_orders_have_been_read() {
+fn servers_of_a_new_version_wait_until_roll_out_orders_have_been_read() {
     let ms = Duration::from_millis;
-    let (v1, v2, next_v2) = (listed("i-1", "v1"), listed("i-2", "v2"), listed("i-3", "v2"));
+    let (v1, v2, next_v2) =
+        (backend_server("i-1", "v1"), backend_server("i-2", "v2"), backend_server("i-3", "v2"));
 
     let first = Fleet::default().with_servers([v1.clone()].into_iter(), ms(1_000));
     let second = first.with_servers([v1.clone(), v2.clone()].into_iter(), ms(2_000));
     let third = second.with_servers([v1, v2, next_v2].into_iter(), ms(2_300));
 
-    assert!(unannounced(&first, ms(1_000)).is_empty(), "the first version has nothing to wait for");
-    assert_eq!(unannounced(&second, ms(2_000)), ["i-2"]);
-    assert_eq!(unannounced(&third, ms(2_300)), ["i-2", "i-3"]);
-    assert!(unannounced(&third, ms(2_500)).is_empty());
+    assert!(
+        awaiting_roll_out_order(&first, ms(1_000)).is_empty(),
+        "the first version has nothing to wait for"
+    );
+    assert_eq!(awaiting_roll_out_order(&second, ms(2_000)), ["i-2"]);
+    assert_eq!(awaiting_roll_out_order(&third, ms(2_300)), ["i-2", "i-3"]);
+    assert!(awaiting_roll_out_order(&third, ms(2_500)).is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_version_that_is_the_only_one_left_serves_at_once() {
-    let (old, new) = (always("i-1", GOOD).await, always("i-2", GOOD).await);
+    let (old, new) = (always("i-1", SUCCESS).await, always("i-2", SUCCESS).await);
     let site = Site::start(&[(&old, "app", "v1")]).await;
 
     site.store.remove("servers", "i-1");
--- a/tests/platform/store_updates.rs
+++ b/tests/platform/store_updates.rs
@@ -11,12 +11,12 @@
 };
 
 /// Where nobody listens.
-const ANYWHERE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
+const UNUSED_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
 
-const GOOD: Action = Action::Respond { status: 200, body: "good" };
+const SUCCESS: Action = Action::Respond { status: 200, body: "good" };
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_without_a_configuration_is_not_ready_and_refuses() {
+async fn an_entry_without_a_configuration_is_not_ready_and_refuses_requests() {
     let store = Store::start().await;
     let site = Site::beside(store).await;
 
@@ -27,14 +27,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_comes_before_the_configuration_and_the_servers_waits_for_them() {
-    let server = always("i-1", GOOD).await;
+async fn a_request_that_arrives_before_the_configuration_and_the_servers_waits_for_them() {
+    let server = always("i-1", SUCCESS).await;
     let site = Site::beside(Store::start().await).await;
 
     let (answer, ()) = tokio::join!(site.ask("GET", "/safe/a", ""), async {
         until("it is here", || site.entry.router.in_flight() == 1).await;
         site.store.put("op", "config", &configuration(1));
-        until("there is a configuration", || version(&site) == 1).await;
+        until("there is a configuration", || config_version(&site) == 1).await;
         list(&site.store, &server, "app", "v1", "ready");
     });
 
@@ -42,51 +42,51 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_new_configuration_is_in_force_without_a_restart() {
-    let server = always("i-1", GOOD).await;
+async fn a_new_configuration_takes_effect_without_a_restart() {
+    let server = always("i-1", SUCCESS).await;
     let site = Site::start(&[(&server, "app", "v1")]).await;
     let mut changed = configuration(7);
     changed["tenants"] = json!([{"name": "org", "api-keys": ["key-2"]}]);
     changed["routes"][0]["prefix"] = json!("/moved/");
 
     site.store.put("op", "config", &changed);
-    until("the new one is in force", || version(&site) == 7).await;
+    until("the new one is in force", || config_version(&site) == 7).await;
 
     assert_eq!(site.ask("GET", "/safe/a", "").await.status, 404);
     assert_eq!(site.ask("GET", "/moved/a", "").await.status, 401, "the key was taken away");
 }
 
-fn version(site: &Site) -> u64 {
+fn config_version(site: &Site) -> u64 {
     site.entry.router.table.load().as_ref().as_ref().map_or(0, |table| table.version)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_older_configuration_is_not_followed() {
-    let server = always("i-1", GOOD).await;
+async fn an_older_configuration_is_ignored() {
+    let server = always("i-1", SUCCESS).await;
     let site = Site::start(&[(&server, "app", "v1")]).await;
     site.store.put("op", "config", &configuration(9));
-    until("version 9", || version(&site) == 9).await;
+    until("version 9", || config_version(&site) == 9).await;
     let mut older = configuration(4);
     older["routes"] = json!([]);
 
     site.store.put("op", "config", &older);
-    site.store.put("servers", "i-2", &server_row(ANYWHERE, "app", "v1", "ready"));
+    site.store.put("servers", "i-2", &server_row(UNUSED_ADDRESS, "app", "v1", "ready"));
     until("the feed went on", || site.entry.router.fleet.load().len() == 2).await;
 
-    assert_eq!(version(&site), 9);
+    assert_eq!(config_version(&site), 9);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_server_gets_nothing_more() {
-    let (stays, leaves) = (always("i-1", GOOD).await, always("i-2", GOOD).await);
+async fn a_draining_server_gets_no_further_request() {
+    let (stays, leaves) = (always("i-1", SUCCESS).await, always("i-2", SUCCESS).await);
     let site = Site::start(&[(&stays, "app", "v1"), (&leaves, "app", "v1")]).await;
 
     list(&site.store, &leaves, "app", "v1", "draining");
-    let takes = || {
+    let accepting = || {
         let fleet = site.entry.router.fleet.load();
         fleet.of_service("app").iter().filter(|member| !member.is_draining()).count()
     };
-    until("one takes requests", || takes() == 1).await;
+    until("one takes requests", || accepting() == 1).await;
     let before = leaves.requests().len();
     for _ in 0..6 {
         assert_eq!(site.ask("GET", "/safe/a", "").await.status, 200);
@@ -96,8 +96,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_forgotten_history_is_made_up_for_by_reading_anew() {
-    let (one, two) = (always("i-1", GOOD).await, always("i-2", GOOD).await);
+async fn a_full_read_replaces_a_change_feed_whose_history_was_discarded() {
+    let (one, two) = (always("i-1", SUCCESS).await, always("i-2", SUCCESS).await);
     let site = Site::start(&[(&one, "app", "v1"), (&two, "app", "v1")]).await;
 
     site.store.remove("servers", "i-2");
@@ -107,9 +107,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_goes_on_with_what_it_knows_while_the_store_is_away() {
+async fn an_entry_serves_from_its_last_state_while_the_store_is_down() {
     for fault in [Fault::Down, Fault::TooMany] {
-        let server = always("i-1", GOOD).await;
+        let server = always("i-1", SUCCESS).await;
         let site = Site::start(&[(&server, "app", "v1")]).await;
 
         site.store.set_fault(fault);
@@ -119,40 +119,40 @@
 
         site.store.put("op", "config", &configuration(3));
         site.store.set_fault(Fault::None);
-        until("the change is in force", || version(&site) == 3).await;
+        until("the change is in force", || config_version(&site) == 3).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_lapsed_while_the_store_was_away_is_kept_until_it_is_back_or_gone() {
-    let (back, gone) = (always("i-1", GOOD).await, always("i-2", GOOD).await);
-    let site = Site::start(&[(&back, "app", "v1"), (&gone, "app", "v1")]).await;
+async fn servers_whose_rows_expired_during_a_store_outage_get_time_to_return() {
+    let (returning, missing) = (always("i-1", SUCCESS).await, always("i-2", SUCCESS).await);
+    let site = Site::start(&[(&returning, "app", "v1"), (&missing, "app", "v1")]).await;
     site.store.set_fault(Fault::Down);
     until("the entry noticed", || site.entry.router.metrics.render().contains("store_errors"))
         .await;
 
     site.store.remove("servers", "i-1");
     site.store.remove("servers", "i-2");
-    let changes = version(&site);
-    site.store.put("op", "config", &configuration(changes + 1));
+    let before = config_version(&site);
+    site.store.put("op", "config", &configuration(before + 1));
     site.store.set_fault(Fault::None);
-    until("the store is back", || version(&site) == changes + 1).await;
+    until("the store is back", || config_version(&site) == before + 1).await;
 
     // The feed of servers came back with it or will within a moment; both are still in view.
     assert_eq!(site.entry.router.fleet.load().len(), 2);
-    list(&site.store, &back, "app", "v1", "ready");
+    list(&site.store, &returning, "app", "v1", "ready");
     until("the one that did not return is gone", || site.entry.router.fleet.load().len() == 1)
         .await;
     assert_eq!(&*site.entry.router.fleet.load().of_service("app")[0].server.id, "i-1");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_long_list_is_read_page_by_page() {
+async fn a_long_server_list_is_read_page_by_page() {
     let store = Store::start().await;
     store.set_page(2);
     store.put("op", "config", &configuration(1));
     for i in 0..7 {
-        store.put("servers", &format!("i-{i}"), &server_row(ANYWHERE, "app", "v1", "ready"));
+        store.put("servers", &format!("i-{i}"), &server_row(UNUSED_ADDRESS, "app", "v1", "ready"));
     }
 
     let site = Site::beside(store).await;
@@ -161,46 +161,46 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_document_that_can_not_be_read_is_passed_over() {
-    let server = always("i-1", GOOD).await;
+async fn an_unreadable_document_is_skipped() {
+    let server = always("i-1", SUCCESS).await;
     let site = Site::start(&[(&server, "app", "v1")]).await;
 
     site.store.put("op", "config", &json!({"version": "not a number"}));
     site.store.put("servers", "i-9", &json!({"service": 5}));
     site.store.put("op", "config", &configuration(2));
-    until("the next one is in force", || version(&site) == 2).await;
+    until("the next one is in force", || config_version(&site) == 2).await;
 
     assert_eq!(site.ask("GET", "/safe/a", "").await.status, 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_the_store_refuses_learns_from_another() {
-    let server = always("i-1", GOOD).await;
+async fn an_entry_that_cannot_reach_the_store_follows_a_peer() {
+    let server = always("i-1", SUCCESS).await;
     let first = Site::start(&[(&server, "app", "v1")]).await;
     let seed = first.entry.addresses.peer;
     // A store of its own that never answers stands for one that refuses this host alone.
     let store = Store::start().await;
     store.set_fault(Fault::Down);
 
-    let cut_off = Site::seed(store, seed).await;
-    until("it has a configuration", || cut_off.entry.router.is_ready()).await;
-    until("it has the servers", || cut_off.entry.router.fleet.load().len() == 1).await;
-    assert_eq!(cut_off.ask("GET", "/safe/a", "").await.status, 200);
+    let isolated = Site::seed(store, seed).await;
+    until("it has a configuration", || isolated.entry.router.is_ready()).await;
+    until("it has the servers", || isolated.entry.router.fleet.load().len() == 1).await;
+    assert_eq!(isolated.ask("GET", "/safe/a", "").await.status, 200);
 
     first.store.put("op", "config", &configuration(5));
-    until("the change gets through", || version(&cut_off) == 5).await;
+    until("the change gets through", || config_version(&isolated) == 5).await;
 
     // Its own store returns with something newer, while the other entry goes on offering.
     for number in 0..20 {
-        list(&cut_off.store, &server, "app", &format!("v{number}"), "ready");
+        list(&isolated.store, &server, "app", &format!("v{number}"), "ready");
     }
-    cut_off.store.put("op", "config", &configuration(9));
-    cut_off.store.set_fault(Fault::None);
-    until("the store's word is followed again", || version(&cut_off) == 9).await;
+    isolated.store.put("op", "config", &configuration(9));
+    isolated.store.set_fault(Fault::None);
+    until("the store's word is followed again", || config_version(&isolated) == 9).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_dropped_entry_asks_the_store_no_more() {
+async fn a_dropped_entry_stops_calling_the_store() {
     let site = Site::beside(Store::start().await).await;
     let (store, entry) = (site.store, site.entry);
     until("it asks", || store.calls() > 0).await;
--- a/tests/platform/unavailable_servers.rs
+++ b/tests/platform/unavailable_servers.rs
@@ -17,32 +17,32 @@
 };
 
 /// Time after a rejection in which requests may arrive that were on their way.
-const ON_THEIR_WAY: Duration = Duration::from_millis(500);
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 const PAUSE: Duration = Duration::from_secs(3);
 /// Time for which a draining server may be a last resort.
-const LAST_RESORT: Duration = Duration::from_secs(3);
+const LAST_RESORT_TIME: Duration = Duration::from_secs(3);
 
 /// What an entry's state dump has of a server.
-fn dump_of(site: &Site, server: &Server) -> Value {
+fn server_dump(site: &Site, server: &Server) -> Value {
     let dump = site.entry.router.dump();
     let servers = dump["servers"].as_array().unwrap();
     servers.iter().find(|s| s["id"] == *server.id).cloned().unwrap_or_default()
 }
 
 /// Whether an entry knows that one server drains and another one asked for a pause.
-fn knows_both(site: &Site, draining: &Server, paused: &Server) -> bool {
-    let is_draining = !dump_of(site, draining)["draining_ms"].is_null();
-    is_draining && dump_of(site, paused)["paused_ms"] != 0
+fn knows_draining_and_paused(site: &Site, draining: &Server, paused: &Server) -> bool {
+    let is_draining = !server_dump(site, draining)["draining_ms"].is_null();
+    is_draining && server_dump(site, paused)["paused_ms"] != 0
 }
 
 /// A server whose answers take half a second, so that load builds up on all servers.
-async fn busy(id: &str) -> Server {
+async fn busy_server(id: &str) -> Server {
     always(id, Action::PacedStream { last_event: 5, interval: Duration::from_millis(100) }).await
 }
 
 /// A pool of three busy servers behind one entry.
-async fn three_servers() -> (Pool, Vec<Arc<Site>>, [Server; 3]) {
-    let servers = [busy("i-0").await, busy("i-1").await, busy("i-2").await];
+async fn start_three_server_pool() -> (Pool, Vec<Arc<Site>>, [Server; 3]) {
+    let servers = [busy_server("i-0").await, busy_server("i-1").await, busy_server("i-2").await];
     let pool = start_pool(&servers.each_ref()).await;
     let sites = pool.start_isolated_entries(1).await;
     run_load(&sites, Duration::from_millis(300)).await;
@@ -57,40 +57,41 @@
 }
 
 /// Requests that reached a paused server until the end of its pause, but for those on their way at its first rejection.
-fn arrivals_in_pause(server: &Server, from: Instant) -> usize {
-    let rejected = arrival_times(server, from);
-    let began = *rejected.first().expect("it rejected none");
-    let is_within = |at: &&Instant| **at > began + ON_THEIR_WAY && **at < began + PAUSE;
-    rejected.iter().filter(is_within).count()
+fn arrivals_during_pause(server: &Server, from: Instant) -> usize {
+    let rejected_at = arrival_times(server, from);
+    let pause_start = *rejected_at.first().expect("it rejected none");
+    let is_during_pause =
+        |at: &&Instant| **at > pause_start + IN_FLIGHT_TIME && **at < pause_start + PAUSE;
+    rejected_at.iter().filter(is_during_pause).count()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_announced_draining_in_an_answer_gets_no_further_request() {
-    let (_pool, sites, [draining, ..]) = three_servers().await;
+async fn a_server_that_announced_draining_in_a_response_gets_no_further_request() {
+    let (_pool, sites, [draining, ..]) = start_three_server_pool().await;
     draining.announce_draining();
     run_load(&sites, Duration::from_millis(300)).await;
-    until("it is known", || !dump_of(&sites[0], &draining)["draining_ms"].is_null()).await;
+    until("it is known", || !server_dump(&sites[0], &draining)["draining_ms"].is_null()).await;
 
     let from = Instant::now();
-    let (asked, served) = run_load(&sites, Duration::from_secs(3)).await;
+    let (sent, served) = run_load(&sites, Duration::from_secs(3)).await;
 
     println!("{:?}", unavailable_sends(&sites[0]));
-    assert_eq!(arrival_times(&draining, from).len(), 0, "of {asked} requests");
-    assert_eq!(served, asked);
-    assert_eq!(dump_of(&sites[0], &draining)["idle_connections"], 0);
+    assert_eq!(arrival_times(&draining, from).len(), 0, "of {sent} requests");
+    assert_eq!(served, sent);
+    assert_eq!(server_dump(&sites[0], &draining)["idle_connections"], 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_asked_for_a_pause_gets_no_request_until_it_ends() {
-    let (_pool, sites, [paused, ..]) = three_servers().await;
+async fn a_server_that_sent_retry_after_gets_no_request_until_the_pause_ends() {
+    let (_pool, sites, [paused, ..]) = start_three_server_pool().await;
     let from = Instant::now();
     paused.set_retry_after(Some("3"));
 
-    let (asked, served) = run_load(&sites, PAUSE).await;
+    let (sent, served) = run_load(&sites, PAUSE).await;
 
     println!("{:?}", unavailable_sends(&sites[0]));
-    assert_eq!(arrivals_in_pause(&paused, from), 0, "of {asked} requests");
-    assert_eq!(served, asked);
+    assert_eq!(arrivals_during_pause(&paused, from), 0, "of {sent} requests");
+    assert_eq!(served, sent);
     paused.set_retry_after(None);
     sleep(Duration::from_millis(200)).await;
     let from = Instant::now();
@@ -99,17 +100,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn where_all_servers_drain_they_serve_for_half_of_the_drain_time_and_get_nothing_later() {
-    let servers = [busy("i-0").await, busy("i-1").await, busy("i-2").await];
+async fn when_all_servers_drain_they_serve_for_half_of_the_drain_time_only() {
+    let servers = [busy_server("i-0").await, busy_server("i-1").await, busy_server("i-2").await];
     let pool = start_pool(&servers.each_ref()).await;
-    let site = Site::with(pool.store.clone(), |host| host.drain_time = 2 * LAST_RESORT).await;
+    let site = Site::with(pool.store.clone(), |host| host.drain_time = 2 * LAST_RESORT_TIME).await;
     site.until_in_view(servers.len()).await;
     let sites = [Arc::new(site)];
     servers.iter().for_each(Server::announce_draining);
-    let (asked, served) = run_load(&sites, Duration::from_millis(700)).await;
-    assert_eq!(served, asked);
+    let (sent, served) = run_load(&sites, Duration::from_millis(700)).await;
+    assert_eq!(served, sent);
 
-    sleep(LAST_RESORT).await;
+    sleep(LAST_RESORT_TIME).await;
     let from = Instant::now();
     let answers = responses_under_load(&sites, Duration::from_secs(1)).await;
 
@@ -122,12 +123,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_row_that_lapses_and_returns_for_the_same_life_ends_neither_draining_nor_a_pause() {
-    let (pool, sites, [draining, paused, _]) = three_servers().await;
+async fn a_row_that_returns_for_the_same_incarnation_ends_neither_draining_nor_a_pause() {
+    let (pool, sites, [draining, paused, _]) = start_three_server_pool().await;
     draining.announce_draining();
     paused.set_retry_after(Some("60"));
     run_load(&sites, Duration::from_millis(300)).await;
-    until("both are known", || knows_both(&sites[0], &draining, &paused)).await;
+    until("both are known", || knows_draining_and_paused(&sites[0], &draining, &paused)).await;
 
     for server in [&draining, &paused] {
         pool.store.remove("servers", &server.id);
@@ -137,18 +138,18 @@
         list_life(&pool.store, server, "llm", 1_000);
     }
     sites[0].until_in_view(3).await;
-    sleep(ON_THEIR_WAY).await;
+    sleep(IN_FLIGHT_TIME).await;
     let from = Instant::now();
-    let (asked, served) = run_load(&sites, Duration::from_secs(2)).await;
+    let (sent, served) = run_load(&sites, Duration::from_secs(2)).await;
 
-    assert_eq!(arrival_times(&draining, from).len(), 0, "of {asked} requests");
-    assert_eq!(arrival_times(&paused, from).len(), 0, "of {asked} requests");
-    assert_eq!(served, asked);
+    assert_eq!(arrival_times(&draining, from).len(), 0, "of {sent} requests");
+    assert_eq!(arrival_times(&paused, from).len(), 0, "of {sent} requests");
+    assert_eq!(served, sent);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_whose_address_another_one_has_is_not_asked_again_when_its_row_returns() {
-    let (replaced, healthy) = (always("i-0", Action::Misrouted).await, busy("i-1").await);
+async fn a_server_whose_address_was_reused_gets_no_request_when_its_row_returns() {
+    let (replaced, healthy) = (always("i-0", Action::Misrouted).await, busy_server("i-1").await);
     let pool = start_pool(&[&replaced, &healthy]).await;
     let sites = pool.start_isolated_entries(1).await;
     run_load(&sites, Duration::from_millis(300)).await;
@@ -165,25 +166,25 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_servers_announce_holds_while_the_store_is_away() {
-    let (pool, sites, [draining, paused, _]) = three_servers().await;
+async fn draining_and_pauses_are_respected_while_the_store_is_down() {
+    let (pool, sites, [draining, paused, _]) = start_three_server_pool().await;
     pool.store.set_fault(Fault::Down);
     draining.announce_draining();
     paused.set_retry_after(Some("60"));
     run_load(&sites, Duration::from_millis(300)).await;
-    until("both are known", || knows_both(&sites[0], &draining, &paused)).await;
+    until("both are known", || knows_draining_and_paused(&sites[0], &draining, &paused)).await;
 
     let from = Instant::now();
-    let (asked, served) = run_load(&sites, Duration::from_secs(2)).await;
+    let (sent, served) = run_load(&sites, Duration::from_secs(2)).await;
 
-    assert_eq!(arrival_times(&draining, from).len(), 0, "of {asked} requests");
-    assert_eq!(arrival_times(&paused, from).len(), 0, "of {asked} requests");
-    assert_eq!(served, asked);
+    assert_eq!(arrival_times(&draining, from).len(), 0, "of {sent} requests");
+    assert_eq!(arrival_times(&paused, from).len(), 0, "of {sent} requests");
+    assert_eq!(served, sent);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_new_life_of_a_server_neither_drains_nor_pauses() {
-    let (pool, sites, [draining, paused, _]) = three_servers().await;
+async fn a_restarted_server_is_neither_draining_nor_paused() {
+    let (pool, sites, [draining, paused, _]) = start_three_server_pool().await;
     draining.announce_draining();
     paused.set_retry_after(Some("60"));
     run_load(&sites, Duration::from_millis(300)).await;
@@ -193,8 +194,8 @@
     list_life(&pool.store, &draining, "llm", 2_000);
     list_life(&pool.store, &paused, "llm", 2_000);
     until("both are new", || {
-        let is_new = |server| dump_of(&sites[0], server)["paused_ms"] == 0;
-        is_new(&paused) && dump_of(&sites[0], &draining)["draining_ms"].is_null()
+        let is_new = |server| server_dump(&sites[0], server)["paused_ms"] == 0;
+        is_new(&paused) && server_dump(&sites[0], &draining)["draining_ms"].is_null()
     })
     .await;
 
@@ -205,12 +206,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_pause_ends_while_the_host_is_suspended() {
-    let (_pool, sites, [paused, ..]) = three_servers().await;
+async fn a_pause_expires_while_the_host_is_suspended() {
+    let (_pool, sites, [paused, ..]) = start_three_server_pool().await;
     paused.set_retry_after(Some("60"));
     run_load(&sites, Duration::from_millis(300)).await;
     paused.set_retry_after(None);
-    assert_ne!(dump_of(&sites[0], &paused)["paused_ms"], 0);
+    assert_ne!(server_dump(&sites[0], &paused)["paused_ms"], 0);
 
     sites[0].entry.router.clock.simulate_suspension(Duration::from_secs(60));
 
@@ -220,19 +221,19 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn retries_resumed_streams_and_larger_models_keep_away_from_such_servers() {
+async fn retries_resumed_streams_and_escalations_avoid_draining_and_paused_servers() {
     let (draining, paused, flaky) =
-        (busy("i-0").await, busy("i-1").await, flaky_server("i-2").await);
+        (busy_server("i-0").await, busy_server("i-1").await, flaky_server("i-2").await);
     let pool = start_pool(&[&draining, &paused, &flaky]).await;
     let sites = pool.start_isolated_entries(1).await;
     run_load(&sites, Duration::from_millis(300)).await;
     draining.announce_draining();
     paused.set_retry_after(Some("60"));
     run_load(&sites, Duration::from_millis(300)).await;
-    until("both are known", || knows_both(&sites[0], &draining, &paused)).await;
+    until("both are known", || knows_draining_and_paused(&sites[0], &draining, &paused)).await;
 
     // Until then the draining server may serve what the flaky one did not.
-    sleep(sites[0].entry.router.settings.load().drain_time / 2 + ON_THEIR_WAY).await;
+    sleep(sites[0].entry.router.settings.load().drain_time / 2 + IN_FLIGHT_TIME).await;
     let from = Instant::now();
     run_load(&sites, Duration::from_secs(2)).await;
 
@@ -243,9 +244,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_is_announced_in_an_answer_of_another_server_is_not_believed() {
-    for act in [Action::Unsigned, Action::WrongRequestId, Action::Gzip, Action::Misrouted] {
-        let (other, healthy) = (always("i-0", act.clone()).await, busy("i-1").await);
+async fn announcements_in_invalid_responses_are_ignored() {
+    for action in [Action::Unsigned, Action::WrongRequestId, Action::Gzip, Action::Misrouted] {
+        let (other, healthy) = (always("i-0", action.clone()).await, busy_server("i-1").await);
         let pool = start_pool(&[&other, &healthy]).await;
         let sites = pool.start_isolated_entries(1).await;
         other.set_extra_headers(&["Server-Leaving: 1", "Retry-After: 60"]);
@@ -253,27 +254,27 @@
         run_load(&sites, Duration::from_millis(500)).await;
 
         assert!(!other.requests().is_empty());
-        let dumped = dump_of(&sites[0], &other);
-        assert!(dumped["draining_ms"].is_null(), "{act:?}");
-        assert_eq!(dumped["paused_ms"], 0, "{act:?}");
+        let dumped = server_dump(&sites[0], &other);
+        assert!(dumped["draining_ms"].is_null(), "{action:?}");
+        assert_eq!(dumped["paused_ms"], 0, "{action:?}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_pause_that_cant_be_read_changes_nothing() {
-    let (_pool, sites, [server, ..]) = three_servers().await;
-    for junk in ["soon", "-3", "NaN", ""] {
-        server.set_retry_after(Some(junk));
-        let (asked, served) = run_load(&sites, Duration::from_millis(300)).await;
-        assert_eq!(served, asked, "{junk}");
-        assert_eq!(dump_of(&sites[0], &server)["paused_ms"], 0, "{junk}");
+async fn an_unreadable_retry_after_is_ignored() {
+    let (_pool, sites, [server, ..]) = start_three_server_pool().await;
+    for value in ["soon", "-3", "NaN", ""] {
+        server.set_retry_after(Some(value));
+        let (sent, served) = run_load(&sites, Duration::from_millis(300)).await;
+        assert_eq!(served, sent, "{value}");
+        assert_eq!(server_dump(&sites[0], &server)["paused_ms"], 0, "{value}");
     }
 }
 
 /// Its connections end and nobody listens any more, with streams at work.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_exits_after_a_drain_notice_in_an_answer_is_not_taken_for_crashed() {
-    let (leaving, other) = (busy("i-0").await, busy("i-1").await);
+async fn a_server_that_exits_after_announcing_draining_is_not_counted_as_crashed() {
+    let (leaving, other) = (busy_server("i-0").await, busy_server("i-1").await);
     let pool = start_pool(&[&leaving, &other]).await;
     let sites = pool.start_isolated_entries(1).await;
     leaving.announce_draining();
@@ -291,8 +292,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_header_that_nothing_reads_shows_in_the_metrics() {
-    let (_pool, sites, [server, ..]) = three_servers().await;
+async fn an_unknown_response_header_is_counted_in_the_metrics() {
+    let (_pool, sites, [server, ..]) = start_three_server_pool().await;
     server.set_extra_headers(&["Server-Mood: grim"]);
 
     run_load(&sites, Duration::from_millis(300)).await;
@@ -302,15 +303,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn where_all_servers_asked_for_a_pause_requests_are_rejected_without_sending_them() {
-    let (_pool, sites, servers) = three_servers().await;
+async fn when_all_servers_are_paused_requests_are_rejected_without_being_sent() {
+    let (_pool, sites, servers) = start_three_server_pool().await;
     let from = Instant::now();
     servers.iter().for_each(|server| server.set_retry_after(Some("3")));
 
     let answers = responses_under_load(&sites, PAUSE).await;
 
     println!("{:?}", unavailable_sends(&sites[0]));
-    let in_pause: Vec<usize> = servers.iter().map(|s| arrivals_in_pause(s, from)).collect();
+    let in_pause: Vec<usize> = servers.iter().map(|s| arrivals_during_pause(s, from)).collect();
     assert_eq!(in_pause, [0, 0, 0], "of {} requests", answers.len());
     for (answer, took) in &answers {
         assert_eq!(answer.status, 503, "{answer:?}");
@@ -320,8 +321,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_drained_before_the_entry_started_gets_nothing() {
-    let draining = busy("i-0").await;
+async fn a_server_already_draining_when_the_entry_starts_gets_no_request() {
+    let draining = busy_server("i-0").await;
     let store = store_with(&[]).await;
     list(&store, &draining, "llm", "v1", "draining");
     let site = Site::beside(store).await;
