--- a/tests/platform/limited_pool.rs
+++ b/tests/platform/limited_pool.rs
@@ -1,4 +1,4 @@
-//! A pool with a rate-limited server behind several entries, and the load on it.
+//! Pools with rate-limited servers behind several entries, and the load on them.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,24 +13,26 @@
     site::{Answer, Site, always, list_life, request_with_id, store_with},
 };
 
-/// Events of a whole answer.
+/// Number of events in a complete response.
 const EVENT_COUNT: u64 = 4;
-/// The choice of the model is left to the entry.
+/// Leaves the choice of the model to the entry.
 const ANY_MODEL_HEADER: &str = "X-Model: *\r\n";
-/// Time between two requests of callers.
+/// Time between two requests of the load.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(15);
-/// Time in which all entries have to keep to a limit after the server first named it.
+/// Time after a server first advertises a rate limit from which all entries together have to keep
+/// to it.
 pub const LIMIT_PROPAGATION_TIME: Duration = Duration::from_secs(3);
-/// Length of the windows that the platform looks at.
+/// Length of the windows in which the platform counts requests.
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// A server whose answers every entry is content with.
+/// A server whose responses are complete and need no escalation to a larger model.
 pub async fn healthy_server(id: &str) -> Server {
     always(id, Action::Stream { last_event: EVENT_COUNT, is_complete: true, confidence: 90 }).await
 }
 
-/// A server from which more work goes on elsewhere: streams that break off, and answers of a small model that
-/// is not sure.
+/// A server that causes further requests to other servers: at random, a
+/// stream breaks off and has to be resumed, or has a low confidence and is escalated to a larger
+/// model.
 pub async fn flaky_server(id: &str) -> Server {
     let script = |request: &ReceivedRequest| match request.received_at.elapsed().subsec_nanos() % 2
     {
@@ -43,21 +45,23 @@
     Server::start(id, script).await
 }
 
-/// Model servers of one service in a store of their own, each in its first life.
+/// Creates a pool of model servers in a new store, each in its first incarnation.
 pub async fn start_pool(servers: &[&Server]) -> Pool {
     let store = store_with(&[]).await;
     servers.iter().for_each(|server| list_life(&store, server, "llm", 1_000));
     Pool::with_servers(store, servers.iter().map(|server| (*server).clone()).collect())
 }
 
-/// Asks all entries in turn for so long; how many were asked and how many served whole.
+/// Sends requests to the entries in turn for this duration; returns how many were sent and how many
+/// got a complete response.
 pub async fn run_load(sites: &[Arc<Site>], duration: Duration) -> (usize, usize) {
     let answers = responses_under_load(sites, duration).await;
     let served = answers.iter().filter(|(answer, _)| answer.status == 200 && answer.is_whole);
     (answers.len(), served.count())
 }
 
-/// Asks all entries in turn for so long; the answers, and how long each took.
+/// Sends requests to the entries in turn for this duration; returns each response and the time it
+/// took.
 pub async fn responses_under_load(
     sites: &[Arc<Site>],
     duration: Duration,
@@ -80,24 +84,25 @@
     requests.join_all().await
 }
 
-/// When requests reached a server from a time on.
+/// Times at which requests arrived at a server, from `from` on.
 pub fn arrival_times(server: &Server, from: std::time::Instant) -> Vec<std::time::Instant> {
     server.requests().iter().map(|request| request.received_at).filter(|at| *at >= from).collect()
 }
 
-/// The most that arrived within any window of this length.
+/// Maximum number of arrivals within any window of this length.
 pub fn max_in_window(arrivals: &[std::time::Instant], window: Duration) -> usize {
     let within =
         |i: usize| arrivals[i..].iter().take_while(|at| **at < arrivals[i] + window).count();
     (0..arrivals.len()).map(within).max().unwrap_or(0)
 }
 
-/// The most that the platform allows in a window of four seconds: one and a half times the limit, and five.
+/// Maximum number of requests that the platform allows in a window of four seconds: one and a half
+/// times the rate limit, plus five.
 pub fn max_arrivals_per_window(rate: f64) -> usize {
     (1.5 * rate * WINDOW.as_secs_f64() + 5.0) as usize
 }
 
-/// No window had more than the platform allows.
+/// Asserts that no window had more arrivals than the platform allows.
 pub fn assert_within_limit(server: &Server, from: std::time::Instant, rate: f64) {
     let most = max_in_window(&arrival_times(server, from), WINDOW);
     let bound = max_arrivals_per_window(rate);
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -1,4 +1,5 @@
-//! An entry on the users' platform, against small stand-ins of its store and its servers.
+//! Integration tests of an entry against scripted mock implementations of the platform's store and
+//! of its BackendServers.
 
 mod adapter;
 mod allowed_regions;
--- a/tests/platform/pool.rs
+++ b/tests/platform/pool.rs
@@ -1,5 +1,5 @@
-//! A pool of servers that end under some requests and start again a while later, and several entries
-//! before it.
+//! A pool of servers that crash on certain requests and restart after a delay, with several entries
+//! in front of it.
 
 use std::{
     collections::HashSet,
@@ -22,24 +22,24 @@
     store::Store,
 };
 
-/// Body of the request that ends every server that begins to run it.
+/// Body of the request that crashes every server that begins to run it.
 pub const CRASHING_BODY: &str = "ends whoever runs it";
-/// Time from a server's end to its next life.
+/// Time from a server's crash to its restart.
 pub const RESTART_DELAY: Duration = Duration::from_millis(600);
-/// Events of a whole answer.
+/// Number of events in a complete response.
 pub const EVENT_COUNT: u64 = 6;
 
-/// What reached the servers, and their ends.
+/// Arrivals of the crashing request at the servers, and the crashes that it caused.
 #[derive(Default)]
 pub struct CrashRecord {
-    /// When the crashing request reached a server, and under which id.
+    /// When the crashing request arrived at a server, and its `X-Request-Id`.
     pub arrivals: Mutex<Vec<(Instant, String)>>,
-    /// When a server ended under it.
+    /// When a server crashed on it.
     pub crashed_at: Mutex<Vec<Instant>>,
 }
 
 impl CrashRecord {
-    /// Arrivals of the crashing request later than this after the third server had ended under it.
+    /// Number of arrivals of the crashing request more than `tolerance` after the third crash.
     pub fn arrivals_after_third_crash(&self, tolerance: Duration) -> usize {
         let crashed_at = self.crashed_at.lock().unwrap();
         let Some(third) = crashed_at.get(2) else {
@@ -49,28 +49,29 @@
         arrivals.iter().filter(|(at, _)| *at > *third + tolerance).count()
     }
 
-    /// How many tries of callers all arrivals belong to.
+    /// Number of distinct caller requests among the arrivals.
     pub fn distinct_requests(&self) -> usize {
         let arrivals = self.arrivals.lock().unwrap();
         arrivals.iter().map(|(_, id)| id).collect::<HashSet<_>>().len()
     }
 
+    /// Number of crashes.
     pub fn crash_count(&self) -> usize {
         self.crashed_at.lock().unwrap().len()
     }
 }
 
-/// The servers and the store that lists them.
+/// Servers, and the store that lists them.
 pub struct Pool {
     pub store: Store,
     pub crash_record: Arc<CrashRecord>,
     pub servers: Vec<Server>,
-    /// Ends with the pool.
+    /// Tasks that restart crashed servers; they stop when the pool is dropped.
     _restarts: JoinSet<()>,
 }
 
 impl Pool {
-    /// Servers of a service, each of which answers streams and ends under the crashing request.
+    /// Starts servers of a service that respond with streams and crash on the crashing request.
     pub async fn start(service: &'static str, number: usize, after_head: bool) -> Self {
         let crash_record = Arc::new(CrashRecord::default());
         let store = store_with(&[]).await;
@@ -97,12 +98,13 @@
         Self { store, crash_record, servers, _restarts: restarts }
     }
 
-    /// Servers that are in a store already, and are not started again by the pool.
+    /// A pool of servers that are already listed in the store; it does not restart them.
     pub fn with_servers(store: Store, servers: Vec<Server>) -> Self {
         Self { store, crash_record: Arc::default(), servers, _restarts: JoinSet::new() }
     }
 
-    /// Entries before the pool, of which the first two are seeds for all.
+    /// Starts entries in front of the pool, the first two of which are the seeds of all, and waits
+    /// until each has the servers in view and all report to the seeds.
     pub async fn start_entries(&self, number: usize) -> Vec<Arc<Site>> {
         let seeds: Vec<_> = (0..2).map(|_| free_address()).collect();
         let mut sites = Vec::new();
@@ -114,15 +116,16 @@
         }
         for site in sites.iter().skip(2) {
             let follows = || site.entry.router.dump()["follows_another_entry"] == true;
-            until("it follows a seed", follows).await;
+            until("the entry follows a seed", follows).await;
         }
         for site in &sites {
-            until("all report", || site.entry.router.dump()["entries"] == number).await;
+            until("all entries report", || site.entry.router.dump()["entries"] == number).await;
         }
         sites
     }
 
-    /// Entries that know of no seed that lives: none hears from another one.
+    /// Starts entries whose only seed does not exist, so that they exchange nothing with each
+    /// other.
     pub async fn start_isolated_entries(&self, number: usize) -> Vec<Arc<Site>> {
         let unused_seed = [free_address()];
         let mut sites = Vec::new();
@@ -134,7 +137,8 @@
         sites
     }
 
-    /// One entry with these seeds, at this address for other entries if it is to be one of them.
+    /// Starts one entry with these seeds; `peer` is the address for other entries if it is itself a
+    /// seed.
     pub async fn start_entry(&self, seeds: &[SocketAddr], peer: Option<SocketAddr>) -> Site {
         Site::with(self.store.clone(), |host| {
             host.seed_peers = seeds.to_vec();
@@ -144,8 +148,9 @@
     }
 }
 
-/// An address that nobody listens at, for an entry that others have to know before it starts. It is on a host
-/// address of its own: on the usual one, a connection that is opened meanwhile may be given its port.
+/// An unused address for an entry whose address others need before it starts. Each is on a loopback
+/// address of its own: on 127.0.0.1, an outgoing connection that is opened in the meantime may be
+/// assigned the same port.
 pub fn free_address() -> SocketAddr {
     static NEXT_HOST: AtomicUsize = AtomicUsize::new(0);
     let [.., high, low] = NEXT_HOST.fetch_add(1, Ordering::Relaxed).to_be_bytes();
@@ -153,7 +158,7 @@
     std::net::TcpListener::bind((host, 0)).unwrap().local_addr().unwrap()
 }
 
-/// Lists a server's next life a while after each end.
+/// Restarts a server a while after each crash and lists its next incarnation.
 async fn restart_after_crashes(store: Store, server: Server, service: &'static str) {
     let mut incarnation = 0;
     loop {
@@ -164,15 +169,15 @@
     }
 }
 
-/// Sends a body on a path under a new id.
+/// Sends a POST request with a new id.
 pub async fn post(site: &Site, path: &str, body: &str) -> Answer {
     static NEXT_ID: AtomicUsize = AtomicUsize::new(0);
     let id = format!("p-{}", NEXT_ID.fetch_add(1, Ordering::Relaxed));
     site.send(&request_with_id(&id, "POST", path, "X-Model: small\r\n", body)).await
 }
 
-/// Asks for the crashing request over and over, at one entry after the other, without waiting for
-/// answers.
+/// Sends the crashing request to the entries in turn, every 60 ms for this duration, without
+/// waiting for responses.
 pub async fn send_crashing_requests(sites: &[Arc<Site>], path: &'static str, duration: Duration) {
     let mut requests = JoinSet::new();
     let end = Instant::now() + duration;
@@ -187,7 +192,8 @@
     while requests.join_next().await.is_some() {}
 }
 
-/// Asks for other requests meanwhile, each of its own; how many were asked and how many served whole.
+/// Sends different, harmless requests to the entries in turn for this duration; returns how many
+/// were sent and how many got a complete response.
 pub async fn send_other_requests(sites: &[Arc<Site>], duration: Duration) -> (usize, usize) {
     let mut requests = JoinSet::new();
     let end = Instant::now() + duration;
--- a/tests/platform/server.rs
+++ b/tests/platform/server.rs
@@ -1,4 +1,5 @@
-//! A stand-in of a BackendServer on the platform that answers as its script says, byte by byte.
+//! A scripted mock of a BackendServer. It writes raw bytes, so that it can also send responses that
+//! violate the protocol or break off.
 
 use std::{
     collections::HashMap,
@@ -17,7 +18,7 @@
     time::sleep,
 };
 
-/// A request as it reached the server.
+/// A request as the server received it.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
     pub received_at: Instant,
@@ -27,84 +28,90 @@
 }
 
 impl ReceivedRequest {
+    /// Value of the header with this lower-case name; empty if it is missing.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 }
 
-/// What the server does with one request.
+/// How the server reacts to one request.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// A whole answer.
+    /// Sends a complete response.
     Respond { status: u16, body: &'static str },
-    /// A whole answer after a while.
+    /// Sends a complete response after a delay.
     RespondAfter { body: &'static str, delay: Duration },
-    /// A whole answer after a while that repeats the request's id.
+    /// Sends a complete response after a delay, with the request's id as its body.
     EchoIdAfter { delay: Duration },
-    /// An answer in one piece that breaks off.
+    /// Sends less of the body than `Content-Length` says, then closes the connection.
     Truncated,
-    /// Says that it did not run it.
+    /// Sends 503 with `X-Not-Executed`: the request was not run.
     NotExecuted,
-    /// Says that it did not run it, and asks for a pause.
+    /// Sends 503 with `X-Not-Executed` and `Retry-After`: the server asks for a pause.
     NotExecutedRetryAfter { retry_after: String },
-    /// Says that another server is meant.
+    /// Sends 421 with the id of another server: the address now belongs to that one.
     Misrouted,
-    /// Answers another request.
+    /// Sends a complete response with the id of another request.
     WrongRequestId,
-    /// An answer without a signature.
+    /// Sends a response without the signature header `X-Instance-Stamp`.
     Unsigned,
-    /// A body with an encoding nobody asked for.
+    /// Sends a response with `Content-Encoding: gzip`, which the request did not accept.
     Gzip,
-    /// Ends the connection once the request is here.
+    /// Closes the connection after it has read the request.
     CloseConnection,
-    /// Never answers.
+    /// Sends no response and keeps the connection open.
     Hang,
-    /// Events from after the caller's last to `to`; ends whole, or breaks off inside an event.
+    /// Sends all events after `Last-Event-Id` up to `last_event` at once, then ends the stream
+    /// properly or breaks off inside a further event.
     Stream { last_event: u64, is_complete: bool, confidence: u8 },
-    /// A whole stream whose events come one by one after a pause.
+    /// Sends a complete stream, with a pause after each event.
     PacedStream { last_event: u64, interval: Duration },
-    /// Events without an end, each after a pause.
+    /// Sends events, with a pause after each, until the connection is closed.
     EndlessStream,
-    /// The same from a model that has this opinion of them.
+    /// Like `EndlessStream`, with this value of `X-Confidence`.
     EndlessStreamWithConfidence { confidence: u8 },
-    /// An answer without a length that ends with its connection.
+    /// Sends a response without a length, which ends when the connection is closed.
     CloseDelimited,
-    /// A whole answer, and a second one after it.
+    /// Sends the same complete response twice.
     Duplicate,
-    /// The whole process ends as it begins to run the request, with the head of a stream's answer or
-    /// without any.
+    /// Terminates the whole process, either after it has sent the response head of a stream or
+    /// without any response.
     Crash { after_head: bool },
 }
 
-/// Opinion of an answer that is asked again of no larger model.
+/// Value of `X-Confidence` at which an answer is not escalated to a larger model.
 const CONFIDENT: u8 = 90;
-/// Pause of a stream without an end.
+/// Pause between the events of a stream without an end.
 const EVENT_INTERVAL: Duration = Duration::from_millis(10);
 
+/// Chooses the reaction to each request.
 type Script = Arc<dyn Fn(&ReceivedRequest) -> Action + Send + Sync>;
 
+/// State of the simulated server process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProcessState {
     Running,
-    /// Nobody listens any more; its connections end next, as those of a process that is gone.
+    /// The listener is about to be closed; open connections are closed next, as when a process
+    /// exits.
     Terminating,
     Terminated,
 }
 
-/// The stand-in.
+/// Handle of a mock server; clones share its state.
 #[derive(Clone)]
 pub struct Server {
     pub id: String,
     pub address: SocketAddr,
     requests: Arc<Mutex<Vec<ReceivedRequest>>>,
     active_requests: Arc<AtomicUsize>,
-    /// Requests a second that it advertises in its answers, as it writes them.
+    /// Values of the `Server-Limit` header lines in its responses: the requests per second that it
+    /// accepts.
     limit_headers: Arc<Mutex<Vec<String>>>,
-    /// Header lines that all its answers have now.
+    /// Header lines added to all its responses.
     extra_headers: Arc<Mutex<Vec<String>>>,
-    /// `Retry-After` of its rejections; it rejects everything while there is one.
+    /// While this is set, the server rejects every request with this `Retry-After`.
     retry_after: Arc<Mutex<Option<String>>>,
-    /// Number of its present life, from 0, and how far that got.
+    /// Number of the current incarnation, from 0, and its state.
     process: Arc<watch::Sender<(usize, ProcessState)>>,
 }
 
@@ -129,7 +136,7 @@
         server
     }
 
-    /// Takes connections, life after life.
+    /// Accepts connections, in one incarnation after the other.
     async fn serve(self, mut listener: TcpListener, script: Script) {
         loop {
             let incarnation = self.process.borrow().0;
@@ -148,7 +155,7 @@
                 () = accept => return,
                 () = self.wait_until(|state| state.1 != ProcessState::Running) => {}
             }
-            // Nobody listens between two lives: connections are refused.
+            // Between two incarnations the port is closed, so connections are refused.
             drop(listener);
             self.process.send_modify(|state| state.1 = ProcessState::Terminated);
             let mut states = self.process.subscribe();
@@ -159,37 +166,40 @@
         }
     }
 
-    /// Waits until a life has ended.
+    /// Waits until this incarnation has terminated.
     pub async fn wait_until_terminated(&self, incarnation: usize) {
         self.wait_until(|state| state.0 > incarnation || state.1 == ProcessState::Terminated).await;
     }
 
+    /// Waits until the incarnation and its state satisfy a condition.
     async fn wait_until(&self, condition: impl Fn(&(usize, ProcessState)) -> bool) {
         let mut states = self.process.subscribe();
-        states.wait_for(condition).await.expect("the server is still here");
+        states.wait_for(condition).await.expect("the server handle holds the sender");
     }
 
-    /// Names a limit in its answers from now on, on a line for each of these; none ends it.
+    /// Adds a `Server-Limit` header line for each of these values to all further responses; none
+    /// removes it.
     pub fn advertise_limit(&self, lines: &[&str]) {
         *self.limit_headers.lock().unwrap() = lines.iter().map(|line| (*line).to_owned()).collect();
     }
 
-    /// Has these header lines in all its answers from now on.
+    /// Adds these header lines, instead of earlier ones, to all further responses.
     pub fn set_extra_headers(&self, lines: &[&str]) {
         *self.extra_headers.lock().unwrap() = lines.iter().map(|line| (*line).to_owned()).collect();
     }
 
-    /// Announces in its answers that it is draining; its row stays as it is.
+    /// Announces in all further responses that it is draining; its row in the store does not
+    /// change.
     pub fn announce_draining(&self) {
         self.set_extra_headers(&["Server-Leaving: 1"]);
     }
 
-    /// Rejects all requests with this `Retry-After`, or none any more.
+    /// Rejects all further requests with this `Retry-After`; `None` ends that.
     pub fn set_retry_after(&self, retry_after: Option<&str>) {
         *self.retry_after.lock().unwrap() = retry_after.map(Into::into);
     }
 
-    /// Header lines of an answer that it writes now.
+    /// Current header lines for a rate limit and announcements.
     fn header_lines(&self) -> String {
         let limit = self.limit_headers.lock().unwrap();
         let limit = limit.iter().map(|line| format!("Server-Limit: {line}\r\n"));
@@ -197,27 +207,28 @@
         limit.chain(extra.iter().map(|line| format!("{line}\r\n"))).collect()
     }
 
-    /// Ends its life at once, with all its connections.
+    /// Terminates the current incarnation and all its connections at once.
     pub fn crash(&self) {
         self.process.send_modify(|state| state.1 = ProcessState::Terminating);
     }
 
-    /// Begins its next life, and gives its number.
+    /// Starts the next incarnation and returns its number.
     pub fn restart(&self) -> usize {
         self.process.send_modify(|state| *state = (state.0 + 1, ProcessState::Running));
         self.process.borrow().0
     }
 
-    /// Requests that reached it.
+    /// All requests received so far.
     pub fn requests(&self) -> Vec<ReceivedRequest> {
         self.requests.lock().unwrap().clone()
     }
 
-    /// Requests it is at work on.
+    /// Number of requests that it is handling.
     pub fn active_requests(&self) -> usize {
         self.active_requests.load(Ordering::SeqCst)
     }
 
+    /// Handles the requests of one connection, one after the other.
     async fn serve_connection(&self, mut stream: TcpStream, script: Script) {
         while let Some(request) = read_request(&mut stream).await {
             self.requests.lock().unwrap().push(request.clone());
@@ -243,6 +254,7 @@
     }
 }
 
+/// Reads one request with its body; `None` when the connection has ended.
 async fn read_request(stream: &mut TcpStream) -> Option<ReceivedRequest> {
     let mut buf = Vec::new();
     let end = loop {
@@ -270,7 +282,7 @@
     Some(ReceivedRequest { received_at: Instant::now(), request_line, headers, body })
 }
 
-/// Does it; whether the connection goes on.
+/// Carries out an action; returns whether the connection stays open for further requests.
 async fn respond(
     stream: &mut TcpStream,
     request: &ReceivedRequest,
@@ -307,12 +319,12 @@
         Action::CloseConnection | Action::Crash { after_head: false } => (String::new(), false),
         Action::Crash { after_head: true } => {
             let sent = stream.write_all(stream_head(&signed, CONFIDENT).as_bytes()).await.is_ok();
-            // The head is on its way before the process ends.
+            // Time for the head to reach the entry before the process terminates.
             sleep(EVENT_INTERVAL).await;
             return sent;
         }
         Action::Hang => {
-            // Until the entry gives up on the connection.
+            // Returns when the entry closes the connection.
             let mut rest = [0; 16];
             let _ = stream.read(&mut rest).await;
             return false;
@@ -338,17 +350,20 @@
     stream.write_all(bytes.as_bytes()).await.is_ok() && keeps_connection
 }
 
-/// Head of a stream's answer.
+/// Response head of an event stream.
 fn stream_head(signed: &str, confidence: u8) -> String {
     format!(
         "HTTP/1.1 200 X\r\n{signed}X-Confidence: {confidence}\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
     )
 }
 
+/// One chunk in chunked transfer encoding.
 fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
+/// Sends the events after `Last-Event-Id` up to `last_event` at once, and the end of the stream or
+/// half an event.
 async fn send_burst(
     stream: &mut TcpStream,
     request: &ReceivedRequest,
@@ -367,6 +382,7 @@
     stream.write_all(out.as_bytes()).await.is_ok() && is_complete
 }
 
+/// Sends the events up to `last_event` with a pause after each, and the end of the stream.
 async fn send_paced(
     stream: &mut TcpStream,
     signed: &str,
