--- a/tests/platform/allowed_regions.rs
+++ b/tests/platform/allowed_regions.rs
@@ -1,4 +1,5 @@
-//! Requests of routes and Organisations that have homes reach no server in another region, on a site with three.
+//! Requests of routes and Organisations with allowed regions reach no server in another region, on
+//! a site with three regions.
 
 use serde_json::{Value, json};
 
@@ -11,7 +12,8 @@
 const SUCCESS: Action = Action::Respond { status: 200, body: "good" };
 const REGIONS: [&str; 3] = ["north", "south", "west"];
 
-/// A site with a server in each region, an entry in the first, and this change of the configuration.
+/// Starts a site with a server in each region, an entry in the first region, and a changed
+/// configuration.
 async fn start_site(
     service: &str,
     actions: [Action; 3],
@@ -39,6 +41,7 @@
     (site, servers)
 }
 
+/// For each server, whether it received any request.
 fn received_any(servers: &[Server]) -> Vec<bool> {
     servers.iter().map(|server| !server.requests().is_empty()).collect()
 }
@@ -71,7 +74,7 @@
     assert_eq!(received_any(&servers), [false, false, true]);
 }
 
-/// Its only home fails: no retry leaves it.
+/// The server in the only allowed region fails; no retry goes to another region.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_retry_stays_in_the_allowed_region() {
     let allowed = |config: &mut Value| config["routes"][0]["allowed-regions"] = json!(["south"]);
@@ -83,7 +86,6 @@
     assert_eq!(received_any(&servers), [false, true, false]);
 }
 
-/// Neither does the rest of a stream that broke off, nor the larger model.
 #[tokio::test(flavor = "multi_thread")]
 async fn resumed_streams_and_escalations_stay_in_the_allowed_region() {
     let allowed = |config: &mut Value| config["tenants"][0]["allowed-regions"] = json!(["south"]);
--- a/tests/platform/rate_limits.rs
+++ b/tests/platform/rate_limits.rs
@@ -1,4 +1,5 @@
-//! A server that advertises how many requests a second it takes from all entries together (docs/incidents/0012).
+//! Servers that advertise how many requests per second they accept from all entries together
+//! (docs/incidents/0012).
 
 use std::{
     sync::Arc,
@@ -13,7 +14,7 @@
     site::{Site, list_life, until},
 };
 
-/// How many sends to rate-limited servers an entry counts, by what they were.
+/// Lines of an entry's metric of sends to rate-limited servers, by outcome.
 fn limited_sends(site: &Site) -> Vec<String> {
     let text = site.entry.router.metrics.render();
     let lines = text.lines().filter(|line| line.starts_with("mintmoor_limited_sends_total"));
@@ -41,20 +42,22 @@
     assert!(served * 10 >= sent * 9, "{served} of {sent} served");
 }
 
+/// Whether an entry knows any advertised rate limit.
 fn knows_limit(site: &Site) -> bool {
     !site.entry.router.dump()["limits"].as_array().unwrap().is_empty()
 }
 
-/// Waits until all know the only limit that is named, and their places.
+/// Waits until all entries know the advertised limit and their own place, which decides on their
+/// share of it.
 async fn wait_until_settled(sites: &[Arc<Site>]) {
     run_load(sites, Duration::from_millis(300)).await;
     for site in sites {
-        until("it knows the limit", || knows_limit(site)).await;
-        until("it knows its place", || !site.entry.router.dump()["place"].is_null()).await;
+        until("the entry knows the limit", || knows_limit(site)).await;
+        until("the entry knows its place", || !site.entry.router.dump()["place"].is_null()).await;
     }
 }
 
-/// The only entry that sends to a server that names one request a second.
+/// Index of the only entry that sends to a server with a limit of one request per second.
 async fn find_only_sender(sites: &[Arc<Site>]) -> usize {
     wait_until_settled(sites).await;
     let before: Vec<_> = sites.iter().map(|site| limited_sends(site)).collect();
@@ -65,7 +68,8 @@
     senders[0]
 }
 
-/// One entry in five may send to it, and is killed.
+/// The limit of one request per second allows only one of five entries to send, and that one is
+/// killed.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_rate_limited_server_is_used_again_soon_after_its_only_sender_dies() {
     let (limited, other) = (healthy_server("i-limited").await, healthy_server("i-1").await);
@@ -79,11 +83,11 @@
     run_load(&sites, Duration::from_secs(4)).await;
 
     let soon = arrival_times(&limited, killed + Duration::from_secs(2));
-    assert!(!soon.is_empty(), "nobody sends there any more");
+    assert!(!soon.is_empty(), "no entry sends to the server");
     assert_within_limit(&limited, killed, 1.0);
 }
 
-/// Until then nobody sends to it but one entry, which has no callers.
+/// Only one entry sends to the server, and that one gets no requests from callers.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_end_of_a_rate_limit_is_noticed_although_its_only_sender_is_idle() {
     let (limited, other) = (healthy_server("i-limited").await, healthy_server("i-1").await);
@@ -99,11 +103,11 @@
         run_load(&sites, Duration::from_millis(100)).await;
     }
 
-    assert!(!sites.iter().any(|site| knows_limit(site)), "the end is not heard");
-    until("the idle one is told, too", || !knows_limit(&idle)).await;
+    assert!(!sites.iter().any(|site| knows_limit(site)), "the end of the limit was not noticed");
+    until("the idle entry knows it too", || !knows_limit(&idle)).await;
 }
 
-/// Three servers take 6.6 requests a second, and callers ask 66.
+/// Three servers accept 6.6 requests per second in total, and callers send 66.
 #[tokio::test(flavor = "multi_thread")]
 async fn when_all_servers_are_rate_limited_excess_requests_are_refused_at_once() {
     let servers =
@@ -119,7 +123,7 @@
     servers.iter().for_each(|server| assert_within_limit(server, from, 2.2));
     let served = answers.iter().filter(|(answer, _)| answer.status == 200).count();
     let capacity = 3.0 * 2.2 * 8.0;
-    assert!(served as f64 >= 0.9 * capacity, "{served} served, {capacity} are taken");
+    assert!(served as f64 >= 0.9 * capacity, "{served} served, the servers accept {capacity}");
     for (answer, took) in &answers {
         assert!(*took < Duration::from_secs(1), "{answer:?} after {took:?}");
         let is_reported = answer.status == 200
@@ -130,7 +134,8 @@
     }
 }
 
-/// Nearly all that reaches it are resumed streams and larger models, after another server that serves few of them whole.
+/// The only other server leaves most requests incomplete, so that nearly all requests to the
+/// limited server are resumed streams and escalations to a larger model.
 #[tokio::test(flavor = "multi_thread")]
 async fn retries_and_resumed_streams_keep_to_the_rate_limit() {
     let (limited, flaky) = (healthy_server("i-limited").await, flaky_server("i-flaky").await);
@@ -144,7 +149,7 @@
 
     let further =
         |site: &Arc<Site>| limited_sends(site).iter().any(|line| line.contains("further"));
-    assert!(sites.iter().any(further), "no further send was made");
+    assert!(sites.iter().any(further), "no retry or resumed stream was sent");
     assert_within_limit(&limited, from, 1.9);
 }
 
@@ -155,7 +160,7 @@
     let sites = pool.start_entries(3).await;
     limited.advertise_limit(&["1.9"]);
     run_load(&sites, Duration::from_millis(300)).await;
-    until("it is known", || sites.iter().all(|site| knows_limit(site))).await;
+    until("the limit is known", || sites.iter().all(|site| knows_limit(site))).await;
     limited.advertise_limit(&[]);
 
     let seed = sites[0].entry.addresses.peer.unwrap();
@@ -165,7 +170,11 @@
         assert_eq!(late.ask("POST", "/chat/late", "X-Model: small\r\n").await.status, 200);
     }
 
-    assert_eq!(limited.requests().len(), before, "it has no place yet, and another server is free");
+    assert_eq!(
+        limited.requests().len(),
+        before,
+        "the new entry has no place yet, and another server is free"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -175,12 +184,12 @@
     let sites = pool.start_entries(2).await;
     limited.advertise_limit(&["1.9"]);
     run_load(&sites, Duration::from_millis(300)).await;
-    until("it is known", || sites.iter().all(|site| knows_limit(site))).await;
+    until("the limit is known", || sites.iter().all(|site| knows_limit(site))).await;
 
     limited.advertise_limit(&[]);
     list_life(&pool.store, &limited, "llm", 2_000);
 
-    until("the new life has none", || !sites.iter().any(|site| knows_limit(site))).await;
+    until("the limit is forgotten", || !sites.iter().any(|site| knows_limit(site))).await;
     let (sent, served) = run_load(&sites, Duration::from_secs(1)).await;
     assert_eq!(served, sent);
 }
--- a/tests/platform/server_restarts.rs
+++ b/tests/platform/server_restarts.rs
@@ -1,4 +1,5 @@
-//! A server that starts again under the id it had: nothing that was known of it holds any more.
+//! A server that restarts under the same id: the entry discards everything that it knew of the
+//! earlier incarnation.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,23 +14,24 @@
 
 const SUCCESS: Action = Action::Respond { status: 200, body: "good" };
 const COMPLETE_STREAM: Action = Action::Stream { last_event: 6, is_complete: true, confidence: 90 };
-/// A prompt of two parts, the first of which other requests may share.
+/// Headers of a prompt of two parts, the first of which other requests may share.
 const PROMPT_HEADERS: &str =
     "X-Model: small\r\nX-Token-Usage: 1600,20\r\nX-Prefix-Hash: a:1500,b:100\r\n";
 
+/// The only server's section of an entry's state dump.
 fn server_dump(site: &Site) -> serde_json::Value {
     site.entry.router.dump()["servers"][0].clone()
 }
 
-/// A site with one server in its first life.
+/// Starts a site with one server in its first incarnation.
 async fn start_site(server: &Server, service: &str) -> Arc<Site> {
     let site = Site::start(&[]).await;
     list_life(&site.store, server, service, 1_000);
-    until("it is in view", || site.entry.router.fleet.load().len() == 1).await;
+    until("the server is in view", || site.entry.router.fleet.load().len() == 1).await;
     Arc::new(site)
 }
 
-/// Asks in the background.
+/// Sends a request in the background.
 fn spawn_request(site: &Arc<Site>, path: &'static str) -> tokio::task::JoinHandle<Answer> {
     let site = site.clone();
     tokio::spawn(async move { site.ask("POST", path, "X-Model: small\r\n").await })
@@ -44,7 +46,7 @@
 
     list_life(&site.store, &server, "llm", 2_000);
 
-    until("nothing is kept", || server_dump(&site)["kept_tokens"] == 0).await;
+    until("the prefix cache is empty", || server_dump(&site)["kept_tokens"] == 0).await;
     assert_eq!(server_dump(&site)["idle_connections"], 0);
 }
 
@@ -59,7 +61,7 @@
 
     list_life(&site.store, &server, "app", 2_000);
 
-    until("its failures are forgotten", || server_dump(&site)["failure_rate"] == 0.0).await;
+    until("the failure rate is reset", || server_dump(&site)["failure_rate"] == 0.0).await;
     assert_eq!(server_dump(&site)["out"], false);
 }
 
@@ -73,7 +75,7 @@
     leaving["born"] = json!(1_000);
     site.store.put("servers", "i-1", &leaving);
 
-    until("it leaves", || server_dump(&site)["draining_row"] == true).await;
+    until("the server is draining", || server_dump(&site)["draining_row"] == true).await;
     assert_eq!(server_dump(&site)["kept_tokens"], 1_500);
 }
 
@@ -83,48 +85,49 @@
     let site = start_site(&server, "llm").await;
     list_life(&site.store, &server, "llm", 2_000);
     let started_at = || site.entry.router.fleet.load().of_service("llm")[0].server.started_at;
-    until("the new life is in view", || started_at() == Some(2_000)).await;
+    until("the new incarnation is in view", || started_at() == Some(2_000)).await;
     let mut earlier = server_row("127.0.0.1:1".parse().unwrap(), "llm", "v0", "draining");
     earlier["born"] = json!(1_000);
 
     site.store.put("servers", "i-1", &earlier);
     let later = always("i-2", SUCCESS).await;
     list_life(&site.store, &later, "app", 1_000);
-    until("the list was read", || site.entry.router.fleet.load().len() == 2).await;
+    until("the server list was read", || site.entry.router.fleet.load().len() == 2).await;
     let answer = site.ask("POST", "/chat/b", PROMPT_HEADERS).await;
 
     assert_eq!(answer.status, 200);
     assert_eq!(&*site.entry.router.fleet.load().of_service("llm")[0].server.version, "v1");
 }
 
-/// The deadline of the callers here is five seconds, the server never answers, and the route allows one
-/// run: without a word of the new life the answer would come at the route's timeout.
+/// The server never responds, the caller's deadline is five seconds, and the route allows one
+/// attempt. If the entry did not notice the restart, the caller would get its response only at the
+/// route's timeout.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_once_only_request_fails_without_a_retry_when_its_server_restarts() {
     let server = first_then("i-1", Action::Hang, SUCCESS).await;
     let site = start_site(&server, "app").await;
     let pending = spawn_request(&site, "/once/a");
-    until("it is there", || server.requests().len() == 1).await;
+    until("the request arrived", || server.requests().len() == 1).await;
 
     list_life(&site.store, &server, "app", 2_000);
     let answer = pending.await.unwrap();
 
-    assert_eq!(answer.status, 502, "nobody knows whether it ran");
+    assert_eq!(answer.status, 502, "it is unknown whether the request ran");
     assert_eq!(server.requests().len(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_is_resumed_on_another_server_when_its_server_restarts() {
-    // The first server sends three events a second apart and would take an hour for the rest.
+    // Sends one event per second and would take an hour for all of them.
     let slow = Action::PacedStream { last_event: 3_600, interval: Duration::from_secs(1) };
     let restarting = always("i-1", slow).await;
     let site = start_site(&restarting, "llm").await;
     let began = Instant::now();
     let pending = spawn_request(&site, "/chat/a");
-    until("it is there", || restarting.requests().len() == 1).await;
+    until("the request arrived", || restarting.requests().len() == 1).await;
     let resuming = always("i-2", COMPLETE_STREAM).await;
     list_life(&site.store, &resuming, "llm", 1_000);
-    until("both are in view", || site.entry.router.fleet.load().len() == 2).await;
+    until("both servers are in view", || site.entry.router.fleet.load().len() == 2).await;
 
     list_life(&site.store, &restarting, "llm", 2_000);
     let answer = pending.await.unwrap();
@@ -134,7 +137,7 @@
     assert_eq!(resuming.requests().len(), 1, "after {:?}", began.elapsed());
 }
 
-/// Entries name the lives of servers in what they tell each other.
+/// Entries name the incarnation of the server in the reports that they exchange.
 #[tokio::test(flavor = "multi_thread")]
 async fn peer_reports_about_an_earlier_incarnation_are_ignored() {
     let server = always("i-1", COMPLETE_STREAM).await;
@@ -146,14 +149,15 @@
         site.until_in_view(1).await;
     }
     second.ask("POST", "/chat/a", PROMPT_HEADERS).await;
-    until("the first one knows", || server_dump(&first)["kept_tokens"] == 1_500).await;
+    until("the first entry knows of the cache", || server_dump(&first)["kept_tokens"] == 1_500)
+        .await;
 
     list_life(&first.store, &server, "llm", 2_000);
-    until("the first one forgot", || server_dump(&first)["kept_tokens"] == 0).await;
-    // An entry that starts now is told what was told of late, of the former life, too.
+    until("the first entry has discarded it", || server_dump(&first)["kept_tokens"] == 0).await;
+    // A new entry is sent all recent reports, also those about the earlier incarnation.
     let third = Site::following(first.store.clone(), &first).await;
     third.until_in_view(1).await;
-    until("it is told", || third.entry.router.dump()["entries"] == 3).await;
+    until("the third entry has the reports", || third.entry.router.dump()["entries"] == 3).await;
 
     assert_eq!(server_dump(&third)["kept_tokens"], 0);
 }
--- a/tests/platform/unavailable_servers.rs
+++ b/tests/platform/unavailable_servers.rs
@@ -1,4 +1,5 @@
-//! Servers that drain or ask for a pause in their answers.
+//! Servers that announce in response headers that they are draining, or ask for a pause with
+//! `Retry-After`.
 
 use std::{
     sync::Arc,
@@ -16,31 +17,32 @@
     store::Fault,
 };
 
-/// Time after a rejection in which requests may arrive that were on their way.
+/// Time after the first rejection in which requests sent before it may still arrive.
 const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
+/// Length of the pause that servers ask for.
 const PAUSE: Duration = Duration::from_secs(3);
-/// Time for which a draining server may be a last resort.
+/// Time for which a draining server may be used if there is no other: half of the drain time.
 const LAST_RESORT_TIME: Duration = Duration::from_secs(3);
 
-/// What an entry's state dump has of a server.
+/// A server's section of an entry's state dump.
 fn server_dump(site: &Site, server: &Server) -> Value {
     let dump = site.entry.router.dump();
     let servers = dump["servers"].as_array().unwrap();
     servers.iter().find(|s| s["id"] == *server.id).cloned().unwrap_or_default()
 }
 
-/// Whether an entry knows that one server drains and another one asked for a pause.
+/// Whether an entry knows that one server is draining and that another one is paused.
 fn knows_draining_and_paused(site: &Site, draining: &Server, paused: &Server) -> bool {
     let is_draining = !server_dump(site, draining)["draining_ms"].is_null();
     is_draining && server_dump(site, paused)["paused_ms"] != 0
 }
 
-/// A server whose answers take half a second, so that load builds up on all servers.
+/// A server whose responses take half a second, so that the load spreads over all servers.
 async fn busy_server(id: &str) -> Server {
     always(id, Action::PacedStream { last_event: 5, interval: Duration::from_millis(100) }).await
 }
 
-/// A pool of three busy servers behind one entry.
+/// Starts a pool of three busy servers behind one entry, under load for a moment.
 async fn start_three_server_pool() -> (Pool, Vec<Arc<Site>>, [Server; 3]) {
     let servers = [busy_server("i-0").await, busy_server("i-1").await, busy_server("i-2").await];
     let pool = start_pool(&servers.each_ref()).await;
@@ -49,17 +51,18 @@
     (pool, sites, servers)
 }
 
-/// What an entry counted of sends to servers that should get none.
+/// Lines of an entry's metric of sends to unavailable servers.
 fn unavailable_sends(site: &Site) -> Vec<String> {
     let text = site.entry.router.metrics.render();
     let lines = text.lines().filter(|line| line.starts_with("mintmoor_unavailable_sends_total"));
     lines.map(str::to_owned).collect()
 }
 
-/// Requests that reached a paused server until the end of its pause, but for those on their way at its first rejection.
+/// Number of requests that arrived at a server during its pause, without those that may have been
+/// sent before its first rejection was known.
 fn arrivals_during_pause(server: &Server, from: Instant) -> usize {
     let rejected_at = arrival_times(server, from);
-    let pause_start = *rejected_at.first().expect("it rejected none");
+    let pause_start = *rejected_at.first().expect("the server rejected no request");
     let is_during_pause =
         |at: &&Instant| **at > pause_start + IN_FLIGHT_TIME && **at < pause_start + PAUSE;
     rejected_at.iter().filter(is_during_pause).count()
@@ -70,7 +73,8 @@
     let (_pool, sites, [draining, ..]) = start_three_server_pool().await;
     draining.announce_draining();
     run_load(&sites, Duration::from_millis(300)).await;
-    until("it is known", || !server_dump(&sites[0], &draining)["draining_ms"].is_null()).await;
+    until("the draining is known", || !server_dump(&sites[0], &draining)["draining_ms"].is_null())
+        .await;
 
     let from = Instant::now();
     let (sent, served) = run_load(&sites, Duration::from_secs(3)).await;
@@ -96,7 +100,7 @@
     sleep(Duration::from_millis(200)).await;
     let from = Instant::now();
     run_load(&sites, Duration::from_secs(1)).await;
-    assert!(!arrival_times(&paused, from).is_empty(), "it is not used again");
+    assert!(!arrival_times(&paused, from).is_empty(), "the server is not used again");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -128,7 +132,10 @@
     draining.announce_draining();
     paused.set_retry_after(Some("60"));
     run_load(&sites, Duration::from_millis(300)).await;
-    until("both are known", || knows_draining_and_paused(&sites[0], &draining, &paused)).await;
+    until("the draining and the pause are known", || {
+        knows_draining_and_paused(&sites[0], &draining, &paused)
+    })
+    .await;
 
     for server in [&draining, &paused] {
         pool.store.remove("servers", &server.id);
@@ -172,7 +179,10 @@
     draining.announce_draining();
     paused.set_retry_after(Some("60"));
     run_load(&sites, Duration::from_millis(300)).await;
-    until("both are known", || knows_draining_and_paused(&sites[0], &draining, &paused)).await;
+    until("the draining and the pause are known", || {
+        knows_draining_and_paused(&sites[0], &draining, &paused)
+    })
+    .await;
 
     let from = Instant::now();
     let (sent, served) = run_load(&sites, Duration::from_secs(2)).await;
@@ -193,7 +203,7 @@
 
     list_life(&pool.store, &draining, "llm", 2_000);
     list_life(&pool.store, &paused, "llm", 2_000);
-    until("both are new", || {
+    until("the restart of both is known", || {
         let is_new = |server| server_dump(&sites[0], server)["paused_ms"] == 0;
         is_new(&paused) && server_dump(&sites[0], &draining)["draining_ms"].is_null()
     })
@@ -230,9 +240,13 @@
     draining.announce_draining();
     paused.set_retry_after(Some("60"));
     run_load(&sites, Duration::from_millis(300)).await;
-    until("both are known", || knows_draining_and_paused(&sites[0], &draining, &paused)).await;
+    until("the draining and the pause are known", || {
+        knows_draining_and_paused(&sites[0], &draining, &paused)
+    })
+    .await;
 
-    // Until then the draining server may serve what the flaky one did not.
+    // Until then the draining server may be used as a last resort for what the flaky one fails to
+    // serve.
     sleep(sites[0].entry.router.settings.load().drain_time / 2 + IN_FLIGHT_TIME).await;
     let from = Instant::now();
     run_load(&sites, Duration::from_secs(2)).await;
@@ -271,7 +285,8 @@
     }
 }
 
-/// Its connections end and nobody listens any more, with streams at work.
+/// The server process exits while it is sending streams: its connections break and its port is
+/// closed.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_exits_after_announcing_draining_is_not_counted_as_crashed() {
     let (leaving, other) = (busy_server("i-0").await, busy_server("i-1").await);
