--- a/tests/platform/host_suspension.rs
+++ b/tests/platform/host_suspension.rs
@@ -1,5 +1,5 @@
-//! A Host that is suspended for some seconds: the runtime's clock stands still meanwhile, callers' time does
-//! not, and what was heard before is old.
+//! A Host that is suspended for some seconds: the runtime's clock stops in the meantime while
+//! callers' deadlines go on, and the server list that the entry has is outdated when it resumes.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,7 +12,7 @@
 };
 
 const SUCCESS: Action = Action::Respond { status: 200, body: "good" };
-/// Longer than callers here wait, five seconds.
+/// Longer than the deadline of callers in these tests, five seconds.
 const SUSPENSION: Duration = Duration::from_secs(20);
 
 #[tokio::test]
@@ -23,11 +23,11 @@
     clock.simulate_suspension(SUSPENSION);
 
     assert!(clock.now() >= SUSPENSION);
-    // Both clocks are read one after the other.
-    let detected = clock.detect_suspension().expect("it is noticed");
+    // The two clocks are read one after the other, so the difference is not exact.
+    let detected = clock.detect_suspension().expect("the suspension is detected");
     assert!(detected.abs_diff(SUSPENSION) < Duration::from_millis(100), "{detected:?}");
     assert!(clock.last_resumed_at() >= SUSPENSION);
-    assert_eq!(clock.detect_suspension(), None, "it is told once");
+    assert_eq!(clock.detect_suspension(), None, "each suspension is reported once");
 }
 
 #[tokio::test]
@@ -46,7 +46,7 @@
     assert!(began.elapsed() < SUSPENSION / 2);
 }
 
-/// An answer that came while the Host was suspended is delivered, also late.
+/// A response that arrived while the Host was suspended is delivered, even after the timeout.
 #[tokio::test]
 async fn a_result_that_is_ready_on_resume_is_returned_although_its_timeout_expired() {
     let clock = Clock::starting_at(Duration::ZERO);
@@ -62,25 +62,25 @@
     let asking = site.clone();
     let began = Instant::now();
     let asked = tokio::spawn(async move { asking.ask("POST", "/plain/a", "").await });
-    until("it is there", || server.requests().len() == 1).await;
+    until("the request arrived", || server.requests().len() == 1).await;
 
     site.entry.router.clock.simulate_suspension(SUSPENSION);
     let answer = asked.await.unwrap();
 
     assert_eq!(answer.status, 504);
-    assert!(began.elapsed() < Duration::from_secs(4), "its caller waits for five");
+    assert!(began.elapsed() < Duration::from_secs(4), "the caller's deadline is five seconds");
 }
 
-/// Callers' requests have five seconds here.
+/// The caller's deadline is five seconds; a retry is sent after a suspension of 1.5 s.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_forwarded_deadline_excludes_the_time_of_a_suspension() {
     let (crashing, healthy) = (always("i-1", Action::Hang).await, always("i-2", SUCCESS).await);
     let site = Arc::new(Site::start(&[(&crashing, "app", "v1")]).await);
     let asking = site.clone();
     let asked = tokio::spawn(async move { asking.ask("GET", "/safe/a", "").await });
-    until("it is there", || crashing.requests().len() == 1).await;
+    until("the request arrived", || crashing.requests().len() == 1).await;
     list(&site.store, &healthy, "app", "v1", "ready");
-    until("both are in view", || site.entry.router.fleet.load().len() == 2).await;
+    until("both servers are in view", || site.entry.router.fleet.load().len() == 2).await;
 
     site.entry.router.clock.simulate_suspension(Duration::from_millis(1_500));
     crashing.crash();
@@ -92,11 +92,14 @@
     assert!(forwarded_ms <= 1_500, "{forwarded_ms} ms");
 }
 
+/// Whether an entry follows another one.
 fn follows_peer(site: &Site) -> bool {
     site.entry.router.dump()["follows_another_entry"] == true
 }
 
-/// Its list is from before: it asks anew, and sends nothing to a server that has left meanwhile.
+/// The server list from before the suspension is outdated: the entry reads it again, and sends
+/// nothing to a server that began to drain in the meantime. This holds for a seed, which reads the
+/// store, and for its follower.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_server_list_is_refreshed_after_a_suspension_before_requests_are_sent() {
     let (stays, leaves) = (always("i-1", SUCCESS).await, always("i-2", SUCCESS).await);
@@ -105,23 +108,23 @@
     seed.until_in_view(2).await;
     let follower = Site::following(store.clone(), &seed).await;
     follower.until_in_view(2).await;
-    until("it follows", || follows_peer(&follower)).await;
+    until("the entry follows the seed", || follows_peer(&follower)).await;
 
     for site in [&seed, &follower] {
-        // The news has reached nobody yet when the Host resumes.
+        // The Host resumes before the change has reached any entry.
         list(&store, &leaves, "app", "v1", "draining");
         site.entry.router.clock.simulate_suspension(SUSPENSION);
         for i in 0..20 {
             assert_eq!(site.ask("GET", &format!("/safe/{i}"), "").await.status, 200);
         }
-        assert_eq!(leaves.requests().len(), 0, "it leaves");
+        assert_eq!(leaves.requests().len(), 0, "the server is draining");
         list(&store, &leaves, "app", "v1", "ready");
         let both_in_view = || site.entry.router.dump()["servers"].as_array().unwrap().len() == 2;
-        until("it is back", both_in_view).await;
+        until("the server is listed again", both_in_view).await;
     }
 }
 
-/// Connections that were idle meanwhile may be closed at the other end.
+/// Connections that were idle during the suspension may have been closed by the server.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_once_only_request_uses_no_idle_connection_from_before_a_suspension() {
     let server: Server = first_then("i-1", SUCCESS, SUCCESS).await;
@@ -133,5 +136,5 @@
     site.entry.router.clock.simulate_suspension(SUSPENSION);
     assert_eq!(site.ask("POST", "/once/b", "").await.status, 200);
 
-    assert_eq!(idle(), 1, "the old one was dropped, the new one kept");
+    assert_eq!(idle(), 1, "the old connection was dropped and the new one kept");
 }
--- a/tests/platform/sessions.rs
+++ b/tests/platform/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions whose requests come through several entries while a version is being rolled out.
+//! Sessions whose requests arrive through several entries while a version is rolled out.
 
 use std::time::Duration;
 
@@ -13,24 +13,17 @@
 
 const SUCCESS: Action = Action::Respond { status: 200, body: "good" };
 
+/// Whether an entry knows that the roll-out has begun.
 fn roll_out_began(site: &Site) -> bool {
     site.entry.router.dump()["roll_outs"][0]["began"] == true
 }
 
-/// What callers saw: on a quiet day, in the first half of a good roll-out, a conversation that had
-/// begun on the old version was answered by the new one.
-///
-/// Order of events: the old version answers a request of the session at one entry; the roll-out is
-/// ordered; the session's next request comes through another entry, which sends it to the new
-/// version.
-///
-/// Cause: what tells a running session from a new one was a note at the entry that had served it.
-/// Callers are spread over the entries by connection, so the next request mostly meets an entry
-/// without the note, and that one draws for the session as if it had just begun.
-///
-/// Evidence: of 218 requests of sessions that 32 entries sent to the new version in the first half,
-/// 217 were of sessions of which their entry had no note at all; of 1,104 sessions with several
-/// requests 1,075 came through several entries.
+/// Guards against sessions that, without any fault, change to the new version in the first half of
+/// a roll-out. Only the entry that had served a session knew that it had begun before the roll-out.
+/// Callers are spread over the entries by connection, so the next request mostly arrived at an
+/// entry that did not know the session and drew a version for it as for a new one. Of 218 requests
+/// of sessions that 32 entries sent to the new version in the first half, 217 came from sessions
+/// unknown to their entry; of 1,104 sessions with several requests, 1,075 used several entries.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_session_that_another_entry_served_stays_on_the_old_version_in_the_first_half() {
     let (old, new) = (always("i-1", SUCCESS).await, always("i-2", SUCCESS).await);
@@ -46,7 +39,10 @@
 
     store.put("op", "rollout/app", &json!({"service": "app", "to": "v2", "duration-s": 600.0}));
     list(&store, &new, "app", "v2", "ready");
-    until("both know of it", || roll_out_began(&first_entry) && roll_out_began(&other)).await;
+    until("both entries know of the roll-out", || {
+        roll_out_began(&first_entry) && roll_out_began(&other)
+    })
+    .await;
     first_entry.until_in_view(2).await;
     other.until_in_view(2).await;
     for session in &sessions {
@@ -57,17 +53,13 @@
     assert_eq!(new.requests().len(), 0, "sessions moved to the new version in the first half");
 }
 
-/// What callers saw: for two seconds after an entry was restarted, requests of sessions that were on the
-/// new version for good ran on the old one again, or failed where its servers had been stopped.
-///
-/// Order of events: a roll-out is completed; an entry starts, reads the order, and takes the roll-out as
-/// just begun until it has heard how far it got.
-///
-/// Cause: an entry that follows another waits for that one to note the begin of a new order, and was
-/// told only of rows newer than those that it had read, though it had read other tables.
-///
-/// Evidence: in the soak an entry that started 0.16 s after the end logged the order at once and the
-/// verdict 2.01 s later; eight requests of sessions that were on the new version ran on the old one.
+/// Guards against an entry that starts after a completed roll-out and treats it as just begun:
+/// requests of sessions that were already on the new version ran on the old one, or failed if its
+/// servers had been stopped. The cause: a follower waits until the entry that it follows has
+/// recorded the start of a new order, and was sent only rows newer than those that it had read
+/// itself, although these were of other tables. In the soak test an entry that started 0.16 s after
+/// the end of the roll-out logged the order at once and the verdict 2.01 s later; eight requests of
+/// sessions on the new version ran on the old one.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_starts_after_a_roll_out_knows_its_outcome() {
     let (old, new) = (always("i-1", SUCCESS).await, always("i-2", SUCCESS).await);
@@ -78,7 +70,7 @@
     let before = old.requests().len();
 
     let next = Site::following(first.store.clone(), &first).await;
-    until("it is ready", || next.entry.router.is_ready()).await;
+    until("the entry is ready", || next.entry.router.is_ready()).await;
     for i in 0..100 {
         next.ask("GET", "/safe/a", &format!("Session: s-{i}\r\n")).await;
     }
@@ -86,6 +78,7 @@
     assert_eq!(old.requests().len(), before, "requests ran on the old version after the roll-out");
 }
 
+/// A BackendServer of the service `app` with this id and version.
 fn backend_server(id: &str, version: &str) -> BackendServer {
     BackendServer {
         id: id.into(),
@@ -103,7 +96,7 @@
     }
 }
 
-/// Ids of the servers that wait for the orders to be read.
+/// Sorted ids of the servers that get no requests until the roll-out orders have been read.
 fn awaiting_roll_out_order(fleet: &Fleet, now: Duration) -> Vec<&str> {
     let members = fleet.of_service("app").iter();
     let mut ids: Vec<&str> =
@@ -112,8 +105,9 @@
     ids
 }
 
-/// Servers and orders are read apart. With a configuration changed just before the order of a roll-out,
-/// the servers of the new version were in view up to 30 ms before the order, and served any session.
+/// Servers and roll-out orders are read from the store separately. When the configuration changed
+/// just before a roll-out order, the servers of the new version were in view up to 30 ms before the
+/// order and served any session.
 #[test]
 fn servers_of_a_new_version_wait_until_roll_out_orders_have_been_read() {
     let ms = Duration::from_millis;
@@ -126,7 +120,7 @@
 
     assert!(
         awaiting_roll_out_order(&first, ms(1_000)).is_empty(),
-        "the first version has nothing to wait for"
+        "servers of the first version do not wait"
     );
     assert_eq!(awaiting_roll_out_order(&second, ms(2_000)), ["i-2"]);
     assert_eq!(awaiting_roll_out_order(&third, ms(2_300)), ["i-2", "i-3"]);
@@ -140,7 +134,7 @@
 
     site.store.remove("servers", "i-1");
     list(&site.store, &new, "app", "v2", "ready");
-    until("only the new one is in view", || {
+    until("only the new server is in view", || {
         let fleet = site.entry.router.fleet.load();
         fleet.of_service("app").iter().map(|m| &*m.server.id).eq(["i-2"])
     })
--- a/tests/platform/store_updates.rs
+++ b/tests/platform/store_updates.rs
@@ -1,4 +1,5 @@
-//! Configuration and servers: what is in force when the store changes, fails or forgets.
+//! Configuration and server list that an entry uses when the store changes, is down or discards its
+//! history.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -10,7 +11,7 @@
     store::{Fault, Store},
 };
 
-/// Where nobody listens.
+/// An address where nothing listens.
 const UNUSED_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
 
 const SUCCESS: Action = Action::Respond { status: 200, body: "good" };
@@ -32,7 +33,7 @@
     let site = Site::beside(Store::start().await).await;
 
     let (answer, ()) = tokio::join!(site.ask("GET", "/safe/a", ""), async {
-        until("it is here", || site.entry.router.in_flight() == 1).await;
+        until("the request arrived", || site.entry.router.in_flight() == 1).await;
         site.store.put("op", "config", &configuration(1));
         until("there is a configuration", || config_version(&site) == 1).await;
         list(&site.store, &server, "app", "v1", "ready");
@@ -50,12 +51,13 @@
     changed["routes"][0]["prefix"] = json!("/moved/");
 
     site.store.put("op", "config", &changed);
-    until("the new one is in force", || config_version(&site) == 7).await;
+    until("the new configuration is in use", || config_version(&site) == 7).await;
 
     assert_eq!(site.ask("GET", "/safe/a", "").await.status, 404);
-    assert_eq!(site.ask("GET", "/moved/a", "").await.status, 401, "the key was taken away");
+    assert_eq!(site.ask("GET", "/moved/a", "").await.status, 401, "the key was removed");
 }
 
+/// Version of the configuration that an entry uses; 0 without one.
 fn config_version(site: &Site) -> u64 {
     site.entry.router.table.load().as_ref().as_ref().map_or(0, |table| table.version)
 }
@@ -65,13 +67,13 @@
     let server = always("i-1", SUCCESS).await;
     let site = Site::start(&[(&server, "app", "v1")]).await;
     site.store.put("op", "config", &configuration(9));
-    until("version 9", || config_version(&site) == 9).await;
+    until("version 9 is in use", || config_version(&site) == 9).await;
     let mut older = configuration(4);
     older["routes"] = json!([]);
 
     site.store.put("op", "config", &older);
     site.store.put("servers", "i-2", &server_row(UNUSED_ADDRESS, "app", "v1", "ready"));
-    until("the feed went on", || site.entry.router.fleet.load().len() == 2).await;
+    until("a later change was read", || site.entry.router.fleet.load().len() == 2).await;
 
     assert_eq!(config_version(&site), 9);
 }
@@ -86,7 +88,7 @@
         let fleet = site.entry.router.fleet.load();
         fleet.of_service("app").iter().filter(|member| !member.is_draining()).count()
     };
-    until("one takes requests", || accepting() == 1).await;
+    until("one server accepts requests", || accepting() == 1).await;
     let before = leaves.requests().len();
     for _ in 0..6 {
         assert_eq!(site.ask("GET", "/safe/a", "").await.status, 200);
@@ -103,7 +105,7 @@
     site.store.remove("servers", "i-2");
     site.store.forget();
 
-    until("the removal is known", || site.entry.router.fleet.load().len() == 1).await;
+    until("the removed server is out of view", || site.entry.router.fleet.load().len() == 1).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -113,13 +115,15 @@
         let site = Site::start(&[(&server, "app", "v1")]).await;
 
         site.store.set_fault(fault);
-        until("the entry noticed", || site.entry.router.metrics.render().contains("store_errors"))
-            .await;
+        until("the entry noticed the outage", || {
+            site.entry.router.metrics.render().contains("store_errors")
+        })
+        .await;
         assert_eq!(site.ask("GET", "/safe/a", "").await.status, 200);
 
         site.store.put("op", "config", &configuration(3));
         site.store.set_fault(Fault::None);
-        until("the change is in force", || config_version(&site) == 3).await;
+        until("the change is in use", || config_version(&site) == 3).await;
     }
 }
 
@@ -128,8 +132,10 @@
     let (returning, missing) = (always("i-1", SUCCESS).await, always("i-2", SUCCESS).await);
     let site = Site::start(&[(&returning, "app", "v1"), (&missing, "app", "v1")]).await;
     site.store.set_fault(Fault::Down);
-    until("the entry noticed", || site.entry.router.metrics.render().contains("store_errors"))
-        .await;
+    until("the entry noticed the outage", || {
+        site.entry.router.metrics.render().contains("store_errors")
+    })
+    .await;
 
     site.store.remove("servers", "i-1");
     site.store.remove("servers", "i-2");
@@ -138,11 +144,13 @@
     site.store.set_fault(Fault::None);
     until("the store is back", || config_version(&site) == before + 1).await;
 
-    // The feed of servers came back with it or will within a moment; both are still in view.
+    // The server feed is back as well, or will be in a moment; both servers are still in view.
     assert_eq!(site.entry.router.fleet.load().len(), 2);
     list(&site.store, &returning, "app", "v1", "ready");
-    until("the one that did not return is gone", || site.entry.router.fleet.load().len() == 1)
-        .await;
+    until("the server that did not return is out of view", || {
+        site.entry.router.fleet.load().len() == 1
+    })
+    .await;
     assert_eq!(&*site.entry.router.fleet.load().of_service("app")[0].server.id, "i-1");
 }
 
@@ -157,7 +165,7 @@
 
     let site = Site::beside(store).await;
 
-    until("all are in view", || site.entry.router.fleet.load().len() == 7).await;
+    until("all servers are in view", || site.entry.router.fleet.load().len() == 7).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -168,7 +176,7 @@
     site.store.put("op", "config", &json!({"version": "not a number"}));
     site.store.put("servers", "i-9", &json!({"service": 5}));
     site.store.put("op", "config", &configuration(2));
-    until("the next one is in force", || config_version(&site) == 2).await;
+    until("the next configuration is in use", || config_version(&site) == 2).await;
 
     assert_eq!(site.ask("GET", "/safe/a", "").await.status, 200);
 }
@@ -178,37 +186,38 @@
     let server = always("i-1", SUCCESS).await;
     let first = Site::start(&[(&server, "app", "v1")]).await;
     let seed = first.entry.addresses.peer;
-    // A store of its own that never answers stands for one that refuses this host alone.
+    // A separate store that is down stands for a store that refuses only this Host.
     let store = Store::start().await;
     store.set_fault(Fault::Down);
 
     let isolated = Site::seed(store, seed).await;
-    until("it has a configuration", || isolated.entry.router.is_ready()).await;
-    until("it has the servers", || isolated.entry.router.fleet.load().len() == 1).await;
+    until("the entry has a configuration", || isolated.entry.router.is_ready()).await;
+    until("the entry has the servers", || isolated.entry.router.fleet.load().len() == 1).await;
     assert_eq!(isolated.ask("GET", "/safe/a", "").await.status, 200);
 
     first.store.put("op", "config", &configuration(5));
-    until("the change gets through", || config_version(&isolated) == 5).await;
+    until("the change arrives through the peer", || config_version(&isolated) == 5).await;
 
-    // Its own store returns with something newer, while the other entry goes on offering.
+    // Its own store is up again with a newer configuration, while the peer still offers its own.
     for number in 0..20 {
         list(&isolated.store, &server, "app", &format!("v{number}"), "ready");
     }
     isolated.store.put("op", "config", &configuration(9));
     isolated.store.set_fault(Fault::None);
-    until("the store's word is followed again", || config_version(&isolated) == 9).await;
+    until("the entry reads from the store again", || config_version(&isolated) == 9).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_dropped_entry_stops_calling_the_store() {
     let site = Site::beside(Store::start().await).await;
     let (store, entry) = (site.store, site.entry);
-    until("it asks", || store.calls() > 0).await;
+    until("the entry calls the store", || store.calls() > 0).await;
 
     drop(entry);
     let mut calls = store.calls();
     loop {
-        // Two feeds and the calls under way end; then nothing more comes.
+        // The calls in progress, two of them long polls of feeds, end; then there must be no
+        // further call.
         tokio::time::sleep(std::time::Duration::from_millis(400)).await;
         let now = store.calls();
         if now == calls {
