--- a/tests/platform/adapter.rs
+++ b/tests/platform/adapter.rs
@@ -1,4 +1,5 @@
-//! The adapter: settings, headers, documents and answers of the platform in our types.
+//! The platform adapter, which translates settings, headers, documents and responses of the
+//! platform into the router's types.
 
 use std::time::Duration;
 
@@ -18,12 +19,14 @@
 
 use crate::store::{Fault, Store};
 
+/// Names and values of header lines.
 type HeaderPairs<'a> = &'a [(&'static str, &'a str)];
 
 fn headers(pairs: HeaderPairs<'_>) -> HeaderMap {
     pairs.iter().map(|(name, value)| (name.parse().unwrap(), value.parse().unwrap())).collect()
 }
 
+/// Parses the head of a GET request with these headers.
 fn parse_get(pairs: HeaderPairs<'_>) -> Result<mintmoor::routing::RequestHead, HeadError> {
     parse_request_head(&Method::GET, &Uri::from_static("/a/b?c"), &headers(pairs))
 }
@@ -49,7 +52,7 @@
         (head.prompt_tokens, head.max_answer_tokens, head.last_event_id),
         (1_460, 80, Some(12))
     );
-    assert_eq!(head.model, None, "the choice is ours");
+    assert_eq!(head.model, None, "the router chooses the model");
     assert_eq!(head.last_shared_part().map(|part| (part.id, part.tokens)), Some((0x91bd, 410)));
     assert_eq!(head.session_key(), "s");
 }
@@ -290,12 +293,12 @@
     }
     store.set_fault(Fault::RepliesLost);
     assert!(matches!(client.write(&put, 0).await, Err(Error::Unknown(_))));
-    assert!(store.read("mintmoor", "k").is_some(), "it did take effect");
+    assert!(store.read("mintmoor", "k").is_some(), "the write did take effect");
 }
 
 #[test]
 fn platform_names_appear_only_in_src_platform() {
-    // Headers, calls and fields that nothing but the adapter may know.
+    // Headers, store calls and document fields that only the adapter may use.
     const NAMES: [&str; 19] = [
         "x-deadline-ms",
         "x-token-usage",
--- a/tests/platform/requests.rs
+++ b/tests/platform/requests.rs
@@ -1,4 +1,4 @@
-//! Requests answered in one piece: what is tried where, and what the caller may be told.
+//! Requests with a single response: which servers are tried, and which response the caller gets.
 
 use std::time::Duration;
 
@@ -13,11 +13,13 @@
 const SUCCESS: Action = Action::Respond { status: 200, body: "good" };
 const FAILURE: Action = Action::Respond { status: 500, body: "bad" };
 
+/// Starts a site with these servers of one service.
 async fn start_site(servers: &[&Server]) -> Site {
     let listed: Vec<_> = servers.iter().map(|s| (*s, "app", "v1")).collect();
     Site::start(&listed).await
 }
 
+/// Number of requests that these servers received.
 fn request_count(servers: &[&Server]) -> usize {
     servers.iter().map(|server| server.requests().len()).sum()
 }
@@ -105,7 +107,7 @@
 
         let answer = site.ask("POST", "/once/a", "").await;
 
-        assert!([502, 504].contains(&answer.status), "told {}", answer.status);
+        assert!([502, 504].contains(&answer.status), "status {}", answer.status);
         assert!(!answer.head.contains("x-instance-stamp"));
         assert_eq!(request_count(&[&one, &two]), 1);
     }
@@ -139,7 +141,8 @@
 async fn a_server_that_refuses_connections_is_skipped() {
     let good = always("i-1", SUCCESS).await;
     let mut unreachable = always("i-2", SUCCESS).await;
-    // Bound for as long as the test lasts, so that nobody else gets the port, but not listening.
+    // Bound but not listening: connections are refused, and no other process gets the port during
+    // the test.
     let closed = tokio::net::TcpSocket::new_v4().unwrap();
     closed.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     unreachable.address = closed.local_addr().unwrap();
@@ -155,7 +158,8 @@
     let good = always("i-good", SUCCESS).await;
     let mut closed = Vec::new();
     let mut unreachable: Vec<Server> = Vec::new();
-    // All that are tried before the good one: costs are equal, so the order is that of the ids.
+    // Servers that are tried before the good one: costs are equal, so the hash of the id decides on
+    // the order.
     let ids = (0..).map(|i| format!("i-{i}")).filter(|id| hash_id(id) < hash_id("i-good"));
     for id in ids.take(8) {
         let socket = tokio::net::TcpSocket::new_v4().unwrap();
@@ -266,11 +270,11 @@
     let site = start_site(&[&server]).await;
     let mut stream = tokio::net::TcpStream::connect(site.caller).await.unwrap();
     stream.write_all(request("POST", "/once/a", "", "").as_bytes()).await.unwrap();
-    until("the server is at work", || server.active_requests() == 1).await;
+    until("the server is handling the request", || server.active_requests() == 1).await;
 
     drop(stream);
 
-    until("the server is let off", || server.active_requests() == 0).await;
+    until("the connection to the server is closed", || server.active_requests() == 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -282,19 +286,21 @@
     assert!(router.is_ready());
 
     let stopping = tokio::spawn(site.entry.stop());
-    until("the entry is unready", || !router.is_ready()).await;
+    until("the entry is not ready", || !router.is_ready()).await;
 
-    // Callers that connected before the balancer knew may go elsewhere at once.
+    // Callers that connected before the load balancer noticed may retry elsewhere at once.
     let early = send_raw(caller, &request("POST", "/chat/a", "", "")).await;
     assert!(early.contains("retry-after: 0.050"), "{early}");
-    // With a grace of 4 s a stream, which may take 4.9 s, is turned away; a short one is served.
+    // The shutdown grace is 4 s: a stream, which may take 4.9 s, is refused, and a short request is
+    // served.
     assert_eq!(send_for_status(caller, &request("POST", "/chat/a", "", "")).await, 503);
     assert_eq!(send_for_status(caller, &request("POST", "/once/a", "", "")).await, 200);
     let ready = "GET /-/readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
     assert_eq!(send_for_status(readiness, ready).await, 503);
-    assert_eq!(stopping.await.unwrap(), 0, "nothing was cut off");
+    assert_eq!(stopping.await.unwrap(), 0, "no request was cut off");
 }
 
+/// Sends raw bytes on a connection of its own and returns everything up to its end.
 async fn send_raw(address: std::net::SocketAddr, bytes: &str) -> String {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let mut stream = tokio::net::TcpStream::connect(address).await.unwrap();
@@ -305,12 +311,13 @@
     String::from_utf8_lossy(&raw).into_owned()
 }
 
+/// Sends raw bytes and returns the status of the response.
 async fn send_for_status(address: std::net::SocketAddr, bytes: &str) -> u16 {
     send_raw(address, bytes).await[9..12].parse().unwrap()
 }
 
-/// The last server of a service is gone: nobody listens at its address, and no second look within a moment
-/// finds anybody.
+/// The last server of a service has terminated: its address refuses connections, and the entry must
+/// not try it over and over while it waits for a server.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_tries_an_unreachable_server_only_once() {
     let server = always("i-1", Action::Crash { after_head: false }).await;
@@ -330,5 +337,5 @@
 
     assert_eq!(answer.status, 503);
     assert!(answer.head.contains("retry-after: "), "{}", answer.head);
-    assert_eq!(refused() - before, 1.0, "asked once");
+    assert_eq!(refused() - before, 1.0, "one connection attempt");
 }
