--- a/tests/platform/host_suspension.rs
+++ b/tests/platform/host_suspension.rs
@@ -33,10 +33,10 @@
 #[tokio::test]
 async fn a_timeout_that_expired_during_a_suspension_fires_on_resume() {
     let clock = Arc::new(Clock::starting_at(Duration::ZERO));
-    let waiting = clock.clone();
+    let task_clock = clock.clone();
     let began = Instant::now();
     let never = std::future::pending::<()>();
-    let wait = tokio::spawn(async move { waiting.timeout_at(SUSPENSION, never).await });
+    let wait = tokio::spawn(async move { task_clock.timeout_at(SUSPENSION, never).await });
     tokio::task::yield_now().await;
 
     clock.simulate_suspension(SUSPENSION);
@@ -59,13 +59,13 @@
 async fn a_request_whose_deadline_passed_during_a_suspension_fails_at_once() {
     let server = always("i-1", Action::Hang).await;
     let site = Arc::new(Site::start(&[(&server, "llm", "v1")]).await);
-    let asking = site.clone();
+    let requester = site.clone();
     let began = Instant::now();
-    let asked = tokio::spawn(async move { asking.ask("POST", "/plain/a", "").await });
+    let pending = tokio::spawn(async move { requester.ask("POST", "/plain/a", "").await });
     until("the request arrived", || server.requests().len() == 1).await;
 
     site.entry.router.clock.simulate_suspension(SUSPENSION);
-    let answer = asked.await.unwrap();
+    let answer = pending.await.unwrap();
 
     assert_eq!(answer.status, 504);
     assert!(began.elapsed() < Duration::from_secs(4), "the caller's deadline is five seconds");
@@ -76,15 +76,15 @@
 async fn the_forwarded_deadline_excludes_the_time_of_a_suspension() {
     let (crashing, healthy) = (always("i-1", Action::Hang).await, always("i-2", SUCCESS).await);
     let site = Arc::new(Site::start(&[(&crashing, "app", "v1")]).await);
-    let asking = site.clone();
-    let asked = tokio::spawn(async move { asking.ask("GET", "/safe/a", "").await });
+    let requester = site.clone();
+    let pending = tokio::spawn(async move { requester.ask("GET", "/safe/a", "").await });
     until("the request arrived", || crashing.requests().len() == 1).await;
     list(&site.store, &healthy, "app", "v1", "ready");
     until("both servers are in view", || site.entry.router.fleet.load().len() == 2).await;
 
     site.entry.router.clock.simulate_suspension(Duration::from_millis(1_500));
     crashing.crash();
-    let answer = asked.await.unwrap();
+    let answer = pending.await.unwrap();
 
     assert_eq!(answer.status, 200);
     let forwarded_ms: u64 = healthy.requests()[0].header("x-deadline-ms").parse().unwrap();
@@ -102,8 +102,8 @@
 /// store, and for its follower.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_server_list_is_refreshed_after_a_suspension_before_requests_are_sent() {
-    let (stays, leaves) = (always("i-1", SUCCESS).await, always("i-2", SUCCESS).await);
-    let store = store_with(&[(&stays, "app", "v1"), (&leaves, "app", "v1")]).await;
+    let (staying, draining) = (always("i-1", SUCCESS).await, always("i-2", SUCCESS).await);
+    let store = store_with(&[(&staying, "app", "v1"), (&draining, "app", "v1")]).await;
     let seed = Site::seed(store.clone(), None).await;
     seed.until_in_view(2).await;
     let follower = Site::following(store.clone(), &seed).await;
@@ -112,13 +112,13 @@
 
     for site in [&seed, &follower] {
         // The Host resumes before the change has reached any entry.
-        list(&store, &leaves, "app", "v1", "draining");
+        list(&store, &draining, "app", "v1", "draining");
         site.entry.router.clock.simulate_suspension(SUSPENSION);
         for i in 0..20 {
             assert_eq!(site.ask("GET", &format!("/safe/{i}"), "").await.status, 200);
         }
-        assert_eq!(leaves.requests().len(), 0, "the server is draining");
-        list(&store, &leaves, "app", "v1", "ready");
+        assert_eq!(draining.requests().len(), 0, "the server is draining");
+        list(&store, &draining, "app", "v1", "ready");
         let both_in_view = || site.entry.router.dump()["servers"].as_array().unwrap().len() == 2;
         until("the server is listed again", both_in_view).await;
     }
--- a/tests/platform/rate_limits.rs
+++ b/tests/platform/rate_limits.rs
@@ -23,13 +23,13 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn all_entries_together_keep_to_an_advertised_rate_limit() {
-    let (limited, other, third) = (
+    let (limited, first, second) = (
         healthy_server("i-limited").await,
         healthy_server("i-1").await,
         healthy_server("i-2").await,
     );
-    let (fourth, flaky) = (healthy_server("i-3").await, flaky_server("i-flaky").await);
-    let pool = start_pool(&[&limited, &other, &third, &fourth, &flaky]).await;
+    let (third, flaky) = (healthy_server("i-3").await, flaky_server("i-flaky").await);
+    let pool = start_pool(&[&limited, &first, &second, &third, &flaky]).await;
     let sites = pool.start_entries(4).await;
 
     limited.advertise_limit(&["1.9"]);
@@ -82,8 +82,8 @@
     let killed = Instant::now();
     run_load(&sites, Duration::from_secs(4)).await;
 
-    let soon = arrival_times(&limited, killed + Duration::from_secs(2));
-    assert!(!soon.is_empty(), "no entry sends to the server");
+    let soon_after = arrival_times(&limited, killed + Duration::from_secs(2));
+    assert!(!soon_after.is_empty(), "no entry sends to the server");
     assert_within_limit(&limited, killed, 1.0);
 }
 
@@ -164,10 +164,10 @@
     limited.advertise_limit(&[]);
 
     let seed = sites[0].entry.addresses.peer.unwrap();
-    let late = Arc::new(pool.start_entry(&[seed], None).await);
+    let new_entry = Arc::new(pool.start_entry(&[seed], None).await);
     let before = limited.requests().len();
     for _ in 0..10 {
-        assert_eq!(late.ask("POST", "/chat/late", "X-Model: small\r\n").await.status, 200);
+        assert_eq!(new_entry.ask("POST", "/chat/late", "X-Model: small\r\n").await.status, 200);
     }
 
     assert_eq!(
--- a/tests/platform/server_restarts.rs
+++ b/tests/platform/server_restarts.rs
@@ -71,9 +71,9 @@
     let site = start_site(&server, "llm").await;
     site.ask("POST", "/chat/a", PROMPT_HEADERS).await;
 
-    let mut leaving = server_row(server.address, "llm", "v1", "draining");
-    leaving["born"] = json!(1_000);
-    site.store.put("servers", "i-1", &leaving);
+    let mut draining = server_row(server.address, "llm", "v1", "draining");
+    draining["born"] = json!(1_000);
+    site.store.put("servers", "i-1", &draining);
 
     until("the server is draining", || server_dump(&site)["draining_row"] == true).await;
     assert_eq!(server_dump(&site)["kept_tokens"], 1_500);
--- a/tests/platform/store_updates.rs
+++ b/tests/platform/store_updates.rs
@@ -80,27 +80,27 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_draining_server_gets_no_further_request() {
-    let (stays, leaves) = (always("i-1", SUCCESS).await, always("i-2", SUCCESS).await);
-    let site = Site::start(&[(&stays, "app", "v1"), (&leaves, "app", "v1")]).await;
+    let (staying, draining) = (always("i-1", SUCCESS).await, always("i-2", SUCCESS).await);
+    let site = Site::start(&[(&staying, "app", "v1"), (&draining, "app", "v1")]).await;
 
-    list(&site.store, &leaves, "app", "v1", "draining");
+    list(&site.store, &draining, "app", "v1", "draining");
     let accepting = || {
         let fleet = site.entry.router.fleet.load();
         fleet.of_service("app").iter().filter(|member| !member.is_draining()).count()
     };
     until("one server accepts requests", || accepting() == 1).await;
-    let before = leaves.requests().len();
+    let before = draining.requests().len();
     for _ in 0..6 {
         assert_eq!(site.ask("GET", "/safe/a", "").await.status, 200);
     }
 
-    assert_eq!(leaves.requests().len(), before);
+    assert_eq!(draining.requests().len(), before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_full_read_replaces_a_change_feed_whose_history_was_discarded() {
-    let (one, two) = (always("i-1", SUCCESS).await, always("i-2", SUCCESS).await);
-    let site = Site::start(&[(&one, "app", "v1"), (&two, "app", "v1")]).await;
+    let (first, second) = (always("i-1", SUCCESS).await, always("i-2", SUCCESS).await);
+    let site = Site::start(&[(&first, "app", "v1"), (&second, "app", "v1")]).await;
 
     site.store.remove("servers", "i-2");
     site.store.forget();
--- a/tests/platform/unavailable_servers.rs
+++ b/tests/platform/unavailable_servers.rs
@@ -268,9 +268,9 @@
         run_load(&sites, Duration::from_millis(500)).await;
 
         assert!(!other.requests().is_empty());
-        let dumped = server_dump(&sites[0], &other);
-        assert!(dumped["draining_ms"].is_null(), "{action:?}");
-        assert_eq!(dumped["paused_ms"], 0, "{action:?}");
+        let dump = server_dump(&sites[0], &other);
+        assert!(dump["draining_ms"].is_null(), "{action:?}");
+        assert_eq!(dump["paused_ms"], 0, "{action:?}");
     }
 }
 
@@ -289,15 +289,15 @@
 /// closed.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_exits_after_announcing_draining_is_not_counted_as_crashed() {
-    let (leaving, other) = (busy_server("i-0").await, busy_server("i-1").await);
-    let pool = start_pool(&[&leaving, &other]).await;
+    let (draining, other) = (busy_server("i-0").await, busy_server("i-1").await);
+    let pool = start_pool(&[&draining, &other]).await;
     let sites = pool.start_isolated_entries(1).await;
-    leaving.announce_draining();
+    draining.announce_draining();
     let work = run_load(&sites, Duration::from_millis(600));
     let exit = async {
         sleep(Duration::from_millis(400)).await;
-        assert!(leaving.active_requests() > 0);
-        leaving.crash();
+        assert!(draining.active_requests() > 0);
+        draining.crash();
     };
 
     tokio::join!(work, exit);
