--- a/tests/platform/adapter.rs
+++ b/tests/platform/adapter.rs
@@ -22,6 +22,7 @@
 /// Names and values of header lines.
 type HeaderPairs<'a> = &'a [(&'static str, &'a str)];
 
+/// A header map with these lines.
 fn headers(pairs: HeaderPairs<'_>) -> HeaderMap {
     pairs.iter().map(|(name, value)| (name.parse().unwrap(), value.parse().unwrap())).collect()
 }
--- a/tests/platform/limited_pool.rs
+++ b/tests/platform/limited_pool.rs
@@ -30,9 +30,8 @@
     always(id, Action::Stream { last_event: EVENT_COUNT, is_complete: true, confidence: 90 }).await
 }
 
-/// A server that causes further requests to other servers: at random, a
-/// stream breaks off and has to be resumed, or has a low confidence and is escalated to a larger
-/// model.
+/// A server that causes further requests to other servers: each new stream, chosen by chance, either
+/// breaks off and has to be resumed, or has a low confidence and is escalated to a larger model.
 pub async fn flaky_server(id: &str) -> Server {
     let script = |request: &ReceivedRequest| match request.received_at.elapsed().subsec_nanos() % 2
     {
--- a/tests/platform/server.rs
+++ b/tests/platform/server.rs
@@ -116,6 +116,7 @@
 }
 
 impl Server {
+    /// Starts a server on a free port of the loopback address.
     pub async fn start(
         id: &str,
         script: impl Fn(&ReceivedRequest) -> Action + Send + Sync + 'static,
@@ -177,8 +178,8 @@
         states.wait_for(condition).await.expect("the server handle holds the sender");
     }
 
-    /// Adds a `Server-Limit` header line for each of these values to all further responses; none
-    /// removes it.
+    /// Adds a `Server-Limit` header line for each of these values to all further responses; an empty
+    /// slice removes the header.
     pub fn advertise_limit(&self, lines: &[&str]) {
         *self.limit_headers.lock().unwrap() = lines.iter().map(|line| (*line).to_owned()).collect();
     }
