--- a/tests/platform/rate_limits.rs
+++ b/tests/platform/rate_limits.rs
@@ -1,4 +1,5 @@
-//! A server that advertises how many requests a second it takes from all entries together (docs/incidents/0012).
+//! Servers that advertise how many requests per second they accept from all entries together
+//! (docs/incidents/0012).
 
 use std::{
     sync::Arc,
@@ -7,12 +8,13 @@
 
 use crate::{
     limited_pool::{
-        CONTACT, answers_under_load, arrivals, assert_within_limit, flaky, healthy, load, pool_of,
+        LIMIT_PROPAGATION_TIME, arrival_times, assert_within_limit, flaky_server, healthy_server,
+        responses_under_load, run_load, start_pool,
     },
     site::{Site, list_life, until},
 };
 
-/// How many sends to rate-limited servers an entry counts, by what they were.
+/// Lines of an entry's metric of sends to rate-limited servers, by outcome.
 fn limited_sends(site: &Site) -> Vec<String> {
     let text = site.entry.router.metrics.render();
     let lines = text.lines().filter(|line| line.starts_with("mintmoor_limited_sends_total"));
@@ -20,101 +22,108 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_names_its_limit_gets_no_more_from_all_entries() {
-    let (limited, other, third) =
-        (healthy("i-limited").await, healthy("i-1").await, healthy("i-2").await);
-    let (fourth, flaky) = (healthy("i-3").await, flaky("i-flaky").await);
-    let pool = pool_of(&[&limited, &other, &third, &fourth, &flaky]).await;
-    let sites = pool.entries(4).await;
+async fn all_entries_together_keep_to_an_advertised_rate_limit() {
+    let (limited, first, second) = (
+        healthy_server("i-limited").await,
+        healthy_server("i-1").await,
+        healthy_server("i-2").await,
+    );
+    let (third, flaky) = (healthy_server("i-3").await, flaky_server("i-flaky").await);
+    let pool = start_pool(&[&limited, &first, &second, &third, &flaky]).await;
+    let sites = pool.start_entries(4).await;
 
     limited.advertise_limit(&["1.9"]);
-    let from = Instant::now() + CONTACT;
-    let (asked, served) = load(&sites, Duration::from_secs(9)).await;
+    let from = Instant::now() + LIMIT_PROPAGATION_TIME;
+    let (sent, served) = run_load(&sites, Duration::from_secs(9)).await;
 
-    println!("{served} of {asked} served");
+    println!("{served} of {sent} served");
     sites.iter().for_each(|site| println!("{:?}", limited_sends(site)));
     assert_within_limit(&limited, from, 1.9);
-    assert!(served * 10 >= asked * 9, "{served} of {asked} served");
+    assert!(served * 10 >= sent * 9, "{served} of {sent} served");
 }
 
+/// Whether an entry knows any advertised rate limit.
 fn knows_limit(site: &Site) -> bool {
     !site.entry.router.dump()["limits"].as_array().unwrap().is_empty()
 }
 
-/// Waits until all know the only limit that is named, and their places.
-async fn until_settled(sites: &[Arc<Site>]) {
-    load(sites, Duration::from_millis(300)).await;
+/// Waits until all entries know the advertised limit and their own place, which decides on their
+/// share of it.
+async fn wait_until_settled(sites: &[Arc<Site>]) {
+    run_load(sites, Duration::from_millis(300)).await;
     for site in sites {
-        until("it knows the limit", || knows_limit(site)).await;
-        until("it knows its place", || !site.entry.router.dump()["place"].is_null()).await;
+        until("the entry knows the limit", || knows_limit(site)).await;
+        until("the entry knows its place", || !site.entry.router.dump()["place"].is_null()).await;
     }
 }
 
-/// The only entry that sends to a server that names one request a second.
-async fn only_sender(sites: &[Arc<Site>]) -> usize {
-    until_settled(sites).await;
+/// Index of the only entry that sends to a server with a limit of one request per second.
+async fn find_only_sender(sites: &[Arc<Site>]) -> usize {
+    wait_until_settled(sites).await;
     let before: Vec<_> = sites.iter().map(|site| limited_sends(site)).collect();
-    load(sites, Duration::from_secs(3)).await;
+    run_load(sites, Duration::from_secs(3)).await;
     let has_sent = |i: &usize| limited_sends(&sites[*i]) != before[*i];
     let senders: Vec<usize> = (0..sites.len()).filter(has_sent).collect();
     assert_eq!(senders.len(), 1, "{senders:?}");
     senders[0]
 }
 
-/// One entry in five may send to it, and is killed.
+/// The limit of one request per second allows only one of five entries to send, and that one is
+/// killed.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_whose_only_sender_died_is_used_again_soon() {
-    let (limited, other) = (healthy("i-limited").await, healthy("i-1").await);
-    let pool = pool_of(&[&limited, &other]).await;
-    let mut sites = pool.entries(5).await;
+async fn a_rate_limited_server_is_used_again_soon_after_its_only_sender_dies() {
+    let (limited, other) = (healthy_server("i-limited").await, healthy_server("i-1").await);
+    let pool = start_pool(&[&limited, &other]).await;
+    let mut sites = pool.start_entries(5).await;
     limited.advertise_limit(&["1"]);
-    let sender = only_sender(&sites).await;
+    let sender = find_only_sender(&sites).await;
 
     drop(sites.remove(sender));
     let killed = Instant::now();
-    load(&sites, Duration::from_secs(4)).await;
+    run_load(&sites, Duration::from_secs(4)).await;
 
-    let soon = arrivals(&limited, killed + Duration::from_secs(2));
-    assert!(!soon.is_empty(), "nobody sends there any more");
+    let soon_after = arrival_times(&limited, killed + Duration::from_secs(2));
+    assert!(!soon_after.is_empty(), "no entry sends to the server");
     assert_within_limit(&limited, killed, 1.0);
 }
 
-/// Until then nobody sends to it but one entry, which has no callers.
+/// Only one entry sends to the server, and that one gets no requests from callers.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_end_of_a_need_is_heard_though_its_only_sender_has_no_work() {
-    let (limited, other) = (healthy("i-limited").await, healthy("i-1").await);
-    let pool = pool_of(&[&limited, &other]).await;
-    let mut sites = pool.entries(4).await;
+async fn the_end_of_a_rate_limit_is_noticed_although_its_only_sender_is_idle() {
+    let (limited, other) = (healthy_server("i-limited").await, healthy_server("i-1").await);
+    let pool = start_pool(&[&limited, &other]).await;
+    let mut sites = pool.start_entries(4).await;
     limited.advertise_limit(&["1"]);
-    let sender = only_sender(&sites).await;
+    let sender = find_only_sender(&sites).await;
     let idle = sites.remove(sender);
 
     limited.advertise_limit(&[]);
     let deadline = Instant::now() + Duration::from_secs(12);
     while sites.iter().any(|site| knows_limit(site)) && Instant::now() < deadline {
-        load(&sites, Duration::from_millis(100)).await;
+        run_load(&sites, Duration::from_millis(100)).await;
     }
 
-    assert!(!sites.iter().any(|site| knows_limit(site)), "the end is not heard");
-    until("the idle one is told, too", || !knows_limit(&idle)).await;
+    assert!(!sites.iter().any(|site| knows_limit(site)), "the end of the limit was not noticed");
+    until("the idle entry knows it too", || !knows_limit(&idle)).await;
 }
 
-/// Three servers take 6.6 requests a second, and callers ask 66.
+/// Three servers accept 6.6 requests per second in total, and callers send 66.
 #[tokio::test(flavor = "multi_thread")]
-async fn where_all_servers_are_in_need_they_are_used_and_the_rest_is_refused_at_once() {
-    let servers = [healthy("i-1").await, healthy("i-2").await, healthy("i-3").await];
-    let pool = pool_of(&[&servers[0], &servers[1], &servers[2]]).await;
-    let sites = pool.entries(4).await;
+async fn when_all_servers_are_rate_limited_excess_requests_are_refused_at_once() {
+    let servers =
+        [healthy_server("i-1").await, healthy_server("i-2").await, healthy_server("i-3").await];
+    let pool = start_pool(&[&servers[0], &servers[1], &servers[2]]).await;
+    let sites = pool.start_entries(4).await;
     servers.iter().for_each(|server| server.advertise_limit(&["2.2"]));
-    until_settled(&sites).await;
+    wait_until_settled(&sites).await;
 
     let from = Instant::now();
-    let answers = answers_under_load(&sites, Duration::from_secs(8)).await;
+    let answers = responses_under_load(&sites, Duration::from_secs(8)).await;
 
     servers.iter().for_each(|server| assert_within_limit(server, from, 2.2));
     let served = answers.iter().filter(|(answer, _)| answer.status == 200).count();
-    let taken = 3.0 * 2.2 * 8.0;
-    assert!(served as f64 >= 0.9 * taken, "{served} served, {taken} are taken");
+    let capacity = 3.0 * 2.2 * 8.0;
+    assert!(served as f64 >= 0.9 * capacity, "{served} served, the servers accept {capacity}");
     for (answer, took) in &answers {
         assert!(*took < Duration::from_secs(1), "{answer:?} after {took:?}");
         let is_reported = answer.status == 200
@@ -125,71 +134,76 @@
     }
 }
 
-/// Nearly all that reaches it are resumed streams and larger models, after another server that serves few of them whole.
+/// The only other server leaves most requests incomplete, so that nearly all requests to the
+/// limited server are resumed streams and escalations to a larger model.
 #[tokio::test(flavor = "multi_thread")]
-async fn further_sends_of_a_request_keep_to_the_limit_as_first_ones_do() {
-    let (limited, flaky) = (healthy("i-limited").await, flaky("i-flaky").await);
-    let pool = pool_of(&[&limited, &flaky]).await;
-    let sites = pool.entries(4).await;
+async fn retries_and_resumed_streams_keep_to_the_rate_limit() {
+    let (limited, flaky) = (healthy_server("i-limited").await, flaky_server("i-flaky").await);
+    let pool = start_pool(&[&limited, &flaky]).await;
+    let sites = pool.start_entries(4).await;
     limited.advertise_limit(&["1.9"]);
-    load(&sites, Duration::from_millis(500)).await;
-    let from = Instant::now() + CONTACT;
+    run_load(&sites, Duration::from_millis(500)).await;
+    let from = Instant::now() + LIMIT_PROPAGATION_TIME;
 
-    load(&sites, Duration::from_secs(8)).await;
+    run_load(&sites, Duration::from_secs(8)).await;
 
     let further =
         |site: &Arc<Site>| limited_sends(site).iter().any(|line| line.contains("further"));
-    assert!(sites.iter().any(further), "no further send was made");
+    assert!(sites.iter().any(further), "no retry or resumed stream was sent");
     assert_within_limit(&limited, from, 1.9);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_starts_knows_the_limit_before_it_serves() {
-    let (limited, other) = (healthy("i-limited").await, healthy("i-1").await);
-    let pool = pool_of(&[&limited, &other]).await;
-    let sites = pool.entries(3).await;
+async fn a_new_entry_knows_the_rate_limit_before_it_serves() {
+    let (limited, other) = (healthy_server("i-limited").await, healthy_server("i-1").await);
+    let pool = start_pool(&[&limited, &other]).await;
+    let sites = pool.start_entries(3).await;
     limited.advertise_limit(&["1.9"]);
-    load(&sites, Duration::from_millis(300)).await;
-    until("it is known", || sites.iter().all(|site| knows_limit(site))).await;
+    run_load(&sites, Duration::from_millis(300)).await;
+    until("the limit is known", || sites.iter().all(|site| knows_limit(site))).await;
     limited.advertise_limit(&[]);
 
     let seed = sites[0].entry.addresses.peer.unwrap();
-    let late = Arc::new(pool.entry(&[seed], None).await);
-    let before = limited.seen().len();
+    let new_entry = Arc::new(pool.start_entry(&[seed], None).await);
+    let before = limited.requests().len();
     for _ in 0..10 {
-        assert_eq!(late.ask("POST", "/chat/late", "X-Model: small\r\n").await.status, 200);
+        assert_eq!(new_entry.ask("POST", "/chat/late", "X-Model: small\r\n").await.status, 200);
     }
 
-    assert_eq!(limited.seen().len(), before, "it has no place yet, and another server is free");
+    assert_eq!(
+        limited.requests().len(),
+        before,
+        "the new entry has no place yet, and another server is free"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_new_life_of_a_server_has_no_limit() {
-    let limited = healthy("i-limited").await;
-    let pool = pool_of(&[&limited]).await;
-    let sites = pool.entries(2).await;
+async fn a_restarted_server_has_no_rate_limit() {
+    let limited = healthy_server("i-limited").await;
+    let pool = start_pool(&[&limited]).await;
+    let sites = pool.start_entries(2).await;
     limited.advertise_limit(&["1.9"]);
-    load(&sites, Duration::from_millis(300)).await;
-    until("it is known", || sites.iter().all(|site| knows_limit(site))).await;
+    run_load(&sites, Duration::from_millis(300)).await;
+    until("the limit is known", || sites.iter().all(|site| knows_limit(site))).await;
 
     limited.advertise_limit(&[]);
     list_life(&pool.store, &limited, "llm", 2_000);
 
-    until("the new life has none", || !sites.iter().any(|site| knows_limit(site))).await;
-    let (asked, served) = load(&sites, Duration::from_secs(1)).await;
-    assert_eq!(served, asked);
+    until("the limit is forgotten", || !sites.iter().any(|site| knows_limit(site))).await;
+    let (sent, served) = run_load(&sites, Duration::from_secs(1)).await;
+    assert_eq!(served, sent);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_limit_that_cant_be_read_changes_nothing() {
-    let limited = healthy("i-limited").await;
-    let pool = pool_of(&[&limited]).await;
-    let sites = pool.entries(2).await;
+async fn an_unreadable_rate_limit_is_ignored() {
+    let limited = healthy_server("i-limited").await;
+    let pool = start_pool(&[&limited]).await;
+    let sites = pool.start_entries(2).await;
 
     for lines in [["NaN"], ["-3"], ["few"], ["inf"]] {
         limited.advertise_limit(&lines);
-        let (asked, served) = load(&sites, Duration::from_millis(300)).await;
-        assert_eq!(served, asked, "{lines:?}");
+        let (sent, served) = run_load(&sites, Duration::from_millis(300)).await;
+        assert_eq!(served, sent, "{lines:?}");
     }
 
     assert!(!sites.iter().any(|site| knows_limit(site)));
--- a/tests/platform/requests.rs
+++ b/tests/platform/requests.rs
@@ -1,4 +1,4 @@
-//! Requests answered in one piece: what is tried where, and what the caller may be told.
+//! Requests with a single response: which servers are tried, and which response the caller gets.
 
 use std::time::Duration;
 
@@ -6,47 +6,51 @@
 use mintmoor::policy::placement::hash_id;
 
 use crate::{
-    server::{Act, Server},
+    server::{Action, Server},
     site::{Site, always, first_then, request, until},
 };
 
-const GOOD: Act = Act::Answer { status: 200, body: "good" };
-const FAILS: Act = Act::Answer { status: 500, body: "bad" };
+const SUCCESS: Action = Action::Respond { status: 200, body: "good" };
+const FAILURE: Action = Action::Respond { status: 500, body: "bad" };
 
-async fn site_of(servers: &[&Server]) -> Site {
+/// Starts a site with these servers of one service.
+async fn start_site(servers: &[&Server]) -> Site {
     let listed: Vec<_> = servers.iter().map(|s| (*s, "app", "v1")).collect();
     Site::start(&listed).await
 }
 
-fn runs(servers: &[&Server]) -> usize {
-    servers.iter().map(|server| server.seen().len()).sum()
+/// Number of requests that these servers received.
+fn request_count(servers: &[&Server]) -> usize {
+    servers.iter().map(|server| server.requests().len()).sum()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_is_passed_on_unchanged_with_its_signature() {
-    let server = always("i-1", GOOD).await;
-    let site = site_of(&[&server]).await;
+async fn a_response_is_forwarded_unchanged_with_its_signature() {
+    let server = always("i-1", SUCCESS).await;
+    let site = start_site(&[&server]).await;
 
     let answer = site.ask("GET", "/safe/a?x=1", "X-Custom: kept\r\nX-Tenant: forged\r\n").await;
 
     assert_eq!((answer.status, &*answer.body, answer.is_whole), (200, "good", true));
     assert!(answer.head.contains("x-instance-stamp: s"));
-    let seen = server.seen().remove(0);
-    assert_eq!(seen.line, "GET /safe/a?x=1 HTTP/1.1");
-    assert_eq!(seen.header("x-tenant"), "org");
-    assert_eq!(seen.header("x-expect-instance"), "i-1");
-    assert_eq!(seen.header("x-custom"), "kept");
-    assert_eq!(seen.header("authorization"), "");
-    let left: u64 = seen.header("x-deadline-ms").parse().unwrap();
+    let request = server.requests().remove(0);
+    assert_eq!(request.request_line, "GET /safe/a?x=1 HTTP/1.1");
+    assert_eq!(request.header("x-tenant"), "org");
+    assert_eq!(request.header("x-expect-instance"), "i-1");
+    assert_eq!(request.header("x-custom"), "kept");
+    assert_eq!(request.header("authorization"), "");
+    let left: u64 = request.header("x-deadline-ms").parse().unwrap();
     assert!((1..=3_000).contains(&left), "the route allows 3 s, the caller 5 s; sent {left} ms");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_at_the_same_time_get_each_their_own_answer() {
-    let after = Duration::from_millis(20);
-    let (one, two) =
-        (always("i-1", Act::Echo { after }).await, always("i-2", Act::Echo { after }).await);
-    let site = site_of(&[&one, &two]).await;
+async fn concurrent_requests_each_get_their_own_response() {
+    let delay = Duration::from_millis(20);
+    let (one, two) = (
+        always("i-1", Action::EchoIdAfter { delay }).await,
+        always("i-2", Action::EchoIdAfter { delay }).await,
+    );
+    let site = start_site(&[&one, &two]).await;
     let paths: Vec<String> = (0..20).map(|i| format!("/safe/{i}")).collect();
 
     let answers = join_all(paths.iter().map(|path| site.ask("GET", path, ""))).await;
@@ -57,10 +61,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_failed_idempotent_request_is_asked_elsewhere() {
-    for first in [FAILS, Act::Close, Act::CutAnswer, Act::WrongId, Act::Unsigned, Act::Encoded] {
-        let (fails_once, good) = (first_then("i-1", first, GOOD).await, always("i-2", GOOD).await);
-        let site = site_of(&[&fails_once, &good]).await;
+async fn a_failed_idempotent_request_is_retried_on_another_server() {
+    for first in [
+        FAILURE,
+        Action::CloseConnection,
+        Action::Truncated,
+        Action::WrongRequestId,
+        Action::Unsigned,
+        Action::Gzip,
+    ] {
+        let (fails_first, good) =
+            (first_then("i-1", first, SUCCESS).await, always("i-2", SUCCESS).await);
+        let site = start_site(&[&fails_first, &good]).await;
 
         for _ in 0..4 {
             let answer = site.ask("GET", "/safe/a", "").await;
@@ -70,36 +82,42 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_failure_everywhere_is_passed_on_as_the_server_gave_it() {
-    let (one, two) = (always("i-1", FAILS).await, always("i-2", FAILS).await);
-    let site = site_of(&[&one, &two]).await;
+async fn when_all_attempts_fail_the_error_response_is_forwarded_unchanged() {
+    let (one, two) = (always("i-1", FAILURE).await, always("i-2", FAILURE).await);
+    let site = start_site(&[&one, &two]).await;
 
     let answer = site.ask("GET", "/safe/a", "").await;
 
     assert_eq!((answer.status, &*answer.body), (500, "bad"));
     assert!(answer.head.contains("x-instance-stamp: s"));
-    assert_eq!(runs(&[&one, &two]), 2, "the route allows two attempts");
+    assert_eq!(request_count(&[&one, &two]), 2, "the route allows two attempts");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_once_only_request_that_may_have_run_is_not_sent_again_nor_called_not_run() {
-    for act in [Act::Close, Act::CutAnswer, Act::WrongId, Act::Unsigned, Act::Hang] {
-        let (one, two) = (always("i-1", act.clone()).await, always("i-2", act).await);
-        let site = site_of(&[&one, &two]).await;
+async fn a_once_only_request_that_may_have_run_is_neither_retried_nor_reported_as_not_run() {
+    for action in [
+        Action::CloseConnection,
+        Action::Truncated,
+        Action::WrongRequestId,
+        Action::Unsigned,
+        Action::Hang,
+    ] {
+        let (one, two) = (always("i-1", action.clone()).await, always("i-2", action).await);
+        let site = start_site(&[&one, &two]).await;
 
         let answer = site.ask("POST", "/once/a", "").await;
 
-        assert!([502, 504].contains(&answer.status), "told {}", answer.status);
+        assert!([502, 504].contains(&answer.status), "status {}", answer.status);
         assert!(!answer.head.contains("x-instance-stamp"));
-        assert_eq!(runs(&[&one, &two]), 1);
+        assert_eq!(request_count(&[&one, &two]), 1);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_once_only_request_that_provably_did_not_run_is_sent_elsewhere() {
-    for act in [Act::Shed, Act::OtherServer] {
-        let (one, two) = (always("i-1", act).await, always("i-2", GOOD).await);
-        let site = site_of(&[&one, &two]).await;
+async fn a_once_only_request_that_provably_did_not_run_is_retried_on_another_server() {
+    for action in [Action::NotExecuted, Action::Misrouted] {
+        let (one, two) = (always("i-1", action).await, always("i-2", SUCCESS).await);
+        let site = start_site(&[&one, &two]).await;
 
         for _ in 0..3 {
             let answer = site.ask("POST", "/once/a", "").await;
@@ -109,9 +127,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_nobody_ran_is_refused_with_a_time_to_come_back() {
-    let server = always("i-1", Act::Shed).await;
-    let site = site_of(&[&server]).await;
+async fn a_request_that_no_server_ran_gets_503_with_retry_after() {
+    let server = always("i-1", Action::NotExecuted).await;
+    let site = start_site(&[&server]).await;
 
     let answer = site.ask("POST", "/once/a", "").await;
 
@@ -120,14 +138,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_listens_no_more_is_passed_over() {
-    let good = always("i-1", GOOD).await;
-    let mut gone = always("i-2", GOOD).await;
-    // Bound for as long as the test lasts, so that nobody else gets the port, but not listening.
-    let deaf = tokio::net::TcpSocket::new_v4().unwrap();
-    deaf.bind("127.0.0.1:0".parse().unwrap()).unwrap();
-    gone.address = deaf.local_addr().unwrap();
-    let site = site_of(&[&good, &gone]).await;
+async fn a_server_that_refuses_connections_is_skipped() {
+    let good = always("i-1", SUCCESS).await;
+    let mut unreachable = always("i-2", SUCCESS).await;
+    // Bound but not listening: connections are refused, and no other process gets the port during
+    // the test.
+    let closed = tokio::net::TcpSocket::new_v4().unwrap();
+    closed.bind("127.0.0.1:0".parse().unwrap()).unwrap();
+    unreachable.address = closed.local_addr().unwrap();
+    let site = start_site(&[&good, &unreachable]).await;
 
     for _ in 0..4 {
         assert_eq!(site.ask("POST", "/once/a", "").await.status, 200);
@@ -135,21 +154,22 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn servers_that_listen_no_more_cost_neither_attempts_nor_budget() {
-    let good = always("i-good", GOOD).await;
-    let mut deaf = Vec::new();
-    let mut gone: Vec<Server> = Vec::new();
-    // All that are tried before the good one: costs are equal, so the order is that of the ids.
+async fn servers_that_refuse_connections_use_up_neither_attempts_nor_retry_budget() {
+    let good = always("i-good", SUCCESS).await;
+    let mut closed = Vec::new();
+    let mut unreachable: Vec<Server> = Vec::new();
+    // Servers that are tried before the good one: costs are equal, so the hash of the id decides on
+    // the order.
     let ids = (0..).map(|i| format!("i-{i}")).filter(|id| hash_id(id) < hash_id("i-good"));
     for id in ids.take(8) {
         let socket = tokio::net::TcpSocket::new_v4().unwrap();
         socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let mut server = good.clone();
         (server.address, server.id) = (socket.local_addr().unwrap(), id);
-        gone.push(server);
-        deaf.push(socket);
+        unreachable.push(server);
+        closed.push(socket);
     }
-    let listed: Vec<_> = gone.iter().chain([&good]).map(|s| (s, "app", "v1")).collect();
+    let listed: Vec<_> = unreachable.iter().chain([&good]).map(|s| (s, "app", "v1")).collect();
     let site = Site::without_repeats(&listed).await;
 
     let answer = site.ask("POST", "/once/a", "").await;
@@ -158,10 +178,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_gives_answers_of_others_is_taken_out() {
-    for act in [Act::WrongId, Act::Unsigned] {
-        let server = always("i-1", act).await;
-        let site = site_of(&[&server]).await;
+async fn a_server_that_returns_invalid_responses_is_ejected() {
+    for action in [Action::WrongRequestId, Action::Unsigned] {
+        let server = always("i-1", action).await;
+        let site = start_site(&[&server]).await;
 
         for _ in 0..2 {
             site.ask("POST", "/once/a", "").await;
@@ -172,9 +192,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_without_a_length_is_whole_when_its_connection_ends_well() {
-    let server = always("i-1", Act::Unframed).await;
-    let site = site_of(&[&server]).await;
+async fn a_close_delimited_response_is_complete_when_its_connection_closes_cleanly() {
+    let server = always("i-1", Action::CloseDelimited).await;
+    let site = start_site(&[&server]).await;
 
     let answer = site.ask("GET", "/safe/a", "").await;
 
@@ -182,9 +202,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_second_answer_to_one_request_reaches_nobody() {
-    let server = always("i-1", Act::Twice).await;
-    let site = site_of(&[&server]).await;
+async fn a_duplicate_response_is_discarded() {
+    let server = always("i-1", Action::Duplicate).await;
+    let site = start_site(&[&server]).await;
 
     for i in 0..6 {
         let answer = site.ask("GET", &format!("/safe/{i}"), "").await;
@@ -194,9 +214,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn routes_keys_and_lengths_are_checked_before_anything_is_sent() {
-    let server = always("i-1", GOOD).await;
-    let site = site_of(&[&server]).await;
+async fn invalid_requests_are_rejected_before_anything_is_sent() {
+    let server = always("i-1", SUCCESS).await;
+    let site = start_site(&[&server]).await;
     let plain = request("GET", "/safe/a", "", "");
     let cases = [
         (request("GET", "/nowhere/a", "", ""), 404),
@@ -210,13 +230,13 @@
     for (bytes, status) in cases {
         assert_eq!(site.send(&bytes).await.status, status, "{}", &bytes[..bytes.len().min(200)]);
     }
-    assert!(server.seen().is_empty());
+    assert!(server.requests().is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_hidden_behind_another_never_runs() {
-    let server = always("i-1", GOOD).await;
-    let site = site_of(&[&server]).await;
+async fn a_smuggled_request_never_runs() {
+    let server = always("i-1", SUCCESS).await;
+    let site = start_site(&[&server]).await;
     let hidden = request("POST", "/once/hidden", "", "");
     let body = format!("0\r\n\r\n{hidden}");
     let outer = request("POST", "/once/outer", "Transfer-Encoding: chunked\r\n", &body);
@@ -225,60 +245,63 @@
     let answer = site.send(&outer).await;
 
     assert_eq!(answer.status, 200);
-    let lines: Vec<String> = server.seen().into_iter().map(|seen| seen.line).collect();
+    let lines: Vec<String> =
+        server.requests().into_iter().map(|request| request.request_line).collect();
     assert_eq!(lines, ["POST /once/outer HTTP/1.1"]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_chunked_body_arrives_whole() {
-    let server = always("i-1", GOOD).await;
-    let site = site_of(&[&server]).await;
+async fn a_chunked_request_body_reaches_the_server_whole() {
+    let server = always("i-1", SUCCESS).await;
+    let site = start_site(&[&server]).await;
     let head = request("POST", "/once/a", "Transfer-Encoding: chunked\r\n", "");
     let head = head.replace("Content-Length: 0\r\n", "");
 
     let answer = site.send(&format!("{head}3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")).await;
 
     assert_eq!(answer.status, 200);
-    assert_eq!(server.seen()[0].body, b"abcde");
+    assert_eq!(server.requests()[0].body, b"abcde");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_is_let_off_when_the_caller_leaves() {
+async fn the_server_connection_is_closed_when_the_caller_disconnects() {
     use tokio::io::AsyncWriteExt;
-    let server = always("i-1", Act::Hang).await;
-    let site = site_of(&[&server]).await;
+    let server = always("i-1", Action::Hang).await;
+    let site = start_site(&[&server]).await;
     let mut stream = tokio::net::TcpStream::connect(site.caller).await.unwrap();
     stream.write_all(request("POST", "/once/a", "", "").as_bytes()).await.unwrap();
-    until("the server is at work", || server.at_work() == 1).await;
+    until("the server is handling the request", || server.active_requests() == 1).await;
 
     drop(stream);
 
-    until("the server is let off", || server.at_work() == 0).await;
+    until("the connection to the server is closed", || server.active_requests() == 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_finishes_what_runs_and_turns_long_requests_away() {
-    let (app, llm) = (always("i-1", GOOD).await, always("i-2", Act::Endless).await);
+async fn a_graceful_shutdown_serves_short_requests_and_refuses_long_ones() {
+    let (app, llm) = (always("i-1", SUCCESS).await, always("i-2", Action::EndlessStream).await);
     let site = Site::start(&[(&app, "app", "v1"), (&llm, "llm", "v1")]).await;
     let (caller, readiness) = (site.caller, site.readiness);
     let router = site.entry.router.clone();
     assert!(router.is_ready());
 
     let stopping = tokio::spawn(site.entry.stop());
-    until("the entry is unready", || !router.is_ready()).await;
+    until("the entry is not ready", || !router.is_ready()).await;
 
-    // Callers that connected before the balancer knew may go elsewhere at once.
-    let early = raw(caller, &request("POST", "/chat/a", "", "")).await;
+    // Callers that connected before the load balancer noticed may retry elsewhere at once.
+    let early = send_raw(caller, &request("POST", "/chat/a", "", "")).await;
     assert!(early.contains("retry-after: 0.050"), "{early}");
-    // With a grace of 4 s a stream, which may take 4.9 s, is turned away; a short one is served.
-    assert_eq!(status_of(caller, &request("POST", "/chat/a", "", "")).await, 503);
-    assert_eq!(status_of(caller, &request("POST", "/once/a", "", "")).await, 200);
+    // The shutdown grace is 4 s: a stream, which may take 4.9 s, is refused, and a short request is
+    // served.
+    assert_eq!(send_for_status(caller, &request("POST", "/chat/a", "", "")).await, 503);
+    assert_eq!(send_for_status(caller, &request("POST", "/once/a", "", "")).await, 200);
     let ready = "GET /-/readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-    assert_eq!(status_of(readiness, ready).await, 503);
-    assert_eq!(stopping.await.unwrap(), 0, "nothing was cut off");
+    assert_eq!(send_for_status(readiness, ready).await, 503);
+    assert_eq!(stopping.await.unwrap(), 0, "no request was cut off");
 }
 
-async fn raw(address: std::net::SocketAddr, bytes: &str) -> String {
+/// Sends raw bytes on a connection of its own and returns everything up to its end.
+async fn send_raw(address: std::net::SocketAddr, bytes: &str) -> String {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let mut stream = tokio::net::TcpStream::connect(address).await.unwrap();
     stream.write_all(bytes.as_bytes()).await.unwrap();
@@ -288,18 +311,19 @@
     String::from_utf8_lossy(&raw).into_owned()
 }
 
-async fn status_of(address: std::net::SocketAddr, bytes: &str) -> u16 {
-    raw(address, bytes).await[9..12].parse().unwrap()
+/// Sends raw bytes and returns the status of the response.
+async fn send_for_status(address: std::net::SocketAddr, bytes: &str) -> u16 {
+    send_raw(address, bytes).await[9..12].parse().unwrap()
 }
 
-/// The last server of a service is gone: nobody listens at its address, and no second look within a moment
-/// finds anybody.
+/// The last server of a service has terminated: its address refuses connections, and the entry must
+/// not try it over and over while it waits for a server.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_can_not_be_reached_is_asked_once_by_a_request() {
-    let server = always("i-1", Act::Crash { has_begun: false }).await;
+async fn a_request_tries_an_unreachable_server_only_once() {
+    let server = always("i-1", Action::Crash { after_head: false }).await;
     let site = Site::start(&[(&server, "app", "v1")]).await;
     site.ask("POST", "/once/a", "").await;
-    server.until_ended(0).await;
+    server.wait_until_terminated(0).await;
     let refused = || {
         let rendered = site.entry.router.metrics.render();
         let lines = rendered
@@ -313,5 +337,5 @@
 
     assert_eq!(answer.status, 503);
     assert!(answer.head.contains("retry-after: "), "{}", answer.head);
-    assert_eq!(refused() - before, 1.0, "asked once");
+    assert_eq!(refused() - before, 1.0, "one connection attempt");
 }
