--- a/tests/platform/adapter.rs
+++ b/tests/platform/adapter.rs
@@ -284,7 +284,7 @@
     let client = StoreClient::new(HttpClient::default(), &store.address.to_string());
     let put = [Put { table: Table::Own, key: "k".into(), expected: 0, value: b"{}".to_vec() }];
 
-    for fault in [Fault::Down, Fault::TooMany] {
+    for fault in [Fault::Down, Fault::RateLimited] {
         store.set_fault(fault);
         assert!(matches!(client.write(&put, 0).await, Err(Error::Refused(_))));
     }
--- a/tests/platform/cold.rs
+++ b/tests/platform/cold.rs
@@ -8,7 +8,7 @@
 use crate::{
     pool::free_address,
     server::{Act, Server},
-    site::{Site, always, configuration, list, server_row, until},
+    site::{Site, configuration, list_server, server_row, start_server, wait_until},
     store::Store,
 };
 
@@ -40,7 +40,7 @@
 async fn ask_often(site: &Site, path: &str) -> Vec<u16> {
     let mut statuses = Vec::new();
     for number in 0..20 {
-        statuses.push(site.ask("GET", &format!("{path}{number}"), "").await.status);
+        statuses.push(site.request("GET", &format!("{path}{number}"), "").await.status);
     }
     statuses
 }
@@ -54,11 +54,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cold_server_gets_what_it_bears_and_the_warm_ones_the_rest() {
-    let (cold, warm) = (always("i-cold", GOOD).await, always("i-warm", GOOD).await);
+    let (cold, warm) = (start_server("i-cold", GOOD).await, start_server("i-warm", GOOD).await);
     let store = store_of_cold(&[&cold]).await;
-    list(&store, &warm, "app", "v1", "ready");
-    let site = Site::beside(store).await;
-    site.until_in_view(2).await;
+    list_server(&store, &warm, "app", "v1", "ready");
+    let site = Site::start_with_store(store).await;
+    site.wait_for_servers(2).await;
 
     let statuses = ask_often(&site, "/safe/").await;
 
@@ -68,12 +68,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn what_cold_servers_do_not_bear_is_refused_at_once() {
-    let cold = always("i-cold", GOOD).await;
-    let site = Site::beside(store_of_cold(&[&cold]).await).await;
-    site.until_in_view(1).await;
+    let cold = start_server("i-cold", GOOD).await;
+    let site = Site::start_with_store(store_of_cold(&[&cold]).await).await;
+    site.wait_for_servers(1).await;
 
-    assert_eq!(site.ask("GET", "/safe/first", "").await.status, 200);
-    let refused = site.ask("GET", "/safe/second", "").await;
+    assert_eq!(site.request("GET", "/safe/first", "").await.status, 200);
+    let refused = site.request("GET", "/safe/second", "").await;
 
     assert_eq!((refused.status, cold.seen().len()), (503, 1));
     assert!(refused.head.contains("retry-after: "), "{}", refused.head);
@@ -81,19 +81,19 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn its_row_tells_when_it_is_warm_and_when_it_is_cold_again() {
-    let server = always("i-1", GOOD).await;
-    let site = Site::beside(store_of_cold(&[&server]).await).await;
-    site.until_in_view(1).await;
+    let server = start_server("i-1", GOOD).await;
+    let site = Site::start_with_store(store_of_cold(&[&server]).await).await;
+    site.wait_for_servers(1).await;
     ask_often(&site, "/safe/cold").await;
     assert_eq!(server.seen().len(), 1);
 
     list_cold(&site.store, &server, "app", 0);
-    until("it is warm", || !is_cold(&site, "i-1")).await;
+    wait_until("it is warm", || !is_cold(&site, "i-1")).await;
     ask_often(&site, "/safe/warm").await;
     assert_eq!(server.seen().len(), 21);
 
     list_cold(&site.store, &server, "app", 60_000);
-    until("it is cold", || is_cold(&site, "i-1")).await;
+    wait_until("it is cold", || is_cold(&site, "i-1")).await;
     ask_often(&site, "/safe/again").await;
     assert_eq!(server.seen().len(), 21, "the one send in 100 s was made before");
 }
@@ -101,16 +101,16 @@
 /// Rows tell a heartbeat later that a zone came back cold.
 #[tokio::test(flavor = "multi_thread")]
 async fn servers_of_a_zone_that_is_taken_back_are_taken_as_cold() {
-    let server = always("i-1", GOOD).await;
+    let server = start_server("i-1", GOOD).await;
     let store = Store::start().await;
     store.put("op", "config", &cold_configuration(1));
     store.put("op", "evacuate/zone-a", &json!({}));
-    list(&store, &server, "app", "v1", "ready");
-    let site = Site::beside(store).await;
-    site.until_in_view(1).await;
+    list_server(&store, &server, "app", "v1", "ready");
+    let site = Site::start_with_store(store).await;
+    site.wait_for_servers(1).await;
 
     site.store.remove("op", "evacuate/zone-a");
-    until("it is taken back", || site.entry.router.dump()["evacuated"] == json!([])).await;
+    wait_until("it is taken back", || site.entry.router.dump()["evacuated"] == json!([])).await;
     ask_often(&site, "/safe/").await;
 
     assert_eq!(server.seen().len(), 1);
@@ -119,19 +119,19 @@
 /// Nobody answered for a server, and it is there again before its row tells of its start.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_was_gone_is_taken_as_cold_once_it_answers() {
-    let server = always("i-1", Act::Crash { has_begun: false }).await;
+    let server = start_server("i-1", Act::Crash { has_begun: false }).await;
     let store = Store::start().await;
     store.put("op", "config", &cold_configuration(1));
-    list(&store, &server, "app", "v1", "ready");
-    let site = Site::beside(store).await;
-    site.until_in_view(1).await;
-    site.ask("GET", "/safe/a", "").await;
+    list_server(&store, &server, "app", "v1", "ready");
+    let site = Site::start_with_store(store).await;
+    site.wait_for_servers(1).await;
+    site.request("GET", "/safe/a", "").await;
     server.until_ended(0).await;
-    site.ask("GET", "/safe/b", "").await;
+    site.request("GET", "/safe/b", "").await;
 
     server.start_again();
     for number in 0..20 {
-        site.ask("GET", &format!("/safe/c{number}"), "").await;
+        site.request("GET", &format!("/safe/c{number}"), "").await;
     }
 
     assert!(server.seen().len() <= 3, "{} reached it", server.seen().len());
@@ -140,26 +140,26 @@
 /// Each knows its place once it has heard of the others for some seconds.
 #[tokio::test(flavor = "multi_thread")]
 async fn entries_share_what_a_cold_server_bears() {
-    let (cold, warm) = (always("i-cold", GOOD).await, always("i-warm", GOOD).await);
+    let (cold, warm) = (start_server("i-cold", GOOD).await, start_server("i-warm", GOOD).await);
     let store = store_of_cold(&[]).await;
-    list(&store, &warm, "app", "v1", "ready");
+    list_server(&store, &warm, "app", "v1", "ready");
     let seeds = [free_address(), free_address()];
     let mut sites = Vec::new();
     for number in 0..4 {
-        let site = Site::with(store.clone(), |host| {
+        let site = Site::start_with_settings(store.clone(), |host| {
             host.seed_peers = seeds.to_vec();
             host.peer_address = seeds.get(number).copied().or(host.peer_address);
         });
         sites.push(Arc::new(site.await));
     }
     for site in &sites {
-        until("all report", || site.entry.router.dump()["entries"] == 4).await;
-        until("it knows its place", || !site.entry.router.dump()["place"].is_null()).await;
+        wait_until("all report", || site.entry.router.dump()["entries"] == 4).await;
+        wait_until("it knows its place", || !site.entry.router.dump()["place"].is_null()).await;
     }
 
     list_cold(&store, &cold, "app", 60_000);
     for site in &sites {
-        site.until_in_view(2).await;
+        site.wait_for_servers(2).await;
     }
     for site in sites.iter().cycle().take(12) {
         ask_often(site, "/safe/").await;
--- a/tests/platform/crashes.rs
+++ b/tests/platform/crashes.rs
@@ -11,7 +11,10 @@
 use crate::{
     pool::{CRASHING, DOWN, EVENTS, Pool, ask, ask_others, free_address, insist},
     server::{Act, Server},
-    site::{Answer, Site, always, list, list_life, store_with, until},
+    site::{
+        Answer, Site, list_server, list_server_with_start_time, start_server, store_with_servers,
+        wait_until,
+    },
     store::Fault,
 };
 
@@ -88,7 +91,7 @@
     let pool = Pool::start("llm", 6, true).await;
     let sites = pool.entries(2).await;
     until_refused(&sites[0], "/chat/a").await;
-    until("the other one knows", || is_quarantined(&sites[1])).await;
+    wait_until("the other one knows", || is_quarantined(&sites[1])).await;
     let arrivals = || pool.witness.arrivals.lock().unwrap().len();
     let before = arrivals();
 
@@ -121,7 +124,7 @@
     let pool = Pool::start("llm", 6, true).await;
     let sites = pool.entries(3).await;
     until_refused(&sites[0], "/chat/a").await;
-    until("the store keeps it", || pool.store.read("mintmoor", "quarantine").is_some()).await;
+    wait_until("the store keeps it", || pool.store.read("mintmoor", "quarantine").is_some()).await;
     let arrivals = || pool.witness.arrivals.lock().unwrap().len();
     let before = arrivals();
     drop(sites);
@@ -142,7 +145,7 @@
 
     until_refused(&sites[0], "/chat/a").await;
     for site in &sites {
-        until("it knows", || is_quarantined(site)).await;
+        wait_until("it knows", || is_quarantined(site)).await;
     }
 
     assert_eq!(pool.witness.ends(), 3);
@@ -161,11 +164,11 @@
     for (i, site) in sites.iter().enumerate() {
         // One send a try.
         let _ = ask(site, "/once/a", CRASHING).await;
-        until("it is in the store", || in_store() == i + 1).await;
+        wait_until("it is in the store", || in_store() == i + 1).await;
     }
 
     for site in &sites {
-        until("it knows", || is_quarantined(site)).await;
+        wait_until("it knows", || is_quarantined(site)).await;
     }
     assert_eq!(pool.witness.ends(), 3);
 }
@@ -173,9 +176,9 @@
 /// The same of one server, which is back each time before the list tells of its next life.
 #[tokio::test(flavor = "multi_thread")]
 async fn so_are_ends_of_lives_that_the_list_tells_nothing_of() {
-    let server = always("i-1", Act::Crash { has_begun: false }).await;
-    let store = store_with(&[]).await;
-    list_life(&store, &server, "app", 1_000);
+    let server = start_server("i-1", Act::Crash { has_begun: false }).await;
+    let store = store_with_servers(&[]).await;
+    list_server_with_start_time(&store, &server, "app", 1_000);
     let pool = Pool::of(store, vec![server.clone()]);
     let sites = pool.entries_apart(3).await;
 
@@ -187,7 +190,7 @@
     }
 
     for site in &sites {
-        until("it knows", || is_quarantined(site)).await;
+        wait_until("it knows", || is_quarantined(site)).await;
     }
 }
 
@@ -196,10 +199,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn ends_that_the_list_tells_of_at_once_count_each() {
     let servers = [
-        always("i-1", Act::Close).await,
-        always("i-2", Act::Close).await,
-        always("i-3", Act::Close).await,
-        always("i-4", Act::Close).await,
+        start_server("i-1", Act::Close).await,
+        start_server("i-2", Act::Close).await,
+        start_server("i-3", Act::Close).await,
+        start_server("i-4", Act::Close).await,
     ];
     let listed: Vec<_> = servers.iter().map(|server| (server, "app", "v1")).collect();
     let site = Arc::new(Site::start(&listed).await);
@@ -226,10 +229,10 @@
     }
     assert!(met_by(CRASHING) == 3 && is_all_met());
     for server in &servers {
-        list_life(&site.store, server, "app", 2_000);
+        list_server_with_start_time(&site.store, server, "app", 2_000);
     }
 
-    until("it is refused", || is_quarantined(&site)).await;
+    wait_until("it is refused", || is_quarantined(&site)).await;
 }
 
 /// The store is away while servers end: entries tell each other, and the store hears of it later.
@@ -241,12 +244,12 @@
 
     until_refused(&sites[2], "/chat/a").await;
     for site in &sites {
-        until("it knows", || is_quarantined(site)).await;
+        wait_until("it knows", || is_quarantined(site)).await;
     }
     assert!(pool.store.read("mintmoor", "quarantine").is_none());
     pool.store.set_fault(Fault::None);
 
-    until("the store keeps it", || pool.store.read("mintmoor", "quarantine").is_some()).await;
+    wait_until("the store keeps it", || pool.store.read("mintmoor", "quarantine").is_some()).await;
 }
 
 /// The store comes back from a copy that lacks it: who knows it writes it again.
@@ -254,14 +257,14 @@
 async fn a_store_that_comes_back_without_it_is_told_again() {
     let pool = Pool::start("llm", 6, true).await;
     let sites = pool.entries(2).await;
-    let copy = pool.store.copy();
+    let snapshot = pool.store.snapshot();
     until_refused(&sites[0], "/chat/a").await;
     let in_store = || pool.store.read("mintmoor", "quarantine").is_some();
-    until("the store keeps it", in_store).await;
+    wait_until("the store keeps it", in_store).await;
 
-    pool.store.restore(&copy);
+    pool.store.restore(&snapshot);
 
-    until("the store keeps it again", in_store).await;
+    wait_until("the store keeps it again", in_store).await;
 }
 
 /// A seed hears of the ends and is killed; others have heard of them as well.
@@ -272,13 +275,13 @@
     let last = sites.pop().unwrap();
     until_refused(&last, "/chat/a").await;
     // Whoever saw the ends lives until a seed has heard of them, and not until that has told others.
-    until("a seed knows", || is_quarantined(&sites[0]) || is_quarantined(&sites[1])).await;
+    wait_until("a seed knows", || is_quarantined(&sites[0]) || is_quarantined(&sites[1])).await;
     let first = sites.remove(usize::from(!is_quarantined(&sites[0])));
     drop(first);
     drop(last);
 
     for site in &sites {
-        until("it knows", || is_quarantined(site)).await;
+        wait_until("it knows", || is_quarantined(site)).await;
     }
     assert_eq!(pool.witness.ends(), 3);
 }
@@ -288,8 +291,8 @@
     let pool = Pool::start("llm", 6, true).await;
     let sites = pool.entries(2).await;
     until_refused(&sites[0], "/chat/a").await;
-    until("the other one knows", || is_quarantined(&sites[1])).await;
-    until("the store keeps it", || pool.store.read("mintmoor", "quarantine").is_some()).await;
+    wait_until("the other one knows", || is_quarantined(&sites[1])).await;
+    wait_until("the store keeps it", || pool.store.read("mintmoor", "quarantine").is_some()).await;
     let case = sites[0].entry.router.dump()["quarantine"][0].clone();
     let fingerprint = case["fingerprint"].as_str().unwrap().to_owned();
 
@@ -297,9 +300,9 @@
 
     assert_eq!(released, Released::Done);
     assert_eq!(sites[1].entry.router.release(&fingerprint), Released::Unknown);
-    until("the other one lets it go", || !is_quarantined(&sites[0])).await;
+    wait_until("the other one lets it go", || !is_quarantined(&sites[0])).await;
     let kept = || pool.store.read("mintmoor", "quarantine").unwrap()["cases"].clone();
-    until("so does the store", || kept().as_array().unwrap().is_empty()).await;
+    wait_until("so does the store", || kept().as_array().unwrap().is_empty()).await;
 }
 
 /// Many callers send it, so it is wherever the guilty one is. A trial tells them apart a second later.
@@ -340,7 +343,8 @@
 /// A server that breaks connections and lives on proves nothing.
 #[tokio::test(flavor = "multi_thread")]
 async fn broken_answers_of_servers_that_live_speak_against_nothing() {
-    let servers = [always("i-1", Act::Close).await, always("i-2", Act::CutAnswer).await];
+    let servers =
+        [start_server("i-1", Act::Close).await, start_server("i-2", Act::CutAnswer).await];
     let listed: Vec<_> = servers.iter().map(|server| (server, "app", "v1")).collect();
     let site = Arc::new(Site::start(&listed).await);
 
@@ -355,26 +359,26 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_whole_answer_clears_what_ran_beside_it() {
     let slow = Act::Paced { to: EVENTS, pause: Duration::from_millis(200) };
-    let (dies, serves) = (always("i-1", Act::Hang).await, always("i-2", slow).await);
+    let (dies, serves) = (start_server("i-1", Act::Hang).await, start_server("i-2", slow).await);
     let site = Arc::new(Site::start(&[(&dies, "llm", "v1")]).await);
     let asking = site.clone();
     let asked = tokio::spawn(async move { ask(&asking, "/chat/a", "innocent").await });
-    until("it is there", || dies.seen().len() == 1).await;
-    list(&site.store, &serves, "llm", "v1", "ready");
-    until("both are in view", || site.entry.router.fleet.load().len() == 2).await;
+    wait_until("it is there", || dies.seen().len() == 1).await;
+    list_server(&site.store, &serves, "llm", "v1", "ready");
+    wait_until("both are in view", || site.entry.router.fleet.load().len() == 2).await;
 
     dies.crash();
     let suspects = || site.entry.router.dump()["quarantine"].as_array().unwrap().len();
-    until("it is suspected", || suspects() == 1).await;
+    wait_until("it is suspected", || suspects() == 1).await;
     asked.await.unwrap();
 
-    until("it is cleared", || suspects() == 0).await;
+    wait_until("it is cleared", || suspects() == 0).await;
 }
 
 /// It comes back before its row tells of its next life, and meets the request again.
 #[tokio::test(flavor = "multi_thread")]
 async fn each_end_of_a_server_counts_though_the_list_is_behind() {
-    let server = always("i-1", Act::Crash { has_begun: false }).await;
+    let server = start_server("i-1", Act::Crash { has_begun: false }).await;
     let site = Arc::new(Site::start(&[(&server, "app", "v1")]).await);
     let ends = || site.entry.router.dump()["quarantine"][0]["ends"].as_u64().unwrap_or(0);
 
@@ -399,35 +403,35 @@
 /// it is one end, though the second entry's own date for it is more than half a second later.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_end_that_the_list_tells_of_is_one_whoever_saw_it_when() {
-    let server = always("i-1", Act::Close).await;
+    let server = start_server("i-1", Act::Close).await;
     let seeds = [free_address(), free_address()];
     let mut sites = Vec::new();
     for seed in seeds {
-        let store = store_with(&[]).await;
-        list_life(&store, &server, "app", 1_000);
+        let store = store_with_servers(&[]).await;
+        list_server_with_start_time(&store, &server, "app", 1_000);
         let change = |host: &mut HostSettings| {
             (host.seed_peers, host.peer_address) = (seeds.to_vec(), Some(seed));
         };
-        let site = Arc::new(Site::with(store, change).await);
-        site.until_in_view(1).await;
+        let site = Arc::new(Site::start_with_settings(store, change).await);
+        site.wait_for_servers(1).await;
         sites.push(site);
     }
     for site in &sites {
-        until("all report", || site.entry.router.dump()["entries"] == 2).await;
+        wait_until("all report", || site.entry.router.dump()["entries"] == 2).await;
     }
     let ends = |site: &Site| site.entry.router.dump()["quarantine"][0]["ends"].clone();
     ask(&sites[0], "/once/a", CRASHING).await;
     sleep(Duration::from_millis(700)).await;
     ask(&sites[1], "/once/a", CRASHING).await;
 
-    list_life(&sites[0].store, &server, "app", 2_000);
-    until("the second one is told", || ends(&sites[1]) == 1).await;
-    list_life(&sites[1].store, &server, "app", 2_000);
+    list_server_with_start_time(&sites[0].store, &server, "app", 2_000);
+    wait_until("the second one is told", || ends(&sites[1]) == 1).await;
+    list_server_with_start_time(&sites[1].store, &server, "app", 2_000);
     let is_reborn = || {
         let fleet = sites[1].entry.router.fleet.load();
         fleet.of_service("app").iter().any(|member| member.server.started_at == Some(2_000))
     };
-    until("the list tells it, too", is_reborn).await;
+    wait_until("the list tells it, too", is_reborn).await;
 
     assert_eq!(ends(&sites[1]), 1);
 }
--- a/tests/platform/evacuations.rs
+++ b/tests/platform/evacuations.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     server::{Act, Server},
-    site::{Site, always, configuration, events, list, server_row, until},
+    site::{Site, configuration, events, list_server, server_row, start_server, wait_until},
     store::{Fault, Store},
 };
 
@@ -28,13 +28,13 @@
 
 /// A site with a server in the entry's zone and one in another.
 async fn site_in_two_zones(service: &str, here: Act, there: Act) -> (Site, Server, Server) {
-    let (here, there) = (always("i-here", here).await, always("i-there", there).await);
+    let (here, there) = (start_server("i-here", here).await, start_server("i-there", there).await);
     let store = Store::start().await;
     store.put("op", "config", &configuration(1));
-    list(&store, &here, service, "v1", "ready");
+    list_server(&store, &here, service, "v1", "ready");
     store.put("servers", "i-there", &row_in("zone-b", &there, service));
-    let site = Site::beside(store).await;
-    site.until_in_view(2).await;
+    let site = Site::start_with_store(store).await;
+    site.wait_for_servers(2).await;
     (site, here, there)
 }
 
@@ -43,16 +43,16 @@
     let (site, here, there) = site_in_two_zones("app", GOOD, GOOD).await;
 
     evacuate(&site.store, "zone-a");
-    until("it is in force", || zones(&site) == 1).await;
+    wait_until("it is in force", || zones(&site) == 1).await;
     for number in 0..20 {
-        assert_eq!(site.ask("GET", &format!("/safe/{number}"), "").await.status, 200);
+        assert_eq!(site.request("GET", &format!("/safe/{number}"), "").await.status, 200);
     }
     assert_eq!((here.seen().len(), there.seen().len()), (0, 20));
 
     site.store.remove("op", "evacuate/zone-a");
-    until("it is taken back", || zones(&site) == 0).await;
+    wait_until("it is taken back", || zones(&site) == 0).await;
     for number in 0..20 {
-        site.ask("GET", &format!("/safe/b{number}"), "").await;
+        site.request("GET", &format!("/safe/b{number}"), "").await;
     }
     assert!(!here.seen().is_empty());
 }
@@ -62,10 +62,10 @@
 async fn no_retry_goes_to_an_evacuated_zone() {
     let (site, here, _there) = site_in_two_zones("app", GOOD, Act::Close).await;
     evacuate(&site.store, "zone-a");
-    until("it is in force", || zones(&site) == 1).await;
+    wait_until("it is in force", || zones(&site) == 1).await;
 
     for number in 0..5 {
-        assert_eq!(site.ask("GET", &format!("/safe/{number}"), "").await.status, 502);
+        assert_eq!(site.request("GET", &format!("/safe/{number}"), "").await.status, 502);
     }
 
     assert!(here.seen().is_empty());
@@ -80,9 +80,9 @@
         let good = Act::Stream { to: 6, is_whole: true, confidence: 90 };
         let (site, here, there) = site_in_two_zones("llm", good, act).await;
         evacuate(&site.store, "zone-a");
-        until("it is in force", || zones(&site) == 1).await;
+        wait_until("it is in force", || zones(&site) == 1).await;
 
-        let answer = site.ask("POST", "/chat/a", "").await;
+        let answer = site.request("POST", "/chat/a", "").await;
 
         assert!(here.seen().is_empty() && !there.seen().is_empty());
         assert!(events(6).starts_with(&answer.body));
@@ -94,9 +94,9 @@
     let (site, here, there) = site_in_two_zones("llm", GOOD, GOOD).await;
     evacuate(&site.store, "zone-a");
     evacuate(&site.store, "zone-b");
-    until("both are in force", || zones(&site) == 2).await;
+    wait_until("both are in force", || zones(&site) == 2).await;
 
-    let answer = site.ask("POST", "/chat/a", CHAT).await;
+    let answer = site.request("POST", "/chat/a", CHAT).await;
 
     assert_eq!(answer.status, 503);
     assert!(answer.head.contains("retry-after: "), "{}", answer.head);
@@ -107,16 +107,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_process_that_starts_knows_it_before_it_takes_requests() {
     for _ in 0..5 {
-        let (here, there) = (always("i-here", GOOD).await, always("i-there", GOOD).await);
+        let (here, there) =
+            (start_server("i-here", GOOD).await, start_server("i-there", GOOD).await);
         let store = Store::start().await;
         store.put("op", "config", &configuration(1));
         evacuate(&store, "zone-a");
-        list(&store, &here, "app", "v1", "ready");
+        list_server(&store, &here, "app", "v1", "ready");
         store.put("servers", "i-there", &row_in("zone-b", &there, "app"));
-        let site = Site::beside(store).await;
+        let site = Site::start_with_store(store).await;
 
-        assert_eq!(site.ask("GET", "/safe/a", "").await.status, 200);
-        assert_eq!(site.ask("GET", "/safe/b", "").await.status, 200);
+        assert_eq!(site.request("GET", "/safe/a", "").await.status, 200);
+        assert_eq!(site.request("GET", "/safe/b", "").await.status, 200);
 
         assert_eq!((here.seen().len(), there.seen().len()), (0, 2));
     }
@@ -128,13 +129,13 @@
     let (first, _here, _there) = site_in_two_zones("app", GOOD, GOOD).await;
     let refusing = Store::start().await;
     refusing.set_fault(Fault::Down);
-    let cut_off = Site::seed(refusing, first.entry.addresses.peer).await;
-    cut_off.until_in_view(2).await;
+    let cut_off = Site::start_seed(refusing, first.entry.addresses.peer).await;
+    cut_off.wait_for_servers(2).await;
 
     evacuate(&first.store, "zone-a");
-    until("it knows", || zones(&cut_off) == 1).await;
+    wait_until("it knows", || zones(&cut_off) == 1).await;
     first.store.remove("op", "evacuate/zone-a");
-    until("it knows of the end", || zones(&cut_off) == 0).await;
+    wait_until("it knows of the end", || zones(&cut_off) == 0).await;
 }
 
 /// The history between is gone, so the order's end shows in the whole table alone.
@@ -142,12 +143,12 @@
 async fn an_end_that_only_the_whole_table_shows_is_seen() {
     let (site, _here, _there) = site_in_two_zones("app", GOOD, GOOD).await;
     evacuate(&site.store, "zone-b");
-    until("it is in force", || zones(&site) == 1).await;
+    wait_until("it is in force", || zones(&site) == 1).await;
 
     site.store.set_fault(Fault::Down);
     site.store.remove("op", "evacuate/zone-b");
-    site.store.forget();
+    site.store.drop_history();
     site.store.set_fault(Fault::None);
 
-    until("it is taken back", || zones(&site) == 0).await;
+    wait_until("it is taken back", || zones(&site) == 0).await;
 }
--- a/tests/platform/homes.rs
+++ b/tests/platform/homes.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     server::{Act, Server},
-    site::{Site, always, configuration, events, server_row},
+    site::{Site, configuration, events, server_row, start_server},
     store::Store,
 };
 
@@ -19,19 +19,19 @@
     store.put("op", "config", &config);
     let mut servers = Vec::new();
     for (region, act) in REGIONS.iter().zip(acts) {
-        let server = always(&format!("i-{region}"), act).await;
+        let server = start_server(&format!("i-{region}"), act).await;
         let mut row = server_row(server.address, service, "v1", "ready");
         row["zone"] = json!(format!("{region}-1"));
         store.put("servers", &server.id, &row);
         servers.push(server);
     }
-    let site = Site::with(store, |host| {
+    let site = Site::start_with_settings(store, |host| {
         host.zone = "north-1".into();
         let zone = |region: &&str| (format!("{region}-1").into(), Box::from(*region));
         host.regions = REGIONS.iter().map(zone).collect();
     })
     .await;
-    site.until_in_view(3).await;
+    site.wait_for_servers(3).await;
     (site, servers)
 }
 
@@ -46,7 +46,7 @@
     let (site, servers) = site("app", [GOOD, GOOD, GOOD], home).await;
 
     for number in 0..20 {
-        assert_eq!(site.ask("GET", &format!("/safe/{number}"), "").await.status, 200);
+        assert_eq!(site.request("GET", &format!("/safe/{number}"), "").await.status, 200);
     }
 
     assert_eq!(seen(&servers), [false, true, true]);
@@ -61,7 +61,7 @@
     let (site, servers) = site("app", [GOOD, GOOD, GOOD], homes).await;
 
     for number in 0..20 {
-        assert_eq!(site.ask("GET", &format!("/safe/{number}"), "").await.status, 200);
+        assert_eq!(site.request("GET", &format!("/safe/{number}"), "").await.status, 200);
     }
 
     assert_eq!(seen(&servers), [false, false, true]);
@@ -73,7 +73,7 @@
     let home = |config: &mut Value| config["routes"][0]["allowed-regions"] = json!(["south"]);
     let (site, servers) = site("app", [GOOD, Act::Close, GOOD], home).await;
 
-    assert_eq!(site.ask("GET", "/safe/a", "").await.status, 502);
+    assert_eq!(site.request("GET", "/safe/a", "").await.status, 502);
 
     assert_eq!(seen(&servers), [false, true, false]);
 }
@@ -88,7 +88,7 @@
     for act in [broken, unsure] {
         let (site, servers) = site("llm", [good.clone(), act, good.clone()], home).await;
 
-        let answer = site.ask("POST", "/chat/a", "").await;
+        let answer = site.request("POST", "/chat/a", "").await;
 
         assert_eq!(seen(&servers), [false, true, false]);
         assert!(events(6).starts_with(&answer.body));
@@ -100,7 +100,7 @@
     let home = |config: &mut Value| config["routes"][0]["allowed-regions"] = json!(["nowhere"]);
     let (site, servers) = site("app", [GOOD, GOOD, GOOD], home).await;
 
-    let answer = site.ask("GET", "/safe/a", "").await;
+    let answer = site.request("GET", "/safe/a", "").await;
 
     assert_eq!(answer.status, 503);
     assert_eq!(seen(&servers), [false, false, false]);
--- a/tests/platform/limited_pool.rs
+++ b/tests/platform/limited_pool.rs
@@ -10,7 +10,10 @@
 use crate::{
     pool::Pool,
     server::{Act, Seen, Server},
-    site::{Answer, Site, always, list_life, request_with_id, store_with},
+    site::{
+        Answer, Site, list_server_with_start_time, request_bytes_with_id, start_server,
+        store_with_servers,
+    },
 };
 
 /// Events of a whole answer.
@@ -26,7 +29,7 @@
 
 /// A server whose answers every entry is content with.
 pub async fn healthy(id: &str) -> Server {
-    always(id, Act::Stream { to: EVENTS, is_whole: true, confidence: 90 }).await
+    start_server(id, Act::Stream { to: EVENTS, is_whole: true, confidence: 90 }).await
 }
 
 /// A server from which more work goes on elsewhere: streams that break off, and answers of a small model that
@@ -44,8 +47,8 @@
 
 /// Model servers of one service in a store of their own, each in its first life.
 pub async fn pool_of(servers: &[&Server]) -> Pool {
-    let store = store_with(&[]).await;
-    servers.iter().for_each(|server| list_life(&store, server, "llm", 1_000));
+    let store = store_with_servers(&[]).await;
+    servers.iter().for_each(|server| list_server_with_start_time(&store, server, "llm", 1_000));
     Pool::of(store, servers.iter().map(|server| (*server).clone()).collect())
 }
 
@@ -68,7 +71,7 @@
         asking.spawn(async move {
             let id = format!("load-{number}");
             let asked = Instant::now();
-            let req = request_with_id(&id, "POST", "/chat/load", ANY_MODEL, &id);
+            let req = request_bytes_with_id(&id, "POST", "/chat/load", ANY_MODEL, &id);
             (site.send(&req).await, asked.elapsed())
         });
         sleep(ASK_EVERY).await;
--- a/tests/platform/news.rs
+++ b/tests/platform/news.rs
@@ -11,7 +11,7 @@
 use crate::{
     limited_pool::{healthy, load, pool_of},
     pool::{CRASHING, Pool, ask},
-    site::{Site, until},
+    site::{Site, wait_until},
 };
 
 type Socket = WebSocketStream<TcpStream>;
@@ -86,15 +86,15 @@
 
 /// A healthy seed, and an entry that follows a muted one and reports to both.
 async fn beside_a_muted_seed(pool: &Pool) -> [Arc<Site>; 2] {
-    let healthy = Site::seed(pool.store.clone(), None).await;
-    healthy.until_in_view(pool.servers.len()).await;
+    let healthy = Site::start_seed(pool.store.clone(), None).await;
+    healthy.wait_for_servers(pool.servers.len()).await;
     let sound_peer = healthy.entry.addresses.peer.unwrap();
     let muted = muted_seed(sound_peer).await;
     let entry = pool.entry(&[muted, sound_peer], None).await;
-    entry.until_in_view(pool.servers.len()).await;
+    entry.wait_for_servers(pool.servers.len()).await;
     let follows = || entry.entry.router.dump()["follows_another_entry"] == true;
-    until("it follows", follows).await;
-    until("it reports", || healthy.entry.router.dump()["entries"] == 2).await;
+    wait_until("it follows", follows).await;
+    wait_until("it reports", || healthy.entry.router.dump()["entries"] == 2).await;
     [Arc::new(healthy), Arc::new(entry)]
 }
 
@@ -108,7 +108,7 @@
     load(std::slice::from_ref(&seed), Duration::from_millis(100)).await;
 
     let limits = || entry.entry.router.dump()["limits"].clone();
-    until("it knows the limit", || limits()[0]["rate"] == 1.9).await;
+    wait_until("it knows the limit", || limits()[0]["rate"] == 1.9).await;
     assert_eq!(limits()[0]["received_here"], false);
 }
 
@@ -124,5 +124,5 @@
 
     assert_eq!(pool.witness.ends(), 3);
     let refused = || entry.entry.router.dump()["quarantine"][0]["refused"] == true;
-    until("it refuses the request", refused).await;
+    wait_until("it refuses the request", refused).await;
 }
--- a/tests/platform/peers.rs
+++ b/tests/platform/peers.rs
@@ -12,7 +12,10 @@
 
 use crate::{
     server::Act,
-    site::{Site, always, configuration, list, request, store_with, until},
+    site::{
+        Site, configuration, list_server, request_bytes, start_server, store_with_servers,
+        wait_until,
+    },
     store::{Fault, Store},
 };
 
@@ -37,10 +40,10 @@
 
 /// An entry that is followed, and one that follows it; the first one's store is ahead.
 async fn linked() -> (Site, Site) {
-    let first = Site::seed(store_after(20).await, None).await;
-    until("the first is ready", || first.entry.router.is_ready()).await;
-    let second = Site::following(store_after(1).await, &first).await;
-    until("the second follows", || follows(&second)).await;
+    let first = Site::start_seed(store_after(20).await, None).await;
+    wait_until("the first is ready", || first.entry.router.is_ready()).await;
+    let second = Site::start_follower(store_after(1).await, &first).await;
+    wait_until("the second follows", || follows(&second)).await;
     (first, second)
 }
 
@@ -64,45 +67,45 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_follows_another_leaves_the_store_alone() {
-    let server = always("i-1", GOOD).await;
+    let server = start_server("i-1", GOOD).await;
     let (first, second) = linked().await;
     let calls = until_silent(&second.store).await;
 
-    list(&first.store, &server, "app", "v1", "ready");
+    list_server(&first.store, &server, "app", "v1", "ready");
     first.store.put("op", "config", &configuration(5));
-    until("the change is in force", || version(&second) == 5).await;
-    until("the server is in view", || second.entry.router.fleet.load().len() == 1).await;
+    wait_until("the change is in force", || version(&second) == 5).await;
+    wait_until("the server is in view", || second.entry.router.fleet.load().len() == 1).await;
 
-    assert_eq!(second.ask("GET", "/safe/a", "").await.status, 200);
+    assert_eq!(second.request("GET", "/safe/a", "").await.status, 200);
     first.store.remove("servers", "i-1");
-    until("the server is gone", || second.entry.router.fleet.load().is_empty()).await;
+    wait_until("the server is gone", || second.entry.router.fleet.load().is_empty()).await;
     assert_eq!(second.store.calls(), calls);
 }
 
 /// A hundred entries that start at once would ask the store for everything a hundred times.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_starts_beside_a_running_seed_asks_the_store_for_nothing() {
-    let server = always("i-1", GOOD).await;
-    let first = Site::seed(store_with(&[(&server, "app", "v1")]).await, None).await;
-    first.until_in_view(1).await;
+    let server = start_server("i-1", GOOD).await;
+    let first = Site::start_seed(store_with_servers(&[(&server, "app", "v1")]).await, None).await;
+    first.wait_for_servers(1).await;
 
-    let second = Site::following(Store::start().await, &first).await;
-    second.until_in_view(1).await;
+    let second = Site::start_follower(Store::start().await, &first).await;
+    second.wait_for_servers(1).await;
 
-    assert_eq!(second.ask("GET", "/safe/a", "").await.status, 200);
+    assert_eq!(second.request("GET", "/safe/a", "").await.status, 200);
     assert_eq!(second.store.calls(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_starts_where_no_seed_answers_asks_the_store() {
-    let server = always("i-1", GOOD).await;
+    let server = start_server("i-1", GOOD).await;
     let nobody = "127.0.0.1:1".parse().unwrap();
-    let store = store_with(&[(&server, "app", "v1")]).await;
+    let store = store_with_servers(&[(&server, "app", "v1")]).await;
 
-    let site = Site::with(store, |host| host.seed_peers = vec![nobody]).await;
+    let site = Site::start_with_settings(store, |host| host.seed_peers = vec![nobody]).await;
 
-    site.until_in_view(1).await;
-    assert_eq!(site.ask("GET", "/safe/a", "").await.status, 200);
+    site.wait_for_servers(1).await;
+    assert_eq!(site.request("GET", "/safe/a", "").await.status, 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -110,10 +113,10 @@
     let (first, second) = linked().await;
 
     drop(first.entry);
-    until("the link is gone", || !follows(&second)).await;
+    wait_until("the link is gone", || !follows(&second)).await;
     overtake(&second.store, 9);
 
-    until("the store is followed", || version(&second) == 9).await;
+    wait_until("the store is followed", || version(&second) == 9).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -121,68 +124,71 @@
     let (first, second) = linked().await;
 
     first.store.set_fault(Fault::Down);
-    until("the link does not stand in", || !follows(&second)).await;
+    wait_until("the link does not stand in", || !follows(&second)).await;
     overtake(&second.store, 9);
-    until("the store is followed", || version(&second) == 9).await;
+    wait_until("the store is followed", || version(&second) == 9).await;
 
     first.store.set_fault(Fault::None);
-    until("the link stands in again", || follows(&second)).await;
+    wait_until("the link stands in again", || follows(&second)).await;
 }
 
 /// Both seeds are asked for their zone first; one that is gone must not keep an entry from the other.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_follows_a_seed_of_another_zone_when_the_others_are_gone() {
-    let far = Site::seed(store_after(20).await, None).await;
-    until("it is ready", || far.entry.router.is_ready()).await;
+    let far = Site::start_seed(store_after(20).await, None).await;
+    wait_until("it is ready", || far.entry.router.is_ready()).await;
     let seeds = vec!["127.0.0.1:1".parse().unwrap(), far.entry.addresses.peer.unwrap()];
 
-    let entry = Site::with(store_after(1).await, |host| {
+    let entry = Site::start_with_settings(store_after(1).await, |host| {
         host.zone = "zone-b".into();
         host.seed_peers = seeds;
     })
     .await;
 
-    until("it follows", || follows(&entry)).await;
+    wait_until("it follows", || follows(&entry)).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn another_seed_is_followed_when_the_store_does_not_answer_the_first() {
     for lost in 0..2 {
         let seeds = [
-            Site::seed(store_after(20).await, None).await,
-            Site::seed(store_after(20).await, None).await,
+            Site::start_seed(store_after(20).await, None).await,
+            Site::start_seed(store_after(20).await, None).await,
         ];
-        until("both are ready", || seeds.iter().all(|seed| seed.entry.router.is_ready())).await;
+        wait_until("both are ready", || seeds.iter().all(|seed| seed.entry.router.is_ready()))
+            .await;
         let peers = seeds.iter().map(|seed| seed.entry.addresses.peer.unwrap()).collect();
         // Its own store is empty: what it knows is told by a seed.
-        let entry = Site::with(Store::start().await, |host| host.seed_peers = peers).await;
-        until("it follows", || follows(&entry)).await;
+        let entry =
+            Site::start_with_settings(Store::start().await, |host| host.seed_peers = peers).await;
+        wait_until("it follows", || follows(&entry)).await;
 
         seeds[lost].store.set_fault(Fault::Down);
         overtake(&seeds[1 - lost].store, 5);
 
-        until("the other one's word is taken", || version(&entry) == 5 && follows(&entry)).await;
+        wait_until("the other one's word is taken", || version(&entry) == 5 && follows(&entry))
+            .await;
     }
 }
 
 /// A third of the entries may be refused for seconds; each call is paid for.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_the_store_refuses_asks_it_no_more_once_a_seed_is_followed() {
-    let first = Site::seed(store_after(20).await, None).await;
-    until("the first is ready", || first.entry.router.is_ready()).await;
+    let first = Site::start_seed(store_after(20).await, None).await;
+    wait_until("the first is ready", || first.entry.router.is_ready()).await;
     let refusing = store_after(1).await;
-    let second = Site::following(refusing, &first).await;
-    until("the second follows", || follows(&second)).await;
+    let second = Site::start_follower(refusing, &first).await;
+    wait_until("the second follows", || follows(&second)).await;
     second.store.set_fault(Fault::Down);
     first.store.set_fault(Fault::Down);
     let asked = || second.entry.router.metrics.render().contains("store_errors");
-    until("the second asked its store", asked).await;
+    wait_until("the second asked its store", asked).await;
 
     first.store.set_fault(Fault::None);
-    until("it follows again", || follows(&second)).await;
+    wait_until("it follows again", || follows(&second)).await;
     let calls = until_silent(&second.store).await;
     first.store.put("op", "config", &configuration(5));
-    until("the change is in force", || version(&second) == 5).await;
+    wait_until("the change is in force", || version(&second) == 5).await;
 
     assert_eq!(second.store.calls(), calls);
 }
@@ -195,9 +201,9 @@
 
     let order = json!({"service": "app", "to": "v2", "duration-s": 600.0});
     first.store.put("op", "rollout/app", &order);
-    until("its begin is known", || roll_out()["began"] == true).await;
+    wait_until("its begin is known", || roll_out()["began"] == true).await;
     first.store.put("status", "rollout/app", &json!({"state": "rolled_back", "to": "v2"}));
-    until("its end is known", || roll_out()["progress"] == "RolledBack").await;
+    wait_until("its end is known", || roll_out()["progress"] == "RolledBack").await;
 
     assert_eq!(second.store.calls(), calls);
 }
@@ -209,30 +215,30 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn entries_know_what_others_have_at_a_server() {
-    let server = always("i-1", Act::Endless).await;
+    let server = start_server("i-1", Act::Endless).await;
     let (first, second) = linked().await;
-    list(&first.store, &server, "llm", "v1", "ready");
-    until("both see the server", || {
+    list_server(&first.store, &server, "llm", "v1", "ready");
+    wait_until("both see the server", || {
         [&first, &second].iter().all(|site| site.entry.router.fleet.load().len() == 1)
     })
     .await;
 
     for (asking, other) in [(&first, &second), (&second, &first)] {
-        until("nothing runs", || believed_load(other) < 0.1).await;
+        wait_until("nothing runs", || believed_load(other) < 0.1).await;
         let mut stream = TcpStream::connect(asking.caller).await.unwrap();
-        let asked = request("POST", "/chat/a", "X-Model: *\r\n", "");
+        let asked = request_bytes("POST", "/chat/a", "X-Model: *\r\n", "");
         stream.write_all(asked.as_bytes()).await.unwrap();
-        until("the other one knows", || believed_load(other) > 0.6).await;
+        wait_until("the other one knows", || believed_load(other) > 0.6).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn all_entries_know_how_many_they_are() {
     let (first, second) = linked().await;
-    let third = Site::following(store_after(1).await, &first).await;
+    let third = Site::start_follower(store_after(1).await, &first).await;
 
     for site in [&first, &second, &third] {
-        until("it knows of three", || site.entry.router.dump()["entries"] == 3).await;
+        wait_until("it knows of three", || site.entry.router.dump()["entries"] == 3).await;
     }
 }
 
@@ -250,8 +256,8 @@
 /// of them when the others are away.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_seed_has_room_for_the_links_of_all_entries() {
-    let seed = Site::seed(store_after(20).await, None).await;
-    until("it is ready", || seed.entry.router.is_ready()).await;
+    let seed = Site::start_seed(store_after(20).await, None).await;
+    wait_until("it is ready", || seed.entry.router.is_ready()).await;
     let peer = seed.entry.addresses.peer.unwrap();
     let follow = json!({"Follow": {"version": 0}});
     let mut links = Vec::new();
@@ -262,77 +268,77 @@
         links.push(open_link(peer, &report).await);
     }
 
-    let last = Site::following(store_after(1).await, &seed).await;
+    let last = Site::start_follower(store_after(1).await, &seed).await;
 
-    until("the last one follows", || follows(&last)).await;
+    wait_until("the last one follows", || follows(&last)).await;
     assert_eq!(links.len(), 2 * 358);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn what_an_entry_sees_of_a_version_counts_at_the_seed() {
-    let (old, new) = (always("i-1", GOOD).await, always("i-2", GOOD).await);
+    let (old, new) = (start_server("i-1", GOOD).await, start_server("i-2", GOOD).await);
     let (first, second) = linked().await;
-    list(&first.store, &old, "app", "v1", "ready");
-    list(&first.store, &new, "app", "v2", "ready");
+    list_server(&first.store, &old, "app", "v1", "ready");
+    list_server(&first.store, &new, "app", "v2", "ready");
     let order = json!({"service": "app", "to": "v2", "duration-s": 600.0});
     first.store.put("op", "rollout/app", &order);
     let roll_out = |site: &Site| site.entry.router.dump()["roll_outs"][0].clone();
-    until("its begin is known", || roll_out(&second)["began"] == true).await;
+    wait_until("its begin is known", || roll_out(&second)["began"] == true).await;
 
     // The second server may come into view 0.8 s after the first, and waits for half a second then.
-    second.until_in_view(2).await;
+    second.wait_for_servers(2).await;
     let mut asked = 0;
     while roll_out(&second)["answers"] == 0 {
         assert!(asked < 5_000, "some requests are on the new version");
-        second.ask("GET", &format!("/safe/{asked}"), "").await;
+        second.request("GET", &format!("/safe/{asked}"), "").await;
         asked += 1;
     }
     let seen = roll_out(&second)["answers"].clone();
 
-    until("the seed knows", || roll_out(&first)["answers_of_all"] == seen).await;
+    wait_until("the seed knows", || roll_out(&first)["answers_of_all"] == seen).await;
     assert_eq!(roll_out(&first)["answers"], 0, "it has seen none itself");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_good_version_is_completed_on_the_answers_of_all_entries() {
-    let (old, new) = (always("i-1", GOOD).await, always("i-2", GOOD).await);
-    let store = store_with(&[(&old, "app", "v1"), (&new, "app", "v2")]).await;
-    let first = Site::seed(store.clone(), None).await;
-    let second = Site::following(store.clone(), &first).await;
-    first.until_in_view(2).await;
-    second.until_in_view(2).await;
+    let (old, new) = (start_server("i-1", GOOD).await, start_server("i-2", GOOD).await);
+    let store = store_with_servers(&[(&old, "app", "v1"), (&new, "app", "v2")]).await;
+    let first = Site::start_seed(store.clone(), None).await;
+    let second = Site::start_follower(store.clone(), &first).await;
+    first.wait_for_servers(2).await;
+    second.wait_for_servers(2).await;
     let order = json!({"service": "app", "to": "v2", "duration-s": 0.5});
     store.put("op", "rollout/app", &order);
     let knows = |site: &Site| site.entry.router.dump()["roll_outs"][0]["began"] == true;
-    until("both know the order", || knows(&first) && knows(&second)).await;
+    wait_until("both know the order", || knows(&first) && knows(&second)).await;
     tokio::time::sleep(std::time::Duration::from_millis(500)).await;
 
     // Fewer than either entry alone would want to have seen, and enough together.
     for i in 0..14 {
-        first.ask("GET", "/safe/a", &format!("Session: f-{i}\r\n")).await;
-        second.ask("GET", "/safe/a", &format!("Session: s-{i}\r\n")).await;
+        first.request("GET", "/safe/a", &format!("Session: f-{i}\r\n")).await;
+        second.request("GET", "/safe/a", &format!("Session: s-{i}\r\n")).await;
     }
 
     let state = || store.read("status", "rollout/app").map(|s| s["state"].clone());
-    until("it is completed", || state() == Some(json!("completed"))).await;
+    wait_until("it is completed", || state() == Some(json!("completed"))).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_learns_what_another_sent_a_server_and_so_does_one_that_starts() {
     let stream = Act::Stream { to: 4, is_whole: true, confidence: 90 };
-    let server = always("i-1", stream).await;
-    let store = store_with(&[(&server, "llm", "v1")]).await;
-    let first = Site::seed(store.clone(), None).await;
-    let second = Site::following(store.clone(), &first).await;
-    first.until_in_view(1).await;
-    second.until_in_view(1).await;
+    let server = start_server("i-1", stream).await;
+    let store = store_with_servers(&[(&server, "llm", "v1")]).await;
+    let first = Site::start_seed(store.clone(), None).await;
+    let second = Site::start_follower(store.clone(), &first).await;
+    first.wait_for_servers(1).await;
+    second.wait_for_servers(1).await;
     let prompt =
         "X-Token-Usage: 1250,80\r\nX-Prefix-Hash: 5c1e:800,91bd:410,e440:40\r\nX-Model: *\r\n";
 
-    second.ask("POST", "/chat/a", prompt).await;
+    second.request("POST", "/chat/a", prompt).await;
 
     let kept = |site: &Site| site.entry.router.dump()["servers"][0]["kept_tokens"] == 1_210;
-    until("the sender and the seed know", || kept(&second) && kept(&first)).await;
-    let third = Site::following(store.clone(), &first).await;
-    until("one that starts is told", || kept(&third)).await;
+    wait_until("the sender and the seed know", || kept(&second) && kept(&first)).await;
+    let third = Site::start_follower(store.clone(), &first).await;
+    wait_until("one that starts is told", || kept(&third)).await;
 }
--- a/tests/platform/pool.rs
+++ b/tests/platform/pool.rs
@@ -18,7 +18,10 @@
 
 use crate::{
     server::{Act, Seen, Server},
-    site::{Answer, Site, list_life, request_with_id, store_with, until},
+    site::{
+        Answer, Site, list_server_with_start_time, request_bytes_with_id, store_with_servers,
+        wait_until,
+    },
     store::Store,
 };
 
@@ -73,7 +76,7 @@
     /// Servers of a service, each of which answers streams and ends under the crashing request.
     pub async fn start(service: &'static str, number: usize, has_begun: bool) -> Self {
         let witness = Arc::new(Witness::default());
-        let store = store_with(&[]).await;
+        let store = store_with_servers(&[]).await;
         let (mut servers, mut lives) = (Vec::new(), JoinSet::new());
         for i in 0..number {
             let seen_by = witness.clone();
@@ -87,7 +90,7 @@
                 Act::Crash { has_begun }
             };
             let server = Server::start(&format!("i-{i}"), script).await;
-            list_life(&store, &server, service, 1_000);
+            list_server_with_start_time(&store, &server, service, 1_000);
             lives.spawn(live_again(store.clone(), server.clone(), service));
             servers.push(server);
         }
@@ -107,14 +110,14 @@
             sites.push(Arc::new(self.entry(&seeds, seeds.get(i).copied()).await));
         }
         for site in &sites {
-            site.until_in_view(self.servers.len()).await;
+            site.wait_for_servers(self.servers.len()).await;
         }
         for site in sites.iter().skip(2) {
             let follows = || site.entry.router.dump()["follows_another_entry"] == true;
-            until("it follows a seed", follows).await;
+            wait_until("it follows a seed", follows).await;
         }
         for site in &sites {
-            until("all report", || site.entry.router.dump()["entries"] == number).await;
+            wait_until("all report", || site.entry.router.dump()["entries"] == number).await;
         }
         sites
     }
@@ -125,7 +128,7 @@
         let mut sites = Vec::new();
         for _ in 0..number {
             let site = self.entry(&nobody, None).await;
-            site.until_in_view(self.servers.len()).await;
+            site.wait_for_servers(self.servers.len()).await;
             sites.push(Arc::new(site));
         }
         sites
@@ -133,7 +136,7 @@
 
     /// One entry with these seeds, at this address for other entries if it is to be one of them.
     pub async fn entry(&self, seeds: &[SocketAddr], peer: Option<SocketAddr>) -> Site {
-        Site::with(self.store.clone(), |host| {
+        Site::start_with_settings(self.store.clone(), |host| {
             host.seed_peers = seeds.to_vec();
             host.peer_address = peer.or(host.peer_address);
         })
@@ -157,7 +160,7 @@
         server.until_ended(life).await;
         sleep(DOWN).await;
         life = server.start_again();
-        list_life(&store, &server, service, 1_000 + life as u64);
+        list_server_with_start_time(&store, &server, service, 1_000 + life as u64);
     }
 }
 
@@ -165,7 +168,7 @@
 pub async fn ask(site: &Site, path: &str, body: &str) -> Answer {
     static ASKED: AtomicUsize = AtomicUsize::new(0);
     let id = format!("p-{}", ASKED.fetch_add(1, Ordering::Relaxed));
-    site.send(&request_with_id(&id, "POST", path, "X-Model: small\r\n", body)).await
+    site.send(&request_bytes_with_id(&id, "POST", path, "X-Model: small\r\n", body)).await
 }
 
 /// Asks for the crashing request over and over, at one entry after the other, without waiting for
--- a/tests/platform/rate_limits.rs
+++ b/tests/platform/rate_limits.rs
@@ -9,7 +9,7 @@
     limited_pool::{
         CONTACT, answers_under_load, arrivals, assert_within_limit, flaky, healthy, load, pool_of,
     },
-    site::{Site, list_life, until},
+    site::{Site, list_server_with_start_time, wait_until},
 };
 
 /// How many sends to rate-limited servers an entry counts, by what they were.
@@ -45,8 +45,8 @@
 async fn until_settled(sites: &[Arc<Site>]) {
     load(sites, Duration::from_millis(300)).await;
     for site in sites {
-        until("it knows the limit", || knows_limit(site)).await;
-        until("it knows its place", || !site.entry.router.dump()["place"].is_null()).await;
+        wait_until("it knows the limit", || knows_limit(site)).await;
+        wait_until("it knows its place", || !site.entry.router.dump()["place"].is_null()).await;
     }
 }
 
@@ -96,7 +96,7 @@
     }
 
     assert!(!sites.iter().any(|site| knows_limit(site)), "the end is not heard");
-    until("the idle one is told, too", || !knows_limit(&idle)).await;
+    wait_until("the idle one is told, too", || !knows_limit(&idle)).await;
 }
 
 /// Three servers take 6.6 requests a second, and callers ask 66.
@@ -150,14 +150,14 @@
     let sites = pool.entries(3).await;
     limited.advertise_limit(&["1.9"]);
     load(&sites, Duration::from_millis(300)).await;
-    until("it is known", || sites.iter().all(|site| knows_limit(site))).await;
+    wait_until("it is known", || sites.iter().all(|site| knows_limit(site))).await;
     limited.advertise_limit(&[]);
 
     let seed = sites[0].entry.addresses.peer.unwrap();
     let late = Arc::new(pool.entry(&[seed], None).await);
     let before = limited.seen().len();
     for _ in 0..10 {
-        assert_eq!(late.ask("POST", "/chat/late", "X-Model: small\r\n").await.status, 200);
+        assert_eq!(late.request("POST", "/chat/late", "X-Model: small\r\n").await.status, 200);
     }
 
     assert_eq!(limited.seen().len(), before, "it has no place yet, and another server is free");
@@ -170,12 +170,12 @@
     let sites = pool.entries(2).await;
     limited.advertise_limit(&["1.9"]);
     load(&sites, Duration::from_millis(300)).await;
-    until("it is known", || sites.iter().all(|site| knows_limit(site))).await;
+    wait_until("it is known", || sites.iter().all(|site| knows_limit(site))).await;
 
     limited.advertise_limit(&[]);
-    list_life(&pool.store, &limited, "llm", 2_000);
+    list_server_with_start_time(&pool.store, &limited, "llm", 2_000);
 
-    until("the new life has none", || !sites.iter().any(|site| knows_limit(site))).await;
+    wait_until("the new life has none", || !sites.iter().any(|site| knows_limit(site))).await;
     let (asked, served) = load(&sites, Duration::from_secs(1)).await;
     assert_eq!(served, asked);
 }
--- a/tests/platform/restores.rs
+++ b/tests/platform/restores.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     server::{Act, Server},
-    site::{Site, always, configuration, list, server_row, until},
+    site::{Site, configuration, list_server, server_row, start_server, wait_until},
     store::{Fault, Store},
 };
 
@@ -53,95 +53,98 @@
 /// Others have written past what the entry knows, so no feed of it is refused: the header alone tells.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_table_is_read_anew_though_its_versions_were_given_out_again() {
-    let (lost, new) = (always("i-lost", GOOD).await, always("i-new", GOOD).await);
-    let stays = always("i-stays", GOOD).await;
+    let (lost, new) = (start_server("i-lost", GOOD).await, start_server("i-new", GOOD).await);
+    let stays = start_server("i-stays", GOOD).await;
     let site = Site::start(&[(&stays, "app", "v1")]).await;
-    let copy = site.store.copy();
-    list(&site.store, &lost, "app", "v1", "ready");
-    until("it is in view", || in_view(&site, "i-lost")).await;
+    let snapshot = site.store.snapshot();
+    list_server(&site.store, &lost, "app", "v1", "ready");
+    wait_until("it is in view", || in_view(&site, "i-lost")).await;
 
-    site.store.restore(&copy);
+    site.store.restore(&snapshot);
     for number in 0..5 {
         site.store.put("other", &format!("row-{number}"), &json!({}));
     }
-    list(&site.store, &new, "app", "v1", "ready");
+    list_server(&site.store, &new, "app", "v1", "ready");
 
-    until("what came since is in view", || in_view(&site, "i-new")).await;
-    until("what was not written again is gone", || !in_view(&site, "i-lost")).await;
+    wait_until("what came since is in view", || in_view(&site, "i-new")).await;
+    wait_until("what was not written again is gone", || !in_view(&site, "i-lost")).await;
     assert!(in_view(&site, "i-stays"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn it_may_come_back_twice_in_a_row() {
-    let (stays, new) = (always("i-stays", GOOD).await, always("i-new", GOOD).await);
+    let (stays, new) = (start_server("i-stays", GOOD).await, start_server("i-new", GOOD).await);
     let site = Site::start(&[(&stays, "app", "v1")]).await;
-    let copy = site.store.copy();
+    let snapshot = site.store.snapshot();
 
-    site.store.restore(&copy);
+    site.store.restore(&snapshot);
     site.store.put("op", "config", &configuration(3));
-    site.store.restore(&copy);
+    site.store.restore(&snapshot);
     site.store.put("op", "config", &configuration(5));
-    list(&site.store, &new, "app", "v1", "ready");
+    list_server(&site.store, &new, "app", "v1", "ready");
 
-    until("the newest is in force", || version(&site) == 5).await;
-    until("the new one is in view", || in_view(&site, "i-new")).await;
+    wait_until("the newest is in force", || version(&site) == 5).await;
+    wait_until("the new one is in view", || in_view(&site, "i-new")).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_that_was_taken_away_stays_so_also_for_an_entry_that_starts() {
-    let server = always("i-1", GOOD).await;
-    let first = Site::seed(crate::site::store_with(&[(&server, "app", "v1")]).await, None).await;
-    first.until_in_view(1).await;
-    let copy = first.store.copy();
+    let server = start_server("i-1", GOOD).await;
+    let first =
+        Site::start_seed(crate::site::store_with_servers(&[(&server, "app", "v1")]).await, None)
+            .await;
+    first.wait_for_servers(1).await;
+    let snapshot = first.store.snapshot();
     first.store.put("op", "config", &without_first_key(4));
-    until("the key is gone", || version(&first) == 4).await;
+    wait_until("the key is gone", || version(&first) == 4).await;
 
-    first.store.restore(&copy);
-    list(&first.store, &server, "app", "v1", "ready");
-    until("it noticed", || first.entry.router.dump()["era"] == 1).await;
-    let second = Site::following(first.store.clone(), &first).await;
-    until("it heard of the newest", || version(&second) == 4).await;
+    first.store.restore(&snapshot);
+    list_server(&first.store, &server, "app", "v1", "ready");
+    wait_until("it noticed", || first.entry.router.dump()["era"] == 1).await;
+    let second = Site::start_follower(first.store.clone(), &first).await;
+    wait_until("it heard of the newest", || version(&second) == 4).await;
 
-    assert_eq!(first.ask("GET", "/safe/a", "").await.status, 401);
-    assert_eq!(second.ask("GET", "/safe/a", "").await.status, 401);
+    assert_eq!(first.request("GET", "/safe/a", "").await.status, 401);
+    assert_eq!(second.request("GET", "/safe/a", "").await.status, 401);
     first.store.put("op", "config", &configuration(6));
-    until("what the operator writes next holds", || version(&second) == 6).await;
+    wait_until("what the operator writes next holds", || version(&second) == 6).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_leaves_is_not_taken_back() {
-    let (stays, leaves) = (always("i-stays", GOOD).await, always("i-leaves", GOOD).await);
+    let (stays, leaves) =
+        (start_server("i-stays", GOOD).await, start_server("i-leaves", GOOD).await);
     let site = Site::start(&[(&stays, "app", "v1")]).await;
     list_as(&site.store, &leaves, "ready", 5);
-    until("it is in view", || in_view(&site, "i-leaves")).await;
-    let copy = site.store.copy();
+    wait_until("it is in view", || in_view(&site, "i-leaves")).await;
+    let snapshot = site.store.snapshot();
     list_as(&site.store, &leaves, "draining", 6);
-    until("it leaves", || is_leaving(&site, "i-leaves")).await;
+    wait_until("it leaves", || is_leaving(&site, "i-leaves")).await;
 
-    site.store.restore(&copy);
-    until("it noticed", || site.entry.router.dump()["era"] == 1).await;
+    site.store.restore(&snapshot);
+    wait_until("it noticed", || site.entry.router.dump()["era"] == 1).await;
 
     assert!(is_leaving(&site, "i-leaves"));
     list_as(&site.store, &leaves, "draining", 7);
     site.store.remove("servers", "i-leaves");
-    until("it is gone", || !in_view(&site, "i-leaves")).await;
+    wait_until("it is gone", || !in_view(&site, "i-leaves")).await;
 }
 
 /// Its row is back for a while, until the store drops it once more.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_is_gone_is_not_used_because_its_row_is_back() {
-    let (stays, gone) = (always("i-stays", GOOD).await, always("i-gone", GOOD).await);
+    let (stays, gone) = (start_server("i-stays", GOOD).await, start_server("i-gone", GOOD).await);
     let site = Site::start(&[(&stays, "app", "v1"), (&gone, "app", "v1")]).await;
-    let copy = site.store.copy();
+    let snapshot = site.store.snapshot();
     site.store.remove("servers", "i-gone");
-    until("it is gone", || !in_view(&site, "i-gone")).await;
+    wait_until("it is gone", || !in_view(&site, "i-gone")).await;
 
-    site.store.restore(&copy);
-    until("it noticed", || site.entry.router.dump()["era"] == 1).await;
+    site.store.restore(&snapshot);
+    wait_until("it noticed", || site.entry.router.dump()["era"] == 1).await;
     let was_back = in_view(&site, "i-gone");
     site.store.remove("servers", "i-gone");
-    list(&site.store, &stays, "app", "v2", "ready");
-    until("the feed went on", || {
+    list_server(&site.store, &stays, "app", "v2", "ready");
+    wait_until("the feed went on", || {
         site.entry.router.fleet.load().of_service("app").iter().any(|m| &*m.server.version == "v2")
     })
     .await;
@@ -152,33 +155,33 @@
 /// It had only lapsed, and lives: its row stays.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_whose_row_stays_is_used_again() {
-    let server = always("i-1", GOOD).await;
+    let server = start_server("i-1", GOOD).await;
     let site = Site::start(&[(&server, "app", "v1")]).await;
-    let copy = site.store.copy();
+    let snapshot = site.store.snapshot();
     site.store.remove("servers", "i-1");
-    until("it is gone", || !in_view(&site, "i-1")).await;
+    wait_until("it is gone", || !in_view(&site, "i-1")).await;
 
-    site.store.restore(&copy);
+    site.store.restore(&snapshot);
 
-    until("it is back", || in_view(&site, "i-1")).await;
+    wait_until("it is back", || in_view(&site, "i-1")).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_evacuated_zone_stays_so_until_the_operator_takes_it_back() {
-    let server = always("i-1", GOOD).await;
+    let server = start_server("i-1", GOOD).await;
     let site = Site::start(&[(&server, "app", "v1")]).await;
-    let copy = site.store.copy();
+    let snapshot = site.store.snapshot();
     site.store.put("op", "evacuate/zone-a", &json!({}));
-    until("it is in force", || zones(&site) == 1).await;
+    wait_until("it is in force", || zones(&site) == 1).await;
 
-    site.store.restore(&copy);
-    until("it noticed", || site.entry.router.dump()["era"] == 1).await;
+    site.store.restore(&snapshot);
+    wait_until("it noticed", || site.entry.router.dump()["era"] == 1).await;
 
     assert_eq!(zones(&site), 1);
-    assert_eq!(site.ask("GET", "/safe/a", "").await.status, 503);
+    assert_eq!(site.request("GET", "/safe/a", "").await.status, 503);
     site.store.put("op", "evacuate/zone-a", &json!({}));
     site.store.remove("op", "evacuate/zone-a");
-    until("it is taken back", || zones(&site) == 0).await;
+    wait_until("it is taken back", || zones(&site) == 0).await;
 }
 
 fn state(site: &Site) -> String {
@@ -190,12 +193,12 @@
 async fn roll_back(site: &Site) -> Value {
     let order = json!({"service": "app", "to": "v2", "duration-s": 600.0});
     site.store.put("op", "rollout/app", &order);
-    until("it is under way", || state(site) == "in_progress").await;
+    wait_until("it is under way", || state(site) == "in_progress").await;
     for number in 0..4_000 {
         if state(site) == "rolled_back" {
             break;
         }
-        site.ask("GET", &format!("/safe/{number}"), "").await;
+        site.request("GET", &format!("/safe/{number}"), "").await;
     }
     assert_eq!(state(site), "rolled_back");
     order
@@ -205,18 +208,18 @@
 /// again under a version that was given out before.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_version_that_was_rolled_back_stays_so_and_the_store_is_told_again() {
-    let (old, new) = (always("i-1", GOOD).await, always("i-2", FAILS).await);
+    let (old, new) = (start_server("i-1", GOOD).await, start_server("i-2", FAILS).await);
     let site = Site::start(&[(&old, "app", "v1"), (&new, "app", "v2")]).await;
-    let copy = site.store.copy();
+    let snapshot = site.store.snapshot();
     let order = roll_back(&site).await;
 
-    site.store.restore(&copy);
+    site.store.restore(&snapshot);
     site.store.put("op", "rollout/app", &order);
-    until("the store is told again", || state(&site) == "rolled_back").await;
+    wait_until("the store is told again", || state(&site) == "rolled_back").await;
 
     let before = new.seen().len();
     for number in 0..60 {
-        site.ask("GET", &format!("/safe/b{number}"), "").await;
+        site.request("GET", &format!("/safe/b{number}"), "").await;
     }
     assert_eq!(new.seen().len(), before);
 }
@@ -224,39 +227,39 @@
 /// What was to be told again meets what somebody else wrote meanwhile.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_store_is_told_again_of_an_end_though_another_write_came_first() {
-    let (old, new) = (always("i-1", GOOD).await, always("i-2", FAILS).await);
+    let (old, new) = (start_server("i-1", GOOD).await, start_server("i-2", FAILS).await);
     let site = Site::start(&[(&old, "app", "v1"), (&new, "app", "v2")]).await;
-    let copy = site.store.copy();
+    let snapshot = site.store.snapshot();
     let order = roll_back(&site).await;
 
     site.store.set_fault(Fault::Contended);
-    site.store.restore(&copy);
+    site.store.restore(&snapshot);
     site.store.put("op", "rollout/app", &order);
     let before = site.store.conflicts();
-    until("it tried to tell", || site.store.conflicts() > before).await;
+    wait_until("it tried to tell", || site.store.conflicts() > before).await;
     site.store.set_fault(Fault::None);
 
-    until("the store is told again", || state(&site) == "rolled_back").await;
+    wait_until("the store is told again", || state(&site) == "rolled_back").await;
 }
 
 /// Another order, under a version that is no greater than the one of the lost order.
 #[tokio::test(flavor = "multi_thread")]
 async fn another_order_is_followed_though_its_version_was_given_out_before() {
-    let old = always("i-1", GOOD).await;
+    let old = start_server("i-1", GOOD).await;
     let site = Site::start(&[(&old, "app", "v1")]).await;
-    let copy = site.store.copy();
+    let snapshot = site.store.snapshot();
     for number in 0..5 {
         site.store.put("other", &format!("row-{number}"), &json!({}));
     }
     let order = |to: &str| json!({"service": "app", "to": to, "duration-s": 600.0});
     site.store.put("op", "rollout/app", &order("v2"));
     let to = || site.entry.router.dump()["roll_outs"][0]["to"].clone();
-    until("it is known", || to() == "v2").await;
+    wait_until("it is known", || to() == "v2").await;
 
-    site.store.restore(&copy);
+    site.store.restore(&snapshot);
     site.store.put("op", "rollout/app", &order("v3"));
 
-    until("the other one is known", || to() == "v3").await;
+    wait_until("the other one is known", || to() == "v3").await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -269,11 +272,11 @@
         expected,
         value: serde_json::to_vec(text).unwrap(),
     };
-    let copy = store.copy();
+    let snapshot = store.snapshot();
     let WriteOutcome::Written(read) = client.write(&[put(0, "first")], 0).await.unwrap() else {
         panic!("nothing was there");
     };
-    store.restore(&copy);
+    store.restore(&snapshot);
     store.put("mintmoor", "row", &json!("another's, under the same version"));
 
     let outcome = client.write(&[put(read, "second")], 0).await.unwrap();
@@ -284,24 +287,24 @@
 /// An entry that starts while the store comes back hears the same as the others.
 #[tokio::test(flavor = "multi_thread")]
 async fn entries_that_start_meanwhile_agree_with_the_others() {
-    let (one, two) = (always("i-1", GOOD).await, always("i-2", GOOD).await);
-    let store = crate::site::store_with(&[(&one, "app", "v1")]).await;
-    let first = Site::seed(store, None).await;
-    first.until_in_view(1).await;
-    let copy = first.store.copy();
+    let (one, two) = (start_server("i-1", GOOD).await, start_server("i-2", GOOD).await);
+    let store = crate::site::store_with_servers(&[(&one, "app", "v1")]).await;
+    let first = Site::start_seed(store, None).await;
+    first.wait_for_servers(1).await;
+    let snapshot = first.store.snapshot();
     first.store.put("op", "config", &without_first_key(7));
-    until("it is in force", || version(&first) == 7).await;
+    wait_until("it is in force", || version(&first) == 7).await;
 
-    let starting = Site::following(first.store.clone(), &first);
+    let starting = Site::start_follower(first.store.clone(), &first);
     let restoring = async {
         tokio::time::sleep(Duration::from_millis(20)).await;
-        first.store.restore(&copy);
-        list(&first.store, &two, "app", "v1", "ready");
+        first.store.restore(&snapshot);
+        list_server(&first.store, &two, "app", "v1", "ready");
     };
     let (second, ()) = tokio::join!(starting, restoring);
 
     for site in [&first, &second] {
-        until("the new server is in view", || in_view(site, "i-2")).await;
-        until("the newest is in force", || version(site) == 7).await;
+        wait_until("the new server is in view", || in_view(site, "i-2")).await;
+        wait_until("the newest is in force", || version(site) == 7).await;
     }
 }
--- a/tests/platform/roll_outs.rs
+++ b/tests/platform/roll_outs.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     server::{Act, Server},
-    site::{Site, always, until},
+    site::{Site, start_server, wait_until},
     store::Fault,
 };
 
@@ -24,7 +24,7 @@
 
 /// Asks until the store tells this state of the roll-out; requests without a session are on trial
 /// from its begin on, drawn by their ids.
-pub async fn ask_until(site: &Site, wanted: &str) -> usize {
+pub async fn request_until_state(site: &Site, wanted: &str) -> usize {
     ask_each_until(site, wanted, |i| (format!("/safe/{i}"), String::new())).await
 }
 
@@ -39,13 +39,13 @@
         asked += 1;
         assert!(asked < 20_000, "never {wanted}, but {}", site.entry.router.dump()["roll_outs"]);
         let (path, headers) = request(asked);
-        site.ask("GET", &path, &headers).await;
+        site.request("GET", &path, &headers).await;
     }
     asked
 }
 
 async fn two_versions(new: Act) -> (Server, Server, Site) {
-    let (old, new) = (always("i-1", GOOD).await, always("i-2", new).await);
+    let (old, new) = (start_server("i-1", GOOD).await, start_server("i-2", new).await);
     let site = Site::start(&[(&old, "app", "v1"), (&new, "app", "v2")]).await;
     (old, new, site)
 }
@@ -54,16 +54,16 @@
 async fn a_version_that_fails_is_rolled_back_after_few_requests() {
     let (_old, new, site) = two_versions(FAILS).await;
     site.store.put("op", "rollout/app", &order("v2", 600.0));
-    until("it is under way", || state(&site) == "in_progress").await;
+    wait_until("it is under way", || state(&site) == "in_progress").await;
     let before = new.seen().len();
 
-    let asked = ask_until(&site, "rolled_back").await;
+    let asked = request_until_state(&site, "rolled_back").await;
 
     let exposed = new.seen().len() - before;
     assert!(exposed < 30, "{exposed} of {asked} requests reached the bad version");
     let after = new.seen().len();
     for i in 0..40 {
-        let answer = site.ask("GET", "/safe/a", &format!("Session: t-{i}\r\n")).await;
+        let answer = site.request("GET", "/safe/a", &format!("Session: t-{i}\r\n")).await;
         assert_eq!(answer.status, 200);
     }
     assert_eq!(new.seen().len(), after, "a version that was rolled back gets nothing");
@@ -73,7 +73,7 @@
 async fn a_version_that_fails_is_rolled_back_where_all_requests_are_of_sessions() {
     let (_old, new, site) = two_versions(FAILS).await;
     site.store.put("op", "rollout/app", &order("v2", 3.0));
-    until("it is under way", || state(&site) == "in_progress").await;
+    wait_until("it is under way", || state(&site) == "in_progress").await;
 
     let of_session = |i| ("/safe/a".into(), format!("Session: s-{i}\r\n"));
     let asked = ask_each_until(&site, "rolled_back", of_session).await;
@@ -86,9 +86,9 @@
 async fn a_version_whose_answers_break_off_is_rolled_back() {
     let (_old, new, site) = two_versions(Act::CutAnswer).await;
     site.store.put("op", "rollout/app", &order("v2", 600.0));
-    until("it is under way", || state(&site) == "in_progress").await;
+    wait_until("it is under way", || state(&site) == "in_progress").await;
 
-    let asked = ask_until(&site, "rolled_back").await;
+    let asked = request_until_state(&site, "rolled_back").await;
 
     let exposed = new.seen().len();
     assert!(exposed < 30, "{exposed} of {asked} requests reached the bad version");
@@ -99,9 +99,9 @@
     let slow = Act::Late { body: "good", after: Duration::from_millis(150) };
     let (_old, new, site) = two_versions(slow).await;
     site.store.put("op", "rollout/app", &order("v2", 600.0));
-    until("it is under way", || state(&site) == "in_progress").await;
+    wait_until("it is under way", || state(&site) == "in_progress").await;
 
-    let asked = ask_until(&site, "rolled_back").await;
+    let asked = request_until_state(&site, "rolled_back").await;
 
     let exposed = new.seen().len();
     assert!(exposed < 60, "{exposed} of {asked} requests reached the slow version");
@@ -111,18 +111,18 @@
 async fn a_version_whose_streams_trickle_is_rolled_back() {
     let fast = Act::Stream { to: 8, is_whole: true, confidence: 90 };
     let slow = Act::Paced { to: 8, pause: Duration::from_millis(120) };
-    let (old, new) = (always("i-1", fast).await, always("i-2", slow).await);
+    let (old, new) = (start_server("i-1", fast).await, start_server("i-2", slow).await);
     let site = Site::start(&[(&old, "llm", "v1"), (&new, "llm", "v2")]).await;
     let order = json!({"service": "llm", "to": "v2", "duration-s": 600.0});
     site.store.put("op", "rollout/llm", &order);
     let state = || site.store.read("status", "rollout/llm").map(|s| s["state"].clone());
-    until("it is under way", || state().is_some()).await;
+    wait_until("it is under way", || state().is_some()).await;
 
     let mut asked = 0;
     while state() != Some(json!("rolled_back")) {
         asked += 1;
         assert!(asked < 1_000, "never, but {}", site.entry.router.dump()["roll_outs"]);
-        site.ask("POST", &format!("/chat/{asked}"), "X-Model: *\r\n").await;
+        site.request("POST", &format!("/chat/{asked}"), "X-Model: *\r\n").await;
     }
 }
 
@@ -131,11 +131,11 @@
     let (old, _new, site) = two_versions(GOOD).await;
     site.store.put("op", "rollout/app", &order("v2", 3.0));
 
-    ask_until(&site, "completed").await;
+    request_until_state(&site, "completed").await;
 
     let before = old.seen().len();
     for i in 0..20 {
-        site.ask("GET", "/safe/a", &format!("Session: t-{i}\r\n")).await;
+        site.request("GET", "/safe/a", &format!("Session: t-{i}\r\n")).await;
     }
     assert_eq!(old.seen().len(), before);
 }
@@ -145,14 +145,14 @@
     let (_old, new, site) = two_versions(GOOD).await;
     let sessions: Vec<String> = (0..40).map(|i| format!("Session: s-{i}\r\n")).collect();
     for session in &sessions {
-        site.ask("GET", "/safe/a", session).await;
+        site.request("GET", "/safe/a", session).await;
     }
 
     site.store.put("op", "rollout/app", &order("v2", 600.0));
-    until("it is under way", || state(&site) == "in_progress").await;
+    wait_until("it is under way", || state(&site) == "in_progress").await;
     let before = new.seen().len();
     for session in &sessions {
-        site.ask("GET", "/safe/a", session).await;
+        site.request("GET", "/safe/a", session).await;
     }
 
     // Before the order any server may serve; after it, running sessions are on the old version.
@@ -163,17 +163,17 @@
 async fn an_entry_learns_the_verdict_of_another() {
     let (_old, new, site) = two_versions(GOOD).await;
     site.store.put("op", "rollout/app", &order("v2", 600.0));
-    until("it is under way", || state(&site) == "in_progress").await;
+    wait_until("it is under way", || state(&site) == "in_progress").await;
 
     site.store.put("status", "rollout/app", &json!({"state": "rolled_back", "to": "v2"}));
-    until("it is taken over", || {
+    wait_until("it is taken over", || {
         site.entry.router.dump()["roll_outs"][0]["progress"] == "RolledBack"
     })
     .await;
 
     let before = new.seen().len();
     for i in 0..60 {
-        site.ask("GET", "/safe/a", &format!("Session: t-{i}\r\n")).await;
+        site.request("GET", "/safe/a", &format!("Session: t-{i}\r\n")).await;
     }
     assert_eq!(new.seen().len(), before);
 }
@@ -182,19 +182,19 @@
 async fn a_restarted_entry_does_not_begin_a_roll_out_again() {
     let (_old, new, site) = two_versions(FAILS).await;
     site.store.put("op", "rollout/app", &order("v2", 600.0));
-    until("it is under way", || state(&site) == "in_progress").await;
-    ask_until(&site, "rolled_back").await;
+    wait_until("it is under way", || state(&site) == "in_progress").await;
+    request_until_state(&site, "rolled_back").await;
 
-    let next = Site::beside(site.store.clone()).await;
-    until("it is ready", || next.entry.router.is_ready()).await;
-    until("it knows the verdict", || {
+    let next = Site::start_with_store(site.store.clone()).await;
+    wait_until("it is ready", || next.entry.router.is_ready()).await;
+    wait_until("it knows the verdict", || {
         next.entry.router.dump()["roll_outs"][0]["progress"] == "RolledBack"
     })
     .await;
 
     let before = new.seen().len();
     for i in 0..60 {
-        next.ask("GET", "/safe/a", &format!("Session: u-{i}\r\n")).await;
+        next.request("GET", "/safe/a", &format!("Session: u-{i}\r\n")).await;
     }
     assert_eq!(new.seen().len(), before);
 }
@@ -203,15 +203,16 @@
 async fn an_entry_that_starts_during_a_roll_out_takes_it_up_where_it_stands() {
     let (_old, new, site) = two_versions(GOOD).await;
     site.store.put("op", "rollout/app", &order("v2", 1.0));
-    until("it is under way", || state(&site) == "in_progress").await;
+    wait_until("it is under way", || state(&site) == "in_progress").await;
     // Past its end, and not completed for want of answers.
     tokio::time::sleep(Duration::from_millis(1_200)).await;
 
-    let next = Site::beside(site.store.clone()).await;
-    until("it is ready", || next.entry.router.is_ready()).await;
-    until("it knows the order", || next.entry.router.dump()["roll_outs"][0]["began"] == true).await;
+    let next = Site::start_with_store(site.store.clone()).await;
+    wait_until("it is ready", || next.entry.router.is_ready()).await;
+    wait_until("it knows the order", || next.entry.router.dump()["roll_outs"][0]["began"] == true)
+        .await;
     for i in 0..10 {
-        next.ask("GET", "/safe/a", &format!("Session: u-{i}\r\n")).await;
+        next.request("GET", "/safe/a", &format!("Session: u-{i}\r\n")).await;
     }
 
     assert_eq!(new.seen().len(), 10, "all requests are on the new version by now");
@@ -221,30 +222,30 @@
 async fn a_bad_version_is_kept_from_requests_while_the_store_is_away() {
     let (_old, new, site) = two_versions(FAILS).await;
     site.store.put("op", "rollout/app", &order("v2", 600.0));
-    until("it is under way", || state(&site) == "in_progress").await;
+    wait_until("it is under way", || state(&site) == "in_progress").await;
 
     site.store.set_fault(Fault::Down);
     for i in 0..600 {
-        site.ask("GET", &format!("/safe/{i}"), "").await;
+        site.request("GET", &format!("/safe/{i}"), "").await;
     }
     let exposed = new.seen().len();
     assert!(exposed < 30, "{exposed} requests reached the bad version");
 
     site.store.set_fault(Fault::None);
-    until("the verdict is written", || state(&site) == "rolled_back").await;
+    wait_until("the verdict is written", || state(&site) == "rolled_back").await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_verdict_whose_reply_was_lost_is_given_once() {
     let (_old, _new, site) = two_versions(FAILS).await;
     site.store.put("op", "rollout/app", &order("v2", 600.0));
-    until("it is under way", || state(&site) == "in_progress").await;
+    wait_until("it is under way", || state(&site) == "in_progress").await;
 
     site.store.set_fault(Fault::RepliesLost);
-    ask_until(&site, "rolled_back").await;
+    request_until_state(&site, "rolled_back").await;
     site.store.set_fault(Fault::None);
 
-    until("the entry knows", || {
+    wait_until("the entry knows", || {
         site.entry.router.dump()["roll_outs"][0]["progress"] == "RolledBack"
     })
     .await;
--- a/tests/platform/rows.rs
+++ b/tests/platform/rows.rs
@@ -9,7 +9,10 @@
 
 use crate::{
     server::{Act, Server},
-    site::{Site, always, configuration, list, list_life, server_row, until},
+    site::{
+        Site, configuration, list_server, list_server_with_start_time, server_row, start_server,
+        wait_until,
+    },
     store::Store,
 };
 
@@ -102,70 +105,73 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_foreign_row_takes_its_server_out_and_leaves_the_others() {
-    let (stays, spoiled) = (always("i-1", GOOD).await, always("i-2", GOOD).await);
+    let (stays, spoiled) = (start_server("i-1", GOOD).await, start_server("i-2", GOOD).await);
     let site = Site::start(&[(&stays, "app", "v1"), (&spoiled, "app", "v1")]).await;
 
     for (what, document) in foreign_documents(&spoiled) {
         site.store.put("servers", "i-2", &document);
-        until(what, || servers(&site) == 1).await;
-        assert_eq!(site.ask("GET", "/safe/a", "").await.status, 200, "{what}");
+        wait_until(what, || servers(&site) == 1).await;
+        assert_eq!(site.request("GET", "/safe/a", "").await.status, 200, "{what}");
 
-        list(&site.store, &spoiled, "app", "v1", "ready");
-        until("it can be read again", || servers(&site) == 2).await;
+        list_server(&site.store, &spoiled, "app", "v1", "ready");
+        wait_until("it can be read again", || servers(&site) == 2).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn bytes_that_can_not_be_decoded_stop_neither_a_whole_read_nor_a_feed() {
-    let (stays, spoiled) = (always("i-1", GOOD).await, always("i-2", GOOD).await);
+    let (stays, spoiled) = (start_server("i-1", GOOD).await, start_server("i-2", GOOD).await);
     let store = Store::start().await;
     store.put("op", "config", &configuration(1));
-    list(&store, &stays, "app", "v1", "ready");
-    store.put_spoiled("servers", "i-2", &json!("%%%"));
-    store.put_spoiled("servers", "i-3", &json!({"no": "text"}));
+    list_server(&store, &stays, "app", "v1", "ready");
+    store.put_malformed("servers", "i-2", &json!("%%%"));
+    store.put_malformed("servers", "i-3", &json!({"no": "text"}));
 
-    let site = Site::beside(store).await;
+    let site = Site::start_with_store(store).await;
 
-    site.until_in_view(1).await;
-    list(&site.store, &spoiled, "app", "v1", "ready");
-    until("the feed goes on", || servers(&site) == 2).await;
-    site.store.put_spoiled("servers", "i-2", &json!("%%%"));
-    until("it is taken out again", || servers(&site) == 1).await;
+    site.wait_for_servers(1).await;
+    list_server(&site.store, &spoiled, "app", "v1", "ready");
+    wait_until("the feed goes on", || servers(&site) == 2).await;
+    site.store.put_malformed("servers", "i-2", &json!("%%%"));
+    wait_until("it is taken out again", || servers(&site) == 1).await;
     assert!(site.entry.router.metrics.render().contains("mintmoor_rows_unreadable 2"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_foreign_row_names_no_server_to_an_entry_that_follows_another() {
-    let (stays, spoiled) = (always("i-1", GOOD).await, always("i-2", GOOD).await);
+    let (stays, spoiled) = (start_server("i-1", GOOD).await, start_server("i-2", GOOD).await);
     let store = Store::start().await;
     store.put("op", "config", &configuration(1));
-    let first = Site::seed(store.clone(), None).await;
-    let second = Site::following(store.clone(), &first).await;
-    list(&store, &stays, "app", "v1", "ready");
-    list(&store, &spoiled, "app", "v1", "ready");
-    until("both are in view", || servers(&second) == 2).await;
+    let first = Site::start_seed(store.clone(), None).await;
+    let second = Site::start_follower(store.clone(), &first).await;
+    list_server(&store, &stays, "app", "v1", "ready");
+    list_server(&store, &spoiled, "app", "v1", "ready");
+    wait_until("both are in view", || servers(&second) == 2).await;
 
-    store.put_spoiled("servers", "i-2", &json!("%%%"));
+    store.put_malformed("servers", "i-2", &json!("%%%"));
 
-    until("the readable one is left", || servers(&second) == 1).await;
-    assert_eq!(second.ask("GET", "/safe/a", "").await.status, 200);
+    wait_until("the readable one is left", || servers(&second) == 1).await;
+    assert_eq!(second.request("GET", "/safe/a", "").await.status, 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_row_that_does_not_tell_its_start_is_foreign_where_the_others_do() {
-    let (stays, spoiled, foreign) =
-        (always("i-1", GOOD).await, always("i-2", GOOD).await, always("i-3", GOOD).await);
-    let also = always("i-4", GOOD).await;
+    let (stays, spoiled, foreign) = (
+        start_server("i-1", GOOD).await,
+        start_server("i-2", GOOD).await,
+        start_server("i-3", GOOD).await,
+    );
+    let also = start_server("i-4", GOOD).await;
     let site = Site::start(&[]).await;
     for server in [&stays, &spoiled, &also] {
-        list_life(&site.store, server, "app", 1_000);
+        list_server_with_start_time(&site.store, server, "app", 1_000);
     }
-    until("all are in view", || servers(&site) == 3).await;
+    wait_until("all are in view", || servers(&site) == 3).await;
 
-    list(&site.store, &foreign, "app", "v1", "ready");
-    list(&site.store, &spoiled, "app", "v1", "ready");
+    list_server(&site.store, &foreign, "app", "v1", "ready");
+    list_server(&site.store, &spoiled, "app", "v1", "ready");
 
-    until("the two that tell their start are left", || servers(&site) == 2).await;
+    wait_until("the two that tell their start are left", || servers(&site) == 2).await;
     let fleet = site.entry.router.fleet.load();
     assert!(fleet.of_service("app").iter().all(|member| member.server.started_at == Some(1_000)));
 }
--- a/tests/platform/sessions.rs
+++ b/tests/platform/sessions.rs
@@ -6,9 +6,9 @@
 use serde_json::json;
 
 use crate::{
-    roll_outs::ask_until,
+    roll_outs::request_until_state,
     server::Act,
-    site::{Site, always, list, store_with, until},
+    site::{Site, list_server, start_server, store_with_servers, wait_until},
 };
 
 const GOOD: Act = Act::Answer { status: 200, body: "good" };
@@ -33,24 +33,24 @@
 /// requests 1,075 came through several entries.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_session_that_another_entry_served_stays_on_the_old_version_in_the_first_half() {
-    let (old, new) = (always("i-1", GOOD).await, always("i-2", GOOD).await);
-    let store = store_with(&[(&old, "app", "v1")]).await;
-    let one = Site::beside(store.clone()).await;
-    let other = Site::beside(store.clone()).await;
-    one.until_in_view(1).await;
-    other.until_in_view(1).await;
+    let (old, new) = (start_server("i-1", GOOD).await, start_server("i-2", GOOD).await);
+    let store = store_with_servers(&[(&old, "app", "v1")]).await;
+    let one = Site::start_with_store(store.clone()).await;
+    let other = Site::start_with_store(store.clone()).await;
+    one.wait_for_servers(1).await;
+    other.wait_for_servers(1).await;
     let sessions: Vec<String> = (0..200).map(|i| format!("Session: s-{i}\r\n")).collect();
     for session in &sessions {
-        one.ask("GET", "/safe/a", session).await;
+        one.request("GET", "/safe/a", session).await;
     }
 
     store.put("op", "rollout/app", &json!({"service": "app", "to": "v2", "duration-s": 600.0}));
-    list(&store, &new, "app", "v2", "ready");
-    until("both know of it", || begun(&one) && begun(&other)).await;
-    one.until_in_view(2).await;
-    other.until_in_view(2).await;
+    list_server(&store, &new, "app", "v2", "ready");
+    wait_until("both know of it", || begun(&one) && begun(&other)).await;
+    one.wait_for_servers(2).await;
+    other.wait_for_servers(2).await;
     for session in &sessions {
-        other.ask("GET", "/safe/a", session).await;
+        other.request("GET", "/safe/a", session).await;
     }
 
     assert_eq!(old.seen().len(), 2 * sessions.len());
@@ -70,17 +70,17 @@
 /// verdict 2.01 s later; eight requests of sessions that were on the new version ran on the old one.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_starts_after_a_roll_out_knows_how_it_ended() {
-    let (old, new) = (always("i-1", GOOD).await, always("i-2", GOOD).await);
+    let (old, new) = (start_server("i-1", GOOD).await, start_server("i-2", GOOD).await);
     let first = Site::start(&[(&old, "app", "v1"), (&new, "app", "v2")]).await;
     let order = json!({"service": "app", "to": "v2", "duration-s": 1.0});
     first.store.put("op", "rollout/app", &order);
-    ask_until(&first, "completed").await;
+    request_until_state(&first, "completed").await;
     let before = old.seen().len();
 
-    let next = Site::following(first.store.clone(), &first).await;
-    until("it is ready", || next.entry.router.is_ready()).await;
+    let next = Site::start_follower(first.store.clone(), &first).await;
+    wait_until("it is ready", || next.entry.router.is_ready()).await;
     for i in 0..100 {
-        next.ask("GET", "/safe/a", &format!("Session: s-{i}\r\n")).await;
+        next.request("GET", "/safe/a", &format!("Session: s-{i}\r\n")).await;
     }
 
     assert_eq!(old.seen().len(), before, "requests ran on the old version after the roll-out");
@@ -131,16 +131,16 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_version_that_is_the_only_one_left_serves_at_once() {
-    let (old, new) = (always("i-1", GOOD).await, always("i-2", GOOD).await);
+    let (old, new) = (start_server("i-1", GOOD).await, start_server("i-2", GOOD).await);
     let site = Site::start(&[(&old, "app", "v1")]).await;
 
     site.store.remove("servers", "i-1");
-    list(&site.store, &new, "app", "v2", "ready");
-    until("only the new one is in view", || {
+    list_server(&site.store, &new, "app", "v2", "ready");
+    wait_until("only the new one is in view", || {
         let fleet = site.entry.router.fleet.load();
         fleet.of_service("app").iter().map(|m| &*m.server.id).eq(["i-2"])
     })
     .await;
 
-    assert_eq!(site.ask("GET", "/safe/a", "").await.status, 200);
+    assert_eq!(site.request("GET", "/safe/a", "").await.status, 200);
 }
--- a/tests/platform/site.rs
+++ b/tests/platform/site.rs
@@ -25,15 +25,15 @@
 };
 
 /// Longest that a test waits for anything; it asserts nothing about time.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Any free port on loopback; the entry tells which one it got.
-fn any_address() -> SocketAddr {
+fn any_free_address() -> SocketAddr {
     "127.0.0.1:0".parse().unwrap()
 }
 
 /// A Host's name that no other entry of the tests has: entries know each other by it.
-fn next_host() -> Box<str> {
+fn unique_host_name() -> Box<str> {
     static STARTED: AtomicUsize = AtomicUsize::new(0);
     format!("edge-{}", STARTED.fetch_add(1, Ordering::Relaxed)).into()
 }
@@ -41,12 +41,12 @@
 /// Settings of an entry beside this store.
 pub fn host_settings(store: &Store) -> HostSettings {
     HostSettings {
-        host: next_host(),
+        host: unique_host_name(),
         zone: "zone-a".into(),
         regions: HashMap::new(),
-        caller_address: any_address(),
-        readiness_address: any_address(),
-        peer_address: Some(any_address()),
+        caller_address: any_free_address(),
+        readiness_address: any_free_address(),
+        peer_address: Some(any_free_address()),
         seed_peers: Vec::new(),
         store_address: store.address.to_string().into(),
         shutdown_grace: Duration::from_secs(4),
@@ -98,43 +98,43 @@
 impl Site {
     /// A site whose servers are listed; it is ready when this returns.
     pub async fn start(servers: &[(&Server, &str, &str)]) -> Self {
-        let site = Self::beside(store_with(servers).await).await;
-        site.until_in_view(servers.len()).await;
+        let site = Self::start_with_store(store_with_servers(servers).await).await;
+        site.wait_for_servers(servers.len()).await;
         site
     }
 
     /// A site whose servers are listed and whose entry may repeat no sends.
-    pub async fn without_repeats(servers: &[(&Server, &str, &str)]) -> Self {
-        let site = Self::with(store_with(servers).await, |host| {
+    pub async fn start_without_retries(servers: &[(&Server, &str, &str)]) -> Self {
+        let site = Self::start_with_settings(store_with_servers(servers).await, |host| {
             (host.retry_ratio, host.retry_extra) = (0.0, 0.0);
         })
         .await;
-        site.until_in_view(servers.len()).await;
+        site.wait_for_servers(servers.len()).await;
         site
     }
 
     /// An entry beside a store as it is; it may not be ready.
-    pub async fn beside(store: Store) -> Self {
-        Self::seed(store, None).await
+    pub async fn start_with_store(store: Store) -> Self {
+        Self::start_seed(store, None).await
     }
 
     /// An entry that its settings name as one for others to follow, beside a store; it knows
     /// another one as well.
-    pub async fn seed(store: Store, other: Option<SocketAddr>) -> Self {
-        Self::with(store, |host| {
+    pub async fn start_seed(store: Store, other: Option<SocketAddr>) -> Self {
+        Self::start_with_settings(store, |host| {
             host.seed_peers = host.peer_address.into_iter().chain(other).collect()
         })
         .await
     }
 
     /// An entry beside a store that follows another entry.
-    pub async fn following(store: Store, other: &Site) -> Self {
+    pub async fn start_follower(store: Store, other: &Site) -> Self {
         let seed = other.entry.addresses.peer;
-        Self::with(store, |host| host.seed_peers = seed.into_iter().collect()).await
+        Self::start_with_settings(store, |host| host.seed_peers = seed.into_iter().collect()).await
     }
 
     /// An entry beside a store whose settings are changed first.
-    pub async fn with(store: Store, change: impl FnOnce(&mut HostSettings)) -> Self {
+    pub async fn start_with_settings(store: Store, change: impl FnOnce(&mut HostSettings)) -> Self {
         let mut host = host_settings(&store);
         change(&mut host);
         let settings = RouterSettings { host, policy: RouteSettings::default() };
@@ -144,17 +144,17 @@
     }
 
     /// Waits until the entry is ready and has so many servers in view.
-    pub async fn until_in_view(&self, servers: usize) {
+    pub async fn wait_for_servers(&self, servers: usize) {
         let router = &self.entry.router;
-        until("the entry has its view", || {
+        wait_until("the entry has its view", || {
             router.is_ready() && router.fleet.load().len() == servers
         })
         .await;
     }
 
     /// Sends a request on a connection of its own and reads the answer to its end.
-    pub async fn ask(&self, method: &str, path: &str, headers: &str) -> Answer {
-        self.send(&request(method, path, headers, "")).await
+    pub async fn request(&self, method: &str, path: &str, headers: &str) -> Answer {
+        self.send(&request_bytes(method, path, headers, "")).await
     }
 
     /// Sends raw bytes and reads what comes until the connection ends.
@@ -163,28 +163,34 @@
         stream.write_all(bytes.as_bytes()).await.unwrap();
         let mut raw = Vec::new();
         // A reset shows as an answer that is not whole.
-        let _ = timeout(PATIENCE, stream.read_to_end(&mut raw)).await.expect("no answer");
+        let _ = timeout(WAIT_TIMEOUT, stream.read_to_end(&mut raw)).await.expect("no answer");
         Answer::parse(&raw)
     }
 }
 
 /// A store with a configuration, where servers are listed.
-pub async fn store_with(servers: &[(&Server, &str, &str)]) -> Store {
+pub async fn store_with_servers(servers: &[(&Server, &str, &str)]) -> Store {
     let store = Store::start().await;
     store.put("op", "config", &configuration(1));
     for (server, service, version) in servers {
-        list(&store, server, service, version, "ready");
+        list_server(&store, server, service, version, "ready");
     }
     store
 }
 
 /// A request's bytes; the connection ends after it.
-pub fn request(method: &str, path: &str, headers: &str, body: &str) -> String {
-    request_with_id(&format!("r-{path}"), method, path, headers, body)
+pub fn request_bytes(method: &str, path: &str, headers: &str, body: &str) -> String {
+    request_bytes_with_id(&format!("r-{path}"), method, path, headers, body)
 }
 
 /// The same under an id of its own.
-pub fn request_with_id(id: &str, method: &str, path: &str, headers: &str, body: &str) -> String {
+pub fn request_bytes_with_id(
+    id: &str,
+    method: &str,
+    path: &str,
+    headers: &str,
+    body: &str,
+) -> String {
     let length = body.len();
     format!(
         "{method} {path} HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: {id}\r\nAuthorization: Bearer key-1\r\nX-Deadline-Ms: 5000\r\nConnection: close\r\nContent-Length: {length}\r\n{headers}\r\n{body}"
@@ -200,12 +206,12 @@
 }
 
 /// Lists a server in the store.
-pub fn list(store: &Store, server: &Server, service: &str, version: &str, state: &str) {
+pub fn list_server(store: &Store, server: &Server, service: &str, version: &str, state: &str) {
     store.put("servers", &server.id, &server_row(server.address, service, version, state));
 }
 
 /// Lists a server that tells its start.
-pub fn list_life(store: &Store, server: &Server, service: &str, born: u64) {
+pub fn list_server_with_start_time(store: &Store, server: &Server, service: &str, born: u64) {
     let mut row = server_row(server.address, service, "v1", "ready");
     row["born"] = json!(born);
     store.put("servers", &server.id, &row);
@@ -230,7 +236,7 @@
         let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
         let head = head.to_lowercase();
         let (body, is_whole) = if head.contains("transfer-encoding: chunked") {
-            unchunk(rest)
+            decode_chunked(rest)
         } else {
             let length = head.split("content-length: ").nth(1);
             let length = length.and_then(|l| l.split("\r\n").next()?.parse().ok());
@@ -240,7 +246,7 @@
     }
 }
 
-fn unchunk(mut rest: &str) -> (String, bool) {
+fn decode_chunked(mut rest: &str) -> (String, bool) {
     let mut body = String::new();
     while let Some((size, tail)) = rest.split_once("\r\n") {
         let Ok(size) = usize::from_str_radix(size, 16) else {
@@ -264,22 +270,22 @@
 }
 
 /// Waits until something holds.
-pub async fn until(what: &str, holds: impl Fn() -> bool) {
+pub async fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let work = async {
         while !holds() {
             sleep(Duration::from_millis(10)).await;
         }
     };
-    assert!(timeout(PATIENCE, work).await.is_ok(), "never: {what}");
+    assert!(timeout(WAIT_TIMEOUT, work).await.is_ok(), "never: {what}");
 }
 
 /// A server that does the same with every request.
-pub async fn always(id: &str, act: Act) -> Server {
+pub async fn start_server(id: &str, act: Act) -> Server {
     Server::start(id, move |_: &Seen| act.clone()).await
 }
 
 /// A server that does one thing with its first request and another with the rest.
-pub async fn first_then(id: &str, first: Act, then: Act) -> Server {
+pub async fn start_server_with_first_act(id: &str, first: Act, then: Act) -> Server {
     let asked = std::sync::atomic::AtomicBool::new(false);
     Server::start(id, move |_: &Seen| {
         let was_asked = asked.swap(true, std::sync::atomic::Ordering::SeqCst);
--- a/tests/platform/store.rs
+++ b/tests/platform/store.rs
@@ -27,7 +27,7 @@
     /// Calls are refused.
     Down,
     /// Calls beyond the rate.
-    TooMany,
+    RateLimited,
     /// The connection ends without an answer; writes take effect.
     RepliesLost,
     /// Somebody else always writes first.
@@ -35,39 +35,39 @@
 }
 
 /// What the store held at a moment.
-pub struct Copy {
-    rows: BTreeMap<(String, String), (Document, u64)>,
+pub struct Snapshot {
+    rows: BTreeMap<(String, String), (RowValue, u64)>,
     changes: Vec<(u64, String, String, bool)>,
     version: u64,
 }
 
 /// What a row holds.
 #[derive(Clone)]
-enum Document {
+enum RowValue {
     Bytes(Vec<u8>),
     /// Something that is no encoded text, as the answer shows it.
-    Spoiled(Value),
+    Malformed(Value),
 }
 
-impl Document {
-    fn shown(&self) -> Value {
+impl RowValue {
+    fn to_json(&self) -> Value {
         match self {
-            Document::Bytes(bytes) => STANDARD.encode(bytes).into(),
-            Document::Spoiled(value) => value.clone(),
+            RowValue::Bytes(bytes) => STANDARD.encode(bytes).into(),
+            RowValue::Malformed(value) => value.clone(),
         }
     }
 }
 
 #[derive(Default)]
-struct Rows {
-    rows: BTreeMap<(String, String), (Document, u64)>,
+struct StoreState {
+    rows: BTreeMap<(String, String), (RowValue, u64)>,
     /// Every change, oldest first: version, table, key, and whether it removed the row.
     changes: Vec<(u64, String, String, bool)>,
     version: u64,
     /// Changes up to this version are forgotten.
-    forgotten: u64,
+    dropped_up_to: u64,
     fault: Fault,
-    page: usize,
+    page_size: usize,
     calls: usize,
     /// Transactions that met newer rows.
     conflicts: usize,
@@ -75,8 +75,8 @@
     era: u64,
 }
 
-impl Rows {
-    fn put(&mut self, table: &str, key: &str, document: Document) {
+impl StoreState {
+    fn put(&mut self, table: &str, key: &str, document: RowValue) {
         self.version += 1;
         let version = self.version;
         self.rows.insert((table.into(), key.into()), (document, version));
@@ -92,7 +92,7 @@
 /// The stand-in; clones share it.
 #[derive(Clone)]
 pub struct Store {
-    rows: Arc<Mutex<Rows>>,
+    rows: Arc<Mutex<StoreState>>,
     changed: Arc<Notify>,
     started: Instant,
     pub address: SocketAddr,
@@ -107,7 +107,7 @@
     pub async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let store = Self {
-            rows: Arc::new(Mutex::new(Rows { page: 500, ..Rows::default() })),
+            rows: Arc::new(Mutex::new(StoreState { page_size: 500, ..StoreState::default() })),
             changed: Arc::default(),
             started: Instant::now(),
             address: listener.local_addr().unwrap(),
@@ -116,22 +116,22 @@
             .route("/-/rows-get", get(read))
             .route("/-/rows-feed", get(feed))
             .route("/-/rows-tx", post(write))
-            .layer(map_response_with_state(store.clone(), tell_era))
+            .layer(map_response_with_state(store.clone(), add_era_header))
             .with_state(store.clone());
         tokio::spawn(async move { axum::serve(listener, app).await.unwrap() });
         store
     }
 
     pub fn put(&self, table: &str, key: &str, value: &Value) {
-        self.put_document(table, key, Document::Bytes(serde_json::to_vec(value).unwrap()));
+        self.put_value(table, key, RowValue::Bytes(serde_json::to_vec(value).unwrap()));
     }
 
     /// Puts a row whose document is shown as it is given, instead of as encoded text.
-    pub fn put_spoiled(&self, table: &str, key: &str, shown: &Value) {
-        self.put_document(table, key, Document::Spoiled(shown.clone()));
+    pub fn put_malformed(&self, table: &str, key: &str, shown: &Value) {
+        self.put_value(table, key, RowValue::Malformed(shown.clone()));
     }
 
-    fn put_document(&self, table: &str, key: &str, document: Document) {
+    fn put_value(&self, table: &str, key: &str, document: RowValue) {
         self.rows.lock().unwrap().put(table, key, document);
         self.changed.notify_waiters();
     }
@@ -147,7 +147,7 @@
 
     pub fn read(&self, table: &str, key: &str) -> Option<Value> {
         let rows = self.rows.lock().unwrap();
-        let (Document::Bytes(bytes), _) = rows.rows.get(&(table.into(), key.into()))? else {
+        let (RowValue::Bytes(bytes), _) = rows.rows.get(&(table.into(), key.into()))? else {
             return None;
         };
         serde_json::from_slice(bytes).ok()
@@ -159,31 +159,31 @@
     }
 
     /// Drops the history; feeds from before it get 410.
-    pub fn forget(&self) {
+    pub fn drop_history(&self) {
         let mut rows = self.rows.lock().unwrap();
-        rows.forgotten = rows.version;
+        rows.dropped_up_to = rows.version;
     }
 
     /// What it holds now, to come back to.
-    pub fn copy(&self) -> Copy {
+    pub fn snapshot(&self) -> Snapshot {
         let rows = self.rows.lock().unwrap();
         let (version, changes) = (rows.version, rows.changes.clone());
-        Copy { rows: rows.rows.clone(), changes, version }
+        Snapshot { rows: rows.rows.clone(), changes, version }
     }
 
     /// Comes back from a copy: what was written since is lost, and its versions are given out again.
-    pub fn restore(&self, copy: &Copy) {
+    pub fn restore(&self, snapshot: &Snapshot) {
         let mut rows = self.rows.lock().unwrap();
-        rows.rows.clone_from(&copy.rows);
-        rows.changes.clone_from(&copy.changes);
-        rows.version = copy.version;
+        rows.rows.clone_from(&snapshot.rows);
+        rows.changes.clone_from(&snapshot.changes);
+        rows.version = snapshot.version;
         rows.era += 1;
         drop(rows);
         self.changed.notify_waiters();
     }
 
-    pub fn set_page(&self, page: usize) {
-        self.rows.lock().unwrap().page = page;
+    pub fn set_page_size(&self, page_size: usize) {
+        self.rows.lock().unwrap().page_size = page_size;
     }
 
     /// Transactions so far that met newer rows.
@@ -196,12 +196,12 @@
         self.rows.lock().unwrap().calls
     }
 
-    fn fault(&self) -> Option<Response> {
+    fn faulty_response(&self) -> Option<Response> {
         let mut rows = self.rows.lock().unwrap();
         rows.calls += 1;
         match rows.fault {
             Fault::Down => Some(StatusCode::SERVICE_UNAVAILABLE.into_response()),
-            Fault::TooMany => Some(StatusCode::TOO_MANY_REQUESTS.into_response()),
+            Fault::RateLimited => Some(StatusCode::TOO_MANY_REQUESTS.into_response()),
             Fault::None | Fault::RepliesLost | Fault::Contended => None,
         }
     }
@@ -212,7 +212,7 @@
 }
 
 /// Adds the era to answers that say nothing of rows.
-async fn tell_era(State(store): State<Store>, mut res: Response) -> Response {
+async fn add_era_header(State(store): State<Store>, mut res: Response) -> Response {
     if !res.headers().contains_key(ERA) {
         let era = store.rows.lock().unwrap().era;
         res.headers_mut().insert(ERA, era.into());
@@ -220,12 +220,12 @@
     res
 }
 
-fn row_doc(table: &str, key: &str, document: &Document, version: u64) -> Value {
-    json!({"table": table, "part": "", "key": key, "value": document.shown(), "ver": version})
+fn row_doc(table: &str, key: &str, document: &RowValue, version: u64) -> Value {
+    json!({"table": table, "part": "", "key": key, "value": document.to_json(), "ver": version})
 }
 
 async fn read(State(store): State<Store>, Query(params): Params) -> Response {
-    if let Some(fault) = store.fault() {
+    if let Some(fault) = store.faulty_response() {
         return fault;
     }
     let rows = store.rows.lock().unwrap();
@@ -233,8 +233,8 @@
     let of_table = rows.rows.iter().filter(|((t, key), _)| *t == params["table"] && *key >= from);
     let mut found: Vec<Value> =
         of_table.map(|((t, key), (value, version))| row_doc(t, key, value, *version)).collect();
-    let truncated = found.len() > rows.page;
-    found.truncate(rows.page);
+    let truncated = found.len() > rows.page_size;
+    found.truncate(rows.page_size);
     let body = json!({
         "rows": found, "truncated": truncated, "ver": rows.version, "now-ms": store.now_ms()
     });
@@ -247,7 +247,7 @@
     let until = Instant::now() + wait;
     loop {
         let changed = store.changed.notified();
-        if let Some(fault) = store.fault() {
+        if let Some(fault) = store.faulty_response() {
             return fault;
         }
         if let Some(answer) = store.changes(&params["table"], after, Instant::now() >= until) {
@@ -259,9 +259,9 @@
 }
 
 impl Store {
-    fn changes(&self, table: &str, after: u64, is_over: bool) -> Option<Response> {
+    fn changes(&self, table: &str, after: u64, has_waited: bool) -> Option<Response> {
         let rows = self.rows.lock().unwrap();
-        if after < rows.forgotten || after > rows.version {
+        if after < rows.dropped_up_to || after > rows.version {
             return Some(StatusCode::GONE.into_response());
         }
         let new = rows.changes.iter().filter(|(v, t, ..)| *v > after && t == table);
@@ -275,7 +275,7 @@
                 }
             })
             .collect();
-        if docs.is_empty() && !is_over {
+        if docs.is_empty() && !has_waited {
             return None;
         }
         let body = json!({"rows": docs, "ver": rows.version, "now-ms": self.now_ms()});
@@ -284,16 +284,16 @@
 }
 
 async fn write(State(store): State<Store>, Json(body): Json<Value>) -> Response {
-    if let Some(fault) = store.fault() {
+    if let Some(fault) = store.faulty_response() {
         return fault;
     }
     let mut rows = store.rows.lock().unwrap();
-    let is_met = |e: &Value| {
+    let matches_expected = |e: &Value| {
         let key = (e["table"].as_str().unwrap().into(), e["key"].as_str().unwrap().into());
         rows.rows.get(&key).map_or(0, |(_, version)| *version) == e["ver"].as_u64().unwrap()
     };
-    let all_met = body["expected-rev"].as_array().unwrap().iter().all(is_met);
-    if !all_met || rows.fault == Fault::Contended {
+    let all_match = body["expected-rev"].as_array().unwrap().iter().all(matches_expected);
+    if !all_match || rows.fault == Fault::Contended {
         rows.conflicts += 1;
         let body = json!({"rows": [], "ver": 0, "now-ms": store.now_ms()});
         return (StatusCode::PRECONDITION_FAILED, rows.answer(body)).into_response();
@@ -301,7 +301,7 @@
     for put in body["puts"].as_array().unwrap() {
         let value = STANDARD.decode(put["value"].as_str().unwrap()).unwrap();
         let (table, key) = (put["table"].as_str().unwrap(), put["key"].as_str().unwrap());
-        rows.put(table, key, Document::Bytes(value));
+        rows.put(table, key, RowValue::Bytes(value));
     }
     store.changed.notify_waiters();
     if rows.fault == Fault::RepliesLost {
--- a/tests/platform/streams.rs
+++ b/tests/platform/streams.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     server::{Act, Seen, Server},
-    site::{Site, always, events, first_then, request, until},
+    site::{Site, events, request_bytes, start_server, start_server_with_first_act, wait_until},
 };
 
 const WHOLE: Act = Act::Stream { to: 5, is_whole: true, confidence: 90 };
@@ -20,10 +20,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_is_passed_on_event_by_event() {
-    let server = always("i-1", WHOLE).await;
+    let server = start_server("i-1", WHOLE).await;
     let site = site_of(&[&server]).await;
 
-    let answer = site.ask("POST", "/chat/a", prompt()).await;
+    let answer = site.request("POST", "/chat/a", prompt()).await;
 
     assert_eq!((answer.status, answer.is_whole), (200, true));
     assert_eq!(answer.body, events(5));
@@ -33,11 +33,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_broken_stream_goes_on_at_another_server_without_loss_or_repeat() {
     let breaks = Act::Stream { to: 3, is_whole: false, confidence: 90 };
-    let (one, two) =
-        (first_then("i-1", breaks.clone(), WHOLE).await, first_then("i-2", breaks, WHOLE).await);
+    let (one, two) = (
+        start_server_with_first_act("i-1", breaks.clone(), WHOLE).await,
+        start_server_with_first_act("i-2", breaks, WHOLE).await,
+    );
     let site = site_of(&[&one, &two]).await;
 
-    let answer = site.ask("POST", "/chat/a", prompt()).await;
+    let answer = site.request("POST", "/chat/a", prompt()).await;
 
     assert_eq!((answer.status, answer.is_whole), (200, true));
     assert_eq!(answer.body, events(5));
@@ -47,10 +49,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_broken_stream_that_may_not_be_resumed_does_not_look_whole() {
-    let server = always("i-1", Act::Stream { to: 3, is_whole: false, confidence: 90 }).await;
+    let server = start_server("i-1", Act::Stream { to: 3, is_whole: false, confidence: 90 }).await;
     let site = site_of(&[&server]).await;
 
-    let answer = site.ask("POST", "/plain/a", "X-Model: small\r\n").await;
+    let answer = site.request("POST", "/plain/a", "X-Model: small\r\n").await;
 
     assert_eq!((answer.status, answer.is_whole), (200, false));
     assert_eq!(answer.body, events(3), "whole events only");
@@ -60,10 +62,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_is_not_resumed_beyond_the_allowed_attempts() {
     let breaks = |to| Act::Stream { to, is_whole: false, confidence: 90 };
-    let (one, two) = (always("i-1", breaks(1)).await, always("i-2", breaks(1)).await);
+    let (one, two) = (start_server("i-1", breaks(1)).await, start_server("i-2", breaks(1)).await);
     let site = site_of(&[&one, &two]).await;
 
-    let answer = site.ask("POST", "/chat/a", prompt()).await;
+    let answer = site.request("POST", "/chat/a", prompt()).await;
 
     assert!(!answer.is_whole);
     assert_eq!(one.seen().len() + two.seen().len(), 3);
@@ -72,10 +74,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_slow_server_is_not_left_when_nothing_more_may_be_sent() {
     let slow = Act::Paced { to: 2, pause: Duration::from_millis(2_000) };
-    let (one, two) = (always("i-1", slow.clone()).await, always("i-2", slow).await);
-    let site = Site::without_repeats(&[(&one, "llm", "v1"), (&two, "llm", "v1")]).await;
+    let (one, two) = (start_server("i-1", slow.clone()).await, start_server("i-2", slow).await);
+    let site = Site::start_without_retries(&[(&one, "llm", "v1"), (&two, "llm", "v1")]).await;
 
-    let answer = site.ask("POST", "/chat/a", prompt()).await;
+    let answer = site.request("POST", "/chat/a", prompt()).await;
 
     assert_eq!((answer.status, answer.is_whole), (200, true));
     assert_eq!(answer.body, events(2));
@@ -85,10 +87,10 @@
 async fn an_event_that_is_missing_breaks_the_stream() {
     // The second server goes on at event 5 though event 3 is due.
     let breaks = Act::Stream { to: 2, is_whole: false, confidence: 90 };
-    let server = first_then("i-1", breaks, Act::Endless).await;
+    let server = start_server_with_first_act("i-1", breaks, Act::Endless).await;
     let site = site_of(&[&server]).await;
 
-    let answer = site.ask("POST", "/chat/a", prompt()).await;
+    let answer = site.request("POST", "/chat/a", prompt()).await;
 
     // `Endless` begins at 1 again: nothing of it may be passed on.
     assert!(!answer.is_whole);
@@ -104,7 +106,7 @@
     .await;
     let site = site_of(&[&server]).await;
 
-    let answer = site.ask("POST", "/chat/a", prompt()).await;
+    let answer = site.request("POST", "/chat/a", prompt()).await;
 
     assert_eq!((answer.status, answer.is_whole), (200, true));
     assert!(answer.head.contains("x-confidence: 95"));
@@ -129,7 +131,7 @@
         let server = unsure_then(large.clone()).await;
         let site = site_of(&[&server]).await;
 
-        let answer = site.ask("POST", "/chat/a", prompt()).await;
+        let answer = site.request("POST", "/chat/a", prompt()).await;
 
         assert_eq!((answer.status, answer.is_whole), (200, true), "{large:?}");
         assert_eq!(answer.body, events(4), "{large:?}");
@@ -147,9 +149,9 @@
     .await;
     let site = site_of(&[&server]).await;
 
-    let (answer, ()) = tokio::join!(site.ask("POST", "/chat/a", prompt()), async {
-        until("both run", || server.at_work() == 2).await;
-        until("the larger one alone", || server.at_work() == 1).await;
+    let (answer, ()) = tokio::join!(site.request("POST", "/chat/a", prompt()), async {
+        wait_until("both run", || server.at_work() == 2).await;
+        wait_until("the larger one alone", || server.at_work() == 1).await;
     });
 
     assert_eq!((answer.is_whole, answer.body), (true, events(8)));
@@ -157,10 +159,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_model_the_caller_names_is_left_alone() {
-    let server = always("i-1", Act::Stream { to: 2, is_whole: true, confidence: 10 }).await;
+    let server = start_server("i-1", Act::Stream { to: 2, is_whole: true, confidence: 10 }).await;
     let site = site_of(&[&server]).await;
 
-    let answer = site.ask("POST", "/chat/a", "X-Model: small\r\n").await;
+    let answer = site.request("POST", "/chat/a", "X-Model: small\r\n").await;
 
     assert_eq!(answer.status, 200);
     assert_eq!(server.seen().len(), 1);
@@ -170,15 +172,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_stops_when_the_caller_of_its_stream_leaves() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    let server = always("i-1", Act::Endless).await;
+    let server = start_server("i-1", Act::Endless).await;
     let site = site_of(&[&server]).await;
     let mut stream = tokio::net::TcpStream::connect(site.caller).await.unwrap();
-    stream.write_all(request("POST", "/chat/a", prompt(), "").as_bytes()).await.unwrap();
+    stream.write_all(request_bytes("POST", "/chat/a", prompt(), "").as_bytes()).await.unwrap();
     let mut some = [0; 64];
     stream.read_exact(&mut some).await.unwrap();
 
     drop(stream);
 
-    until("the server stops", || server.at_work() == 0).await;
-    until("nothing is in flight", || site.entry.router.in_flight() == 0).await;
+    wait_until("the server stops", || server.at_work() == 0).await;
+    wait_until("nothing is in flight", || site.entry.router.in_flight() == 0).await;
 }
--- a/tests/platform/suspended.rs
+++ b/tests/platform/suspended.rs
@@ -8,7 +8,10 @@
 
 use crate::{
     server::{Act, Server},
-    site::{Site, always, first_then, list, store_with, until},
+    site::{
+        Site, list_server, start_server, start_server_with_first_act, store_with_servers,
+        wait_until,
+    },
 };
 
 const GOOD: Act = Act::Answer { status: 200, body: "good" };
@@ -57,12 +60,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_whose_time_passed_meanwhile_ends_at_once() {
-    let server = always("i-1", Act::Hang).await;
+    let server = start_server("i-1", Act::Hang).await;
     let site = Arc::new(Site::start(&[(&server, "llm", "v1")]).await);
     let asking = site.clone();
     let began = Instant::now();
-    let asked = tokio::spawn(async move { asking.ask("POST", "/plain/a", "").await });
-    until("it is there", || server.seen().len() == 1).await;
+    let asked = tokio::spawn(async move { asking.request("POST", "/plain/a", "").await });
+    wait_until("it is there", || server.seen().len() == 1).await;
 
     site.entry.router.clock.simulate_suspension(LONG);
     let answer = asked.await.unwrap();
@@ -74,13 +77,13 @@
 /// Callers' requests have five seconds here.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_is_told_the_time_that_is_left_after_a_suspension() {
-    let (dies, serves) = (always("i-1", Act::Hang).await, always("i-2", GOOD).await);
+    let (dies, serves) = (start_server("i-1", Act::Hang).await, start_server("i-2", GOOD).await);
     let site = Arc::new(Site::start(&[(&dies, "app", "v1")]).await);
     let asking = site.clone();
-    let asked = tokio::spawn(async move { asking.ask("GET", "/safe/a", "").await });
-    until("it is there", || dies.seen().len() == 1).await;
-    list(&site.store, &serves, "app", "v1", "ready");
-    until("both are in view", || site.entry.router.fleet.load().len() == 2).await;
+    let asked = tokio::spawn(async move { asking.request("GET", "/safe/a", "").await });
+    wait_until("it is there", || dies.seen().len() == 1).await;
+    list_server(&site.store, &serves, "app", "v1", "ready");
+    wait_until("both are in view", || site.entry.router.fleet.load().len() == 2).await;
 
     site.entry.router.clock.simulate_suspension(Duration::from_millis(1_500));
     dies.crash();
@@ -99,39 +102,39 @@
 /// Its list is from before: it asks anew, and sends nothing to a server that has left meanwhile.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_list_is_heard_anew_before_a_request_is_sent() {
-    let (stays, leaves) = (always("i-1", GOOD).await, always("i-2", GOOD).await);
-    let store = store_with(&[(&stays, "app", "v1"), (&leaves, "app", "v1")]).await;
-    let seed = Site::seed(store.clone(), None).await;
-    seed.until_in_view(2).await;
-    let follower = Site::following(store.clone(), &seed).await;
-    follower.until_in_view(2).await;
-    until("it follows", || follows(&follower)).await;
+    let (stays, leaves) = (start_server("i-1", GOOD).await, start_server("i-2", GOOD).await);
+    let store = store_with_servers(&[(&stays, "app", "v1"), (&leaves, "app", "v1")]).await;
+    let seed = Site::start_seed(store.clone(), None).await;
+    seed.wait_for_servers(2).await;
+    let follower = Site::start_follower(store.clone(), &seed).await;
+    follower.wait_for_servers(2).await;
+    wait_until("it follows", || follows(&follower)).await;
 
     for site in [&seed, &follower] {
         // The news has reached nobody yet when the Host resumes.
-        list(&store, &leaves, "app", "v1", "draining");
+        list_server(&store, &leaves, "app", "v1", "draining");
         site.entry.router.clock.simulate_suspension(LONG);
         for i in 0..20 {
-            assert_eq!(site.ask("GET", &format!("/safe/{i}"), "").await.status, 200);
+            assert_eq!(site.request("GET", &format!("/safe/{i}"), "").await.status, 200);
         }
         assert_eq!(leaves.seen().len(), 0, "it leaves");
-        list(&store, &leaves, "app", "v1", "ready");
+        list_server(&store, &leaves, "app", "v1", "ready");
         let takes = || site.entry.router.dump()["servers"].as_array().unwrap().len() == 2;
-        until("it is back", takes).await;
+        wait_until("it is back", takes).await;
     }
 }
 
 /// Connections that were idle meanwhile may be closed at the other end.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_once_only_request_takes_no_connection_from_before() {
-    let server: Server = first_then("i-1", GOOD, GOOD).await;
+    let server: Server = start_server_with_first_act("i-1", GOOD, GOOD).await;
     let site = Site::start(&[(&server, "app", "v1")]).await;
-    site.ask("POST", "/once/a", "").await;
+    site.request("POST", "/once/a", "").await;
     let idle = || site.entry.router.dump()["servers"][0]["idle_connections"].clone();
     assert_eq!(idle(), 1);
 
     site.entry.router.clock.simulate_suspension(LONG);
-    assert_eq!(site.ask("POST", "/once/b", "").await.status, 200);
+    assert_eq!(site.request("POST", "/once/b", "").await.status, 200);
 
     assert_eq!(idle(), 1, "the old one was dropped, the new one kept");
 }
--- a/tests/platform/unavailable.rs
+++ b/tests/platform/unavailable.rs
@@ -12,7 +12,10 @@
     limited_pool::{answers_under_load, arrivals, flaky, load, pool_of},
     pool::Pool,
     server::{Act, Seen, Server},
-    site::{Site, always, list, list_life, store_with, until},
+    site::{
+        Site, list_server, list_server_with_start_time, start_server, store_with_servers,
+        wait_until,
+    },
     store::Fault,
 };
 
@@ -37,7 +40,7 @@
 
 /// A server whose answers take half a second, so that load builds up on all servers.
 async fn busy(id: &str) -> Server {
-    always(id, Act::Paced { to: 5, pause: Duration::from_millis(100) }).await
+    start_server(id, Act::Paced { to: 5, pause: Duration::from_millis(100) }).await
 }
 
 /// A pool of three busy servers behind one entry.
@@ -69,7 +72,7 @@
     let (_pool, sites, [draining, ..]) = three_servers().await;
     draining.drain();
     load(&sites, Duration::from_millis(300)).await;
-    until("it is known", || !dump_of(&sites[0], &draining)["draining_ms"].is_null()).await;
+    wait_until("it is known", || !dump_of(&sites[0], &draining)["draining_ms"].is_null()).await;
 
     let from = Instant::now();
     let (asked, served) = load(&sites, Duration::from_secs(3)).await;
@@ -102,8 +105,10 @@
 async fn where_all_servers_drain_they_serve_for_half_of_the_drain_time_and_get_nothing_later() {
     let servers = [busy("i-0").await, busy("i-1").await, busy("i-2").await];
     let pool = pool_of(&servers.each_ref()).await;
-    let site = Site::with(pool.store.clone(), |host| host.drain_time = 2 * LAST_RESORT).await;
-    site.until_in_view(servers.len()).await;
+    let site =
+        Site::start_with_settings(pool.store.clone(), |host| host.drain_time = 2 * LAST_RESORT)
+            .await;
+    site.wait_for_servers(servers.len()).await;
     let sites = [Arc::new(site)];
     servers.iter().for_each(Server::drain);
     let (asked, served) = load(&sites, Duration::from_millis(700)).await;
@@ -127,16 +132,16 @@
     draining.drain();
     paused.ask_for_pause(Some("60"));
     load(&sites, Duration::from_millis(300)).await;
-    until("both are known", || knows_both(&sites[0], &draining, &paused)).await;
+    wait_until("both are known", || knows_both(&sites[0], &draining, &paused)).await;
 
     for server in [&draining, &paused] {
         pool.store.remove("servers", &server.id);
     }
-    sites[0].until_in_view(1).await;
+    sites[0].wait_for_servers(1).await;
     for server in [&draining, &paused] {
-        list_life(&pool.store, server, "llm", 1_000);
+        list_server_with_start_time(&pool.store, server, "llm", 1_000);
     }
-    sites[0].until_in_view(3).await;
+    sites[0].wait_for_servers(3).await;
     sleep(ON_THEIR_WAY).await;
     let from = Instant::now();
     let (asked, served) = load(&sites, Duration::from_secs(2)).await;
@@ -148,16 +153,16 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_whose_address_another_one_has_is_not_asked_again_when_its_row_returns() {
-    let (replaced, healthy) = (always("i-0", Act::OtherServer).await, busy("i-1").await);
+    let (replaced, healthy) = (start_server("i-0", Act::OtherServer).await, busy("i-1").await);
     let pool = pool_of(&[&replaced, &healthy]).await;
     let sites = pool.entries_apart(1).await;
     load(&sites, Duration::from_millis(300)).await;
     assert!(!replaced.seen().is_empty());
 
     pool.store.remove("servers", &replaced.id);
-    sites[0].until_in_view(1).await;
-    list_life(&pool.store, &replaced, "llm", 1_000);
-    sites[0].until_in_view(2).await;
+    sites[0].wait_for_servers(1).await;
+    list_server_with_start_time(&pool.store, &replaced, "llm", 1_000);
+    sites[0].wait_for_servers(2).await;
     let from = Instant::now();
     load(&sites, Duration::from_secs(1)).await;
 
@@ -171,7 +176,7 @@
     draining.drain();
     paused.ask_for_pause(Some("60"));
     load(&sites, Duration::from_millis(300)).await;
-    until("both are known", || knows_both(&sites[0], &draining, &paused)).await;
+    wait_until("both are known", || knows_both(&sites[0], &draining, &paused)).await;
 
     let from = Instant::now();
     let (asked, served) = load(&sites, Duration::from_secs(2)).await;
@@ -190,9 +195,9 @@
     draining.announce(&[]);
     paused.ask_for_pause(None);
 
-    list_life(&pool.store, &draining, "llm", 2_000);
-    list_life(&pool.store, &paused, "llm", 2_000);
-    until("both are new", || {
+    list_server_with_start_time(&pool.store, &draining, "llm", 2_000);
+    list_server_with_start_time(&pool.store, &paused, "llm", 2_000);
+    wait_until("both are new", || {
         let is_new = |server| dump_of(&sites[0], server)["paused_ms"] == 0;
         is_new(&paused) && dump_of(&sites[0], &draining)["draining_ms"].is_null()
     })
@@ -228,7 +233,7 @@
     draining.drain();
     paused.ask_for_pause(Some("60"));
     load(&sites, Duration::from_millis(300)).await;
-    until("both are known", || knows_both(&sites[0], &draining, &paused)).await;
+    wait_until("both are known", || knows_both(&sites[0], &draining, &paused)).await;
 
     // Until then the draining server may serve what the flaky one did not.
     sleep(sites[0].entry.router.settings.load().drain_time / 2 + ON_THEIR_WAY).await;
@@ -244,7 +249,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn what_is_announced_in_an_answer_of_another_server_is_not_believed() {
     for act in [Act::Unsigned, Act::WrongId, Act::Encoded, Act::OtherServer] {
-        let (other, healthy) = (always("i-0", act.clone()).await, busy("i-1").await);
+        let (other, healthy) = (start_server("i-0", act.clone()).await, busy("i-1").await);
         let pool = pool_of(&[&other, &healthy]).await;
         let sites = pool.entries_apart(1).await;
         other.announce(&["Server-Leaving: 1", "Retry-After: 60"]);
@@ -321,12 +326,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_drained_before_the_entry_started_gets_nothing() {
     let draining = busy("i-0").await;
-    let store = store_with(&[]).await;
-    list(&store, &draining, "llm", "v1", "draining");
-    let site = Site::beside(store).await;
-    site.until_in_view(1).await;
+    let store = store_with_servers(&[]).await;
+    list_server(&store, &draining, "llm", "v1", "draining");
+    let site = Site::start_with_store(store).await;
+    site.wait_for_servers(1).await;
 
-    let answer = site.ask("POST", "/chat/a", "X-Model: small\r\n").await;
+    let answer = site.request("POST", "/chat/a", "X-Model: small\r\n").await;
 
     assert_eq!(answer.status, 503);
     assert!(draining.seen().is_empty());
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -59,7 +59,7 @@
 const STORE: [Deed; 10] = [
     Deed::Restore,
     Deed::StoreFault(Fault::Down),
-    Deed::StoreFault(Fault::TooMany),
+    Deed::StoreFault(Fault::RateLimited),
     Deed::StoreFault(Fault::RepliesLost),
     Deed::ForgetHistory,
     Deed::CutFromStore(Way::Slow),
@@ -138,7 +138,7 @@
                 sleep(lasts).await;
                 system.store.set_fault(Fault::None);
             }
-            Self::ForgetHistory => system.store.forget(),
+            Self::ForgetHistory => system.store.drop_history(),
             Self::MangleRow => mangle(system, server, lasts).await,
             Self::StartServerAgain => start_again(system, server, lasts).await,
             Self::Insist => insist(system, lasts).await,
@@ -220,9 +220,9 @@
     if rows.iter().any(Result::is_err) {
         return;
     }
-    let copy = system.store.copy();
+    let snapshot = system.store.snapshot();
     sleep(lasts).await;
-    system.store.restore(&copy);
+    system.store.restore(&snapshot);
     let version = system.version.load(Ordering::SeqCst);
     if version > 1 {
         system.store.put("op", "config", &configuration_of(version));
@@ -266,7 +266,7 @@
     let Ok(_alone) = mangled.row.try_lock() else {
         return;
     };
-    system.store.put_spoiled("servers", mangled.id(), &json!("%%%"));
+    system.store.put_malformed("servers", mangled.id(), &json!("%%%"));
     sleep(lasts).await;
     mangled.list(&system.store, "ready");
 }
