--- a/tests/platform/adapter.rs
+++ b/tests/platform/adapter.rs
@@ -288,7 +288,7 @@
     let client = StoreClient::new(HttpClient::default(), &store.address.to_string());
     let put = [Put { table: Table::Own, key: "k".into(), expected: 0, value: b"{}".to_vec() }];
 
-    for fault in [Fault::Down, Fault::TooMany] {
+    for fault in [Fault::Down, Fault::RateLimited] {
         store.set_fault(fault);
         assert!(matches!(client.write(&put, 0).await, Err(Error::Refused(_))));
     }
--- a/tests/platform/allowed_regions.rs
+++ b/tests/platform/allowed_regions.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     server::{Action, Server},
-    site::{Site, always, configuration, events, server_row},
+    site::{Site, configuration, events, server_row, start_server},
     store::Store,
 };
 
@@ -25,19 +25,19 @@
     store.put("op", "config", &config);
     let mut servers = Vec::new();
     for (region, action) in REGIONS.iter().zip(actions) {
-        let server = always(&format!("i-{region}"), action).await;
+        let server = start_server(&format!("i-{region}"), action).await;
         let mut row = server_row(server.address, service, "v1", "ready");
         row["zone"] = json!(format!("{region}-1"));
         store.put("servers", &server.id, &row);
         servers.push(server);
     }
-    let site = Site::with(store, |host| {
+    let site = Site::start_with_settings(store, |host| {
         host.zone = "north-1".into();
         let zone = |region: &&str| (format!("{region}-1").into(), Box::from(*region));
         host.regions = REGIONS.iter().map(zone).collect();
     })
     .await;
-    site.until_in_view(3).await;
+    site.wait_for_servers(3).await;
     (site, servers)
 }
 
@@ -53,7 +53,7 @@
     let (site, servers) = start_site("app", [SUCCESS, SUCCESS, SUCCESS], allowed).await;
 
     for number in 0..20 {
-        assert_eq!(site.ask("GET", &format!("/safe/{number}"), "").await.status, 200);
+        assert_eq!(site.request("GET", &format!("/safe/{number}"), "").await.status, 200);
     }
 
     assert_eq!(received_any(&servers), [false, true, true]);
@@ -68,7 +68,7 @@
     let (site, servers) = start_site("app", [SUCCESS, SUCCESS, SUCCESS], allowed).await;
 
     for number in 0..20 {
-        assert_eq!(site.ask("GET", &format!("/safe/{number}"), "").await.status, 200);
+        assert_eq!(site.request("GET", &format!("/safe/{number}"), "").await.status, 200);
     }
 
     assert_eq!(received_any(&servers), [false, false, true]);
@@ -81,7 +81,7 @@
     let (site, servers) =
         start_site("app", [SUCCESS, Action::CloseConnection, SUCCESS], allowed).await;
 
-    assert_eq!(site.ask("GET", "/safe/a", "").await.status, 502);
+    assert_eq!(site.request("GET", "/safe/a", "").await.status, 502);
 
     assert_eq!(received_any(&servers), [false, true, false]);
 }
@@ -96,7 +96,7 @@
         let (site, servers) =
             start_site("llm", [complete.clone(), action, complete.clone()], allowed).await;
 
-        let answer = site.ask("POST", "/chat/a", "").await;
+        let answer = site.request("POST", "/chat/a", "").await;
 
         assert_eq!(received_any(&servers), [false, true, false]);
         assert!(events(6).starts_with(&answer.body));
@@ -108,7 +108,7 @@
     let allowed = |config: &mut Value| config["routes"][0]["allowed-regions"] = json!(["nowhere"]);
     let (site, servers) = start_site("app", [SUCCESS, SUCCESS, SUCCESS], allowed).await;
 
-    let answer = site.ask("GET", "/safe/a", "").await;
+    let answer = site.request("GET", "/safe/a", "").await;
 
     assert_eq!(answer.status, 503);
     assert_eq!(received_any(&servers), [false, false, false]);
--- a/tests/platform/host_suspension.rs
+++ b/tests/platform/host_suspension.rs
@@ -8,7 +8,10 @@
 
 use crate::{
     server::{Action, Server},
-    site::{Site, always, first_then, list, store_with, until},
+    site::{
+        Site, list_server, start_server, start_server_with_first_act, store_with_servers,
+        wait_until,
+    },
 };
 
 const SUCCESS: Action = Action::Respond { status: 200, body: "good" };
@@ -57,12 +60,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_whose_deadline_passed_during_a_suspension_fails_at_once() {
-    let server = always("i-1", Action::Hang).await;
+    let server = start_server("i-1", Action::Hang).await;
     let site = Arc::new(Site::start(&[(&server, "llm", "v1")]).await);
     let requester = site.clone();
     let began = Instant::now();
-    let pending = tokio::spawn(async move { requester.ask("POST", "/plain/a", "").await });
-    until("the request arrived", || server.requests().len() == 1).await;
+    let pending = tokio::spawn(async move { requester.request("POST", "/plain/a", "").await });
+    wait_until("the request arrived", || server.requests().len() == 1).await;
 
     site.entry.router.clock.simulate_suspension(SUSPENSION);
     let answer = pending.await.unwrap();
@@ -74,13 +77,14 @@
 /// The caller's deadline is five seconds; a retry is sent after a suspension of 1.5 s.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_forwarded_deadline_excludes_the_time_of_a_suspension() {
-    let (crashing, healthy) = (always("i-1", Action::Hang).await, always("i-2", SUCCESS).await);
+    let (crashing, healthy) =
+        (start_server("i-1", Action::Hang).await, start_server("i-2", SUCCESS).await);
     let site = Arc::new(Site::start(&[(&crashing, "app", "v1")]).await);
     let requester = site.clone();
-    let pending = tokio::spawn(async move { requester.ask("GET", "/safe/a", "").await });
-    until("the request arrived", || crashing.requests().len() == 1).await;
-    list(&site.store, &healthy, "app", "v1", "ready");
-    until("both servers are in view", || site.entry.router.fleet.load().len() == 2).await;
+    let pending = tokio::spawn(async move { requester.request("GET", "/safe/a", "").await });
+    wait_until("the request arrived", || crashing.requests().len() == 1).await;
+    list_server(&site.store, &healthy, "app", "v1", "ready");
+    wait_until("both servers are in view", || site.entry.router.fleet.load().len() == 2).await;
 
     site.entry.router.clock.simulate_suspension(Duration::from_millis(1_500));
     crashing.crash();
@@ -102,39 +106,40 @@
 /// store, and for its follower.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_server_list_is_refreshed_after_a_suspension_before_requests_are_sent() {
-    let (staying, draining) = (always("i-1", SUCCESS).await, always("i-2", SUCCESS).await);
-    let store = store_with(&[(&staying, "app", "v1"), (&draining, "app", "v1")]).await;
-    let seed = Site::seed(store.clone(), None).await;
-    seed.until_in_view(2).await;
-    let follower = Site::following(store.clone(), &seed).await;
-    follower.until_in_view(2).await;
-    until("the entry follows the seed", || follows_peer(&follower)).await;
+    let (staying, draining) =
+        (start_server("i-1", SUCCESS).await, start_server("i-2", SUCCESS).await);
+    let store = store_with_servers(&[(&staying, "app", "v1"), (&draining, "app", "v1")]).await;
+    let seed = Site::start_seed(store.clone(), None).await;
+    seed.wait_for_servers(2).await;
+    let follower = Site::start_follower(store.clone(), &seed).await;
+    follower.wait_for_servers(2).await;
+    wait_until("the entry follows the seed", || follows_peer(&follower)).await;
 
     for site in [&seed, &follower] {
         // The Host resumes before the change has reached any entry.
-        list(&store, &draining, "app", "v1", "draining");
+        list_server(&store, &draining, "app", "v1", "draining");
         site.entry.router.clock.simulate_suspension(SUSPENSION);
         for i in 0..20 {
-            assert_eq!(site.ask("GET", &format!("/safe/{i}"), "").await.status, 200);
+            assert_eq!(site.request("GET", &format!("/safe/{i}"), "").await.status, 200);
         }
         assert_eq!(draining.requests().len(), 0, "the server is draining");
-        list(&store, &draining, "app", "v1", "ready");
+        list_server(&store, &draining, "app", "v1", "ready");
         let both_in_view = || site.entry.router.dump()["servers"].as_array().unwrap().len() == 2;
-        until("the server is listed again", both_in_view).await;
+        wait_until("the server is listed again", both_in_view).await;
     }
 }
 
 /// Connections that were idle during the suspension may have been closed by the server.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_once_only_request_uses_no_idle_connection_from_before_a_suspension() {
-    let server: Server = first_then("i-1", SUCCESS, SUCCESS).await;
+    let server: Server = start_server_with_first_act("i-1", SUCCESS, SUCCESS).await;
     let site = Site::start(&[(&server, "app", "v1")]).await;
-    site.ask("POST", "/once/a", "").await;
+    site.request("POST", "/once/a", "").await;
     let idle = || site.entry.router.dump()["servers"][0]["idle_connections"].clone();
     assert_eq!(idle(), 1);
 
     site.entry.router.clock.simulate_suspension(SUSPENSION);
-    assert_eq!(site.ask("POST", "/once/b", "").await.status, 200);
+    assert_eq!(site.request("POST", "/once/b", "").await.status, 200);
 
     assert_eq!(idle(), 1, "the old connection was dropped and the new one kept");
 }
--- a/tests/platform/limited_pool.rs
+++ b/tests/platform/limited_pool.rs
@@ -10,7 +10,10 @@
 use crate::{
     pool::Pool,
     server::{Action, ReceivedRequest, Server},
-    site::{Answer, Site, always, list_life, request_with_id, store_with},
+    site::{
+        Answer, Site, list_server_with_start_time, request_bytes_with_id, start_server,
+        store_with_servers,
+    },
 };
 
 /// Number of events in a complete response.
@@ -27,7 +30,8 @@
 
 /// A server whose responses are complete and need no escalation to a larger model.
 pub async fn healthy_server(id: &str) -> Server {
-    always(id, Action::Stream { last_event: EVENT_COUNT, is_complete: true, confidence: 90 }).await
+    start_server(id, Action::Stream { last_event: EVENT_COUNT, is_complete: true, confidence: 90 })
+        .await
 }
 
 /// A server that causes further requests to other servers: each new stream, chosen by chance, either
@@ -46,8 +50,8 @@
 
 /// Creates a pool of model servers in a new store, each in its first incarnation.
 pub async fn start_pool(servers: &[&Server]) -> Pool {
-    let store = store_with(&[]).await;
-    servers.iter().for_each(|server| list_life(&store, server, "llm", 1_000));
+    let store = store_with_servers(&[]).await;
+    servers.iter().for_each(|server| list_server_with_start_time(&store, server, "llm", 1_000));
     Pool::with_servers(store, servers.iter().map(|server| (*server).clone()).collect())
 }
 
@@ -75,7 +79,7 @@
         requests.spawn(async move {
             let id = format!("load-{number}");
             let sent_at = Instant::now();
-            let req = request_with_id(&id, "POST", "/chat/load", ANY_MODEL_HEADER, &id);
+            let req = request_bytes_with_id(&id, "POST", "/chat/load", ANY_MODEL_HEADER, &id);
             (site.send(&req).await, sent_at.elapsed())
         });
         sleep(REQUEST_INTERVAL).await;
--- a/tests/platform/pool.rs
+++ b/tests/platform/pool.rs
@@ -18,7 +18,10 @@
 
 use crate::{
     server::{Action, ReceivedRequest, Server},
-    site::{Answer, Site, list_life, request_with_id, store_with, until},
+    site::{
+        Answer, Site, list_server_with_start_time, request_bytes_with_id, store_with_servers,
+        wait_until,
+    },
     store::Store,
 };
 
@@ -74,7 +77,7 @@
     /// Starts servers of a service that respond with streams and crash on the crashing request.
     pub async fn start(service: &'static str, number: usize, after_head: bool) -> Self {
         let crash_record = Arc::new(CrashRecord::default());
-        let store = store_with(&[]).await;
+        let store = store_with_servers(&[]).await;
         let (mut servers, mut restarts) = (Vec::new(), JoinSet::new());
         for i in 0..number {
             let record = crash_record.clone();
@@ -91,7 +94,7 @@
                 Action::Crash { after_head }
             };
             let server = Server::start(&format!("i-{i}"), script).await;
-            list_life(&store, &server, service, 1_000);
+            list_server_with_start_time(&store, &server, service, 1_000);
             restarts.spawn(restart_after_crashes(store.clone(), server.clone(), service));
             servers.push(server);
         }
@@ -112,14 +115,15 @@
             sites.push(Arc::new(self.start_entry(&seeds, seeds.get(i).copied()).await));
         }
         for site in &sites {
-            site.until_in_view(self.servers.len()).await;
+            site.wait_for_servers(self.servers.len()).await;
         }
         for site in sites.iter().skip(2) {
             let follows = || site.entry.router.dump()["follows_another_entry"] == true;
-            until("the entry follows a seed", follows).await;
+            wait_until("the entry follows a seed", follows).await;
         }
         for site in &sites {
-            until("all entries report", || site.entry.router.dump()["entries"] == number).await;
+            wait_until("all entries report", || site.entry.router.dump()["entries"] == number)
+                .await;
         }
         sites
     }
@@ -131,7 +135,7 @@
         let mut sites = Vec::new();
         for _ in 0..number {
             let site = self.start_entry(&unused_seed, None).await;
-            site.until_in_view(self.servers.len()).await;
+            site.wait_for_servers(self.servers.len()).await;
             sites.push(Arc::new(site));
         }
         sites
@@ -140,7 +144,7 @@
     /// Starts one entry with these seeds; `peer` is the address for other entries if it is itself a
     /// seed.
     pub async fn start_entry(&self, seeds: &[SocketAddr], peer: Option<SocketAddr>) -> Site {
-        Site::with(self.store.clone(), |host| {
+        Site::start_with_settings(self.store.clone(), |host| {
             host.seed_peers = seeds.to_vec();
             host.peer_address = peer.or(host.peer_address);
         })
@@ -165,7 +169,7 @@
         server.wait_until_terminated(incarnation).await;
         sleep(RESTART_DELAY).await;
         incarnation = server.restart();
-        list_life(&store, &server, service, 1_000 + incarnation as u64);
+        list_server_with_start_time(&store, &server, service, 1_000 + incarnation as u64);
     }
 }
 
@@ -173,7 +177,7 @@
 pub async fn post(site: &Site, path: &str, body: &str) -> Answer {
     static NEXT_ID: AtomicUsize = AtomicUsize::new(0);
     let id = format!("p-{}", NEXT_ID.fetch_add(1, Ordering::Relaxed));
-    site.send(&request_with_id(&id, "POST", path, "X-Model: small\r\n", body)).await
+    site.send(&request_bytes_with_id(&id, "POST", path, "X-Model: small\r\n", body)).await
 }
 
 /// Sends the crashing request to the entries in turn, every 60 ms for this duration, without
--- a/tests/platform/rate_limits.rs
+++ b/tests/platform/rate_limits.rs
@@ -11,7 +11,7 @@
         LIMIT_PROPAGATION_TIME, arrival_times, assert_within_limit, flaky_server, healthy_server,
         responses_under_load, run_load, start_pool,
     },
-    site::{Site, list_life, until},
+    site::{Site, list_server_with_start_time, wait_until},
 };
 
 /// Lines of an entry's metric of sends to rate-limited servers, by outcome.
@@ -52,8 +52,9 @@
 async fn wait_until_settled(sites: &[Arc<Site>]) {
     run_load(sites, Duration::from_millis(300)).await;
     for site in sites {
-        until("the entry knows the limit", || knows_limit(site)).await;
-        until("the entry knows its place", || !site.entry.router.dump()["place"].is_null()).await;
+        wait_until("the entry knows the limit", || knows_limit(site)).await;
+        wait_until("the entry knows its place", || !site.entry.router.dump()["place"].is_null())
+            .await;
     }
 }
 
@@ -104,7 +105,7 @@
     }
 
     assert!(!sites.iter().any(|site| knows_limit(site)), "the end of the limit was not noticed");
-    until("the idle entry knows it too", || !knows_limit(&idle)).await;
+    wait_until("the idle entry knows it too", || !knows_limit(&idle)).await;
 }
 
 /// Three servers accept 6.6 requests per second in total, and callers send 66.
@@ -160,14 +161,14 @@
     let sites = pool.start_entries(3).await;
     limited.advertise_limit(&["1.9"]);
     run_load(&sites, Duration::from_millis(300)).await;
-    until("the limit is known", || sites.iter().all(|site| knows_limit(site))).await;
+    wait_until("the limit is known", || sites.iter().all(|site| knows_limit(site))).await;
     limited.advertise_limit(&[]);
 
     let seed = sites[0].entry.addresses.peer.unwrap();
     let new_entry = Arc::new(pool.start_entry(&[seed], None).await);
     let before = limited.requests().len();
     for _ in 0..10 {
-        assert_eq!(new_entry.ask("POST", "/chat/late", "X-Model: small\r\n").await.status, 200);
+        assert_eq!(new_entry.request("POST", "/chat/late", "X-Model: small\r\n").await.status, 200);
     }
 
     assert_eq!(
@@ -184,12 +185,12 @@
     let sites = pool.start_entries(2).await;
     limited.advertise_limit(&["1.9"]);
     run_load(&sites, Duration::from_millis(300)).await;
-    until("the limit is known", || sites.iter().all(|site| knows_limit(site))).await;
+    wait_until("the limit is known", || sites.iter().all(|site| knows_limit(site))).await;
 
     limited.advertise_limit(&[]);
-    list_life(&pool.store, &limited, "llm", 2_000);
+    list_server_with_start_time(&pool.store, &limited, "llm", 2_000);
 
-    until("the limit is forgotten", || !sites.iter().any(|site| knows_limit(site))).await;
+    wait_until("the limit is forgotten", || !sites.iter().any(|site| knows_limit(site))).await;
     let (sent, served) = run_load(&sites, Duration::from_secs(1)).await;
     assert_eq!(served, sent);
 }
--- a/tests/platform/requests.rs
+++ b/tests/platform/requests.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     server::{Action, Server},
-    site::{Site, always, first_then, request, until},
+    site::{Site, request_bytes, start_server, start_server_with_first_act, wait_until},
 };
 
 const SUCCESS: Action = Action::Respond { status: 200, body: "good" };
@@ -26,10 +26,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_response_is_forwarded_unchanged_with_its_signature() {
-    let server = always("i-1", SUCCESS).await;
+    let server = start_server("i-1", SUCCESS).await;
     let site = start_site(&[&server]).await;
 
-    let answer = site.ask("GET", "/safe/a?x=1", "X-Custom: kept\r\nX-Tenant: forged\r\n").await;
+    let answer = site.request("GET", "/safe/a?x=1", "X-Custom: kept\r\nX-Tenant: forged\r\n").await;
 
     assert_eq!((answer.status, &*answer.body, answer.is_whole), (200, "good", true));
     assert!(answer.head.contains("x-instance-stamp: s"));
@@ -47,13 +47,13 @@
 async fn concurrent_requests_each_get_their_own_response() {
     let delay = Duration::from_millis(20);
     let (one, two) = (
-        always("i-1", Action::EchoIdAfter { delay }).await,
-        always("i-2", Action::EchoIdAfter { delay }).await,
+        start_server("i-1", Action::EchoIdAfter { delay }).await,
+        start_server("i-2", Action::EchoIdAfter { delay }).await,
     );
     let site = start_site(&[&one, &two]).await;
     let paths: Vec<String> = (0..20).map(|i| format!("/safe/{i}")).collect();
 
-    let answers = join_all(paths.iter().map(|path| site.ask("GET", path, ""))).await;
+    let answers = join_all(paths.iter().map(|path| site.request("GET", path, ""))).await;
 
     for (path, answer) in paths.iter().zip(answers) {
         assert_eq!((answer.status, answer.body), (200, format!("r-{path}")));
@@ -70,12 +70,14 @@
         Action::Unsigned,
         Action::Gzip,
     ] {
-        let (fails_first, good) =
-            (first_then("i-1", first, SUCCESS).await, always("i-2", SUCCESS).await);
+        let (fails_first, good) = (
+            start_server_with_first_act("i-1", first, SUCCESS).await,
+            start_server("i-2", SUCCESS).await,
+        );
         let site = start_site(&[&fails_first, &good]).await;
 
         for _ in 0..4 {
-            let answer = site.ask("GET", "/safe/a", "").await;
+            let answer = site.request("GET", "/safe/a", "").await;
             assert_eq!((answer.status, &*answer.body), (200, "good"));
         }
     }
@@ -83,10 +85,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn when_all_attempts_fail_the_error_response_is_forwarded_unchanged() {
-    let (one, two) = (always("i-1", FAILURE).await, always("i-2", FAILURE).await);
+    let (one, two) = (start_server("i-1", FAILURE).await, start_server("i-2", FAILURE).await);
     let site = start_site(&[&one, &two]).await;
 
-    let answer = site.ask("GET", "/safe/a", "").await;
+    let answer = site.request("GET", "/safe/a", "").await;
 
     assert_eq!((answer.status, &*answer.body), (500, "bad"));
     assert!(answer.head.contains("x-instance-stamp: s"));
@@ -102,10 +104,11 @@
         Action::Unsigned,
         Action::Hang,
     ] {
-        let (one, two) = (always("i-1", action.clone()).await, always("i-2", action).await);
+        let (one, two) =
+            (start_server("i-1", action.clone()).await, start_server("i-2", action).await);
         let site = start_site(&[&one, &two]).await;
 
-        let answer = site.ask("POST", "/once/a", "").await;
+        let answer = site.request("POST", "/once/a", "").await;
 
         assert!([502, 504].contains(&answer.status), "status {}", answer.status);
         assert!(!answer.head.contains("x-instance-stamp"));
@@ -116,11 +119,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_once_only_request_that_provably_did_not_run_is_retried_on_another_server() {
     for action in [Action::NotExecuted, Action::Misrouted] {
-        let (one, two) = (always("i-1", action).await, always("i-2", SUCCESS).await);
+        let (one, two) = (start_server("i-1", action).await, start_server("i-2", SUCCESS).await);
         let site = start_site(&[&one, &two]).await;
 
         for _ in 0..3 {
-            let answer = site.ask("POST", "/once/a", "").await;
+            let answer = site.request("POST", "/once/a", "").await;
             assert_eq!((answer.status, &*answer.body), (200, "good"));
         }
     }
@@ -128,10 +131,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_no_server_ran_gets_503_with_retry_after() {
-    let server = always("i-1", Action::NotExecuted).await;
+    let server = start_server("i-1", Action::NotExecuted).await;
     let site = start_site(&[&server]).await;
 
-    let answer = site.ask("POST", "/once/a", "").await;
+    let answer = site.request("POST", "/once/a", "").await;
 
     assert_eq!(answer.status, 503);
     assert!(answer.head.contains("retry-after: 0."));
@@ -139,8 +142,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_refuses_connections_is_skipped() {
-    let good = always("i-1", SUCCESS).await;
-    let mut unreachable = always("i-2", SUCCESS).await;
+    let good = start_server("i-1", SUCCESS).await;
+    let mut unreachable = start_server("i-2", SUCCESS).await;
     // Bound but not listening: connections are refused, and no other process gets the port during
     // the test.
     let closed = tokio::net::TcpSocket::new_v4().unwrap();
@@ -149,13 +152,13 @@
     let site = start_site(&[&good, &unreachable]).await;
 
     for _ in 0..4 {
-        assert_eq!(site.ask("POST", "/once/a", "").await.status, 200);
+        assert_eq!(site.request("POST", "/once/a", "").await.status, 200);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn servers_that_refuse_connections_use_up_neither_attempts_nor_retry_budget() {
-    let good = always("i-good", SUCCESS).await;
+    let good = start_server("i-good", SUCCESS).await;
     let mut closed = Vec::new();
     let mut unreachable: Vec<Server> = Vec::new();
     // Servers that are tried before the good one: costs are equal, so the hash of the id decides on
@@ -170,9 +173,9 @@
         closed.push(socket);
     }
     let listed: Vec<_> = unreachable.iter().chain([&good]).map(|s| (s, "app", "v1")).collect();
-    let site = Site::without_repeats(&listed).await;
+    let site = Site::start_without_retries(&listed).await;
 
-    let answer = site.ask("POST", "/once/a", "").await;
+    let answer = site.request("POST", "/once/a", "").await;
 
     assert_eq!((answer.status, &*answer.body), (200, "good"));
 }
@@ -180,11 +183,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_returns_invalid_responses_is_ejected() {
     for action in [Action::WrongRequestId, Action::Unsigned] {
-        let server = always("i-1", action).await;
+        let server = start_server("i-1", action).await;
         let site = start_site(&[&server]).await;
 
         for _ in 0..2 {
-            site.ask("POST", "/once/a", "").await;
+            site.request("POST", "/once/a", "").await;
         }
 
         assert_eq!(site.entry.router.dump()["servers"][0]["out"], true);
@@ -193,21 +196,21 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_close_delimited_response_is_complete_when_its_connection_closes_cleanly() {
-    let server = always("i-1", Action::CloseDelimited).await;
+    let server = start_server("i-1", Action::CloseDelimited).await;
     let site = start_site(&[&server]).await;
 
-    let answer = site.ask("GET", "/safe/a", "").await;
+    let answer = site.request("GET", "/safe/a", "").await;
 
     assert_eq!((answer.status, &*answer.body, answer.is_whole), (200, "all of it", true));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_duplicate_response_is_discarded() {
-    let server = always("i-1", Action::Duplicate).await;
+    let server = start_server("i-1", Action::Duplicate).await;
     let site = start_site(&[&server]).await;
 
     for i in 0..6 {
-        let answer = site.ask("GET", &format!("/safe/{i}"), "").await;
+        let answer = site.request("GET", &format!("/safe/{i}"), "").await;
         assert_eq!((answer.status, &*answer.body), (200, "once"));
         assert!(answer.head.contains(&format!("x-request-id: r-/safe/{i}\r\n")));
     }
@@ -215,16 +218,16 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_requests_are_rejected_before_anything_is_sent() {
-    let server = always("i-1", SUCCESS).await;
+    let server = start_server("i-1", SUCCESS).await;
     let site = start_site(&[&server]).await;
-    let plain = request("GET", "/safe/a", "", "");
+    let plain = request_bytes("GET", "/safe/a", "", "");
     let cases = [
-        (request("GET", "/nowhere/a", "", ""), 404),
+        (request_bytes("GET", "/nowhere/a", "", ""), 404),
         (plain.replace("h.example", "other.example"), 404),
         (plain.replace("key-1", "key-9"), 401),
         (plain.replace("Authorization: Bearer key-1\r\n", ""), 401),
         (plain.replace("X-Request-Id: r-/safe/a\r\n", ""), 400),
-        (request("POST", "/safe/a", "", &"x".repeat(70_000)), 413),
+        (request_bytes("POST", "/safe/a", "", &"x".repeat(70_000)), 413),
     ];
 
     for (bytes, status) in cases {
@@ -235,11 +238,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_smuggled_request_never_runs() {
-    let server = always("i-1", SUCCESS).await;
+    let server = start_server("i-1", SUCCESS).await;
     let site = start_site(&[&server]).await;
-    let hidden = request("POST", "/once/hidden", "", "");
+    let hidden = request_bytes("POST", "/once/hidden", "", "");
     let body = format!("0\r\n\r\n{hidden}");
-    let outer = request("POST", "/once/outer", "Transfer-Encoding: chunked\r\n", &body);
+    let outer = request_bytes("POST", "/once/outer", "Transfer-Encoding: chunked\r\n", &body);
     let outer = outer.replacen("Connection: close\r\n", "", 1);
 
     let answer = site.send(&outer).await;
@@ -252,9 +255,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_chunked_request_body_reaches_the_server_whole() {
-    let server = always("i-1", SUCCESS).await;
+    let server = start_server("i-1", SUCCESS).await;
     let site = start_site(&[&server]).await;
-    let head = request("POST", "/once/a", "Transfer-Encoding: chunked\r\n", "");
+    let head = request_bytes("POST", "/once/a", "Transfer-Encoding: chunked\r\n", "");
     let head = head.replace("Content-Length: 0\r\n", "");
 
     let answer = site.send(&format!("{head}3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")).await;
@@ -266,35 +269,36 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_server_connection_is_closed_when_the_caller_disconnects() {
     use tokio::io::AsyncWriteExt;
-    let server = always("i-1", Action::Hang).await;
+    let server = start_server("i-1", Action::Hang).await;
     let site = start_site(&[&server]).await;
     let mut stream = tokio::net::TcpStream::connect(site.caller).await.unwrap();
-    stream.write_all(request("POST", "/once/a", "", "").as_bytes()).await.unwrap();
-    until("the server is handling the request", || server.active_requests() == 1).await;
+    stream.write_all(request_bytes("POST", "/once/a", "", "").as_bytes()).await.unwrap();
+    wait_until("the server is handling the request", || server.active_requests() == 1).await;
 
     drop(stream);
 
-    until("the connection to the server is closed", || server.active_requests() == 0).await;
+    wait_until("the connection to the server is closed", || server.active_requests() == 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_graceful_shutdown_serves_short_requests_and_refuses_long_ones() {
-    let (app, llm) = (always("i-1", SUCCESS).await, always("i-2", Action::EndlessStream).await);
+    let (app, llm) =
+        (start_server("i-1", SUCCESS).await, start_server("i-2", Action::EndlessStream).await);
     let site = Site::start(&[(&app, "app", "v1"), (&llm, "llm", "v1")]).await;
     let (caller, readiness) = (site.caller, site.readiness);
     let router = site.entry.router.clone();
     assert!(router.is_ready());
 
     let stopping = tokio::spawn(site.entry.stop());
-    until("the entry is not ready", || !router.is_ready()).await;
+    wait_until("the entry is not ready", || !router.is_ready()).await;
 
     // Callers that connected before the load balancer noticed may retry elsewhere at once.
-    let early = send_raw(caller, &request("POST", "/chat/a", "", "")).await;
+    let early = send_raw(caller, &request_bytes("POST", "/chat/a", "", "")).await;
     assert!(early.contains("retry-after: 0.050"), "{early}");
     // The shutdown grace is 4 s: a stream, which may take 4.9 s, is refused, and a short request is
     // served.
-    assert_eq!(send_for_status(caller, &request("POST", "/chat/a", "", "")).await, 503);
-    assert_eq!(send_for_status(caller, &request("POST", "/once/a", "", "")).await, 200);
+    assert_eq!(send_for_status(caller, &request_bytes("POST", "/chat/a", "", "")).await, 503);
+    assert_eq!(send_for_status(caller, &request_bytes("POST", "/once/a", "", "")).await, 200);
     let ready = "GET /-/readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
     assert_eq!(send_for_status(readiness, ready).await, 503);
     assert_eq!(stopping.await.unwrap(), 0, "no request was cut off");
@@ -320,9 +324,9 @@
 /// not try it over and over while it waits for a server.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_tries_an_unreachable_server_only_once() {
-    let server = always("i-1", Action::Crash { after_head: false }).await;
+    let server = start_server("i-1", Action::Crash { after_head: false }).await;
     let site = Site::start(&[(&server, "app", "v1")]).await;
-    site.ask("POST", "/once/a", "").await;
+    site.request("POST", "/once/a", "").await;
     server.wait_until_terminated(0).await;
     let refused = || {
         let rendered = site.entry.router.metrics.render();
@@ -333,7 +337,7 @@
     };
     let before = refused();
 
-    let answer = site.ask("GET", "/safe/a", "").await;
+    let answer = site.request("GET", "/safe/a", "").await;
 
     assert_eq!(answer.status, 503);
     assert!(answer.head.contains("retry-after: "), "{}", answer.head);
--- a/tests/platform/sessions.rs
+++ b/tests/platform/sessions.rs
@@ -6,9 +6,9 @@
 use serde_json::json;
 
 use crate::{
-    roll_outs::ask_until,
+    roll_outs::request_until_state,
     server::Action,
-    site::{Site, always, list, store_with, until},
+    site::{Site, list_server, start_server, store_with_servers, wait_until},
 };
 
 const SUCCESS: Action = Action::Respond { status: 200, body: "good" };
@@ -26,27 +26,27 @@
 /// unknown to their entry; of 1,104 sessions with several requests, 1,075 used several entries.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_session_that_another_entry_served_stays_on_the_old_version_in_the_first_half() {
-    let (old, new) = (always("i-1", SUCCESS).await, always("i-2", SUCCESS).await);
-    let store = store_with(&[(&old, "app", "v1")]).await;
-    let first_entry = Site::beside(store.clone()).await;
-    let other = Site::beside(store.clone()).await;
-    first_entry.until_in_view(1).await;
-    other.until_in_view(1).await;
+    let (old, new) = (start_server("i-1", SUCCESS).await, start_server("i-2", SUCCESS).await);
+    let store = store_with_servers(&[(&old, "app", "v1")]).await;
+    let first_entry = Site::start_with_store(store.clone()).await;
+    let other = Site::start_with_store(store.clone()).await;
+    first_entry.wait_for_servers(1).await;
+    other.wait_for_servers(1).await;
     let sessions: Vec<String> = (0..200).map(|i| format!("Session: s-{i}\r\n")).collect();
     for session in &sessions {
-        first_entry.ask("GET", "/safe/a", session).await;
+        first_entry.request("GET", "/safe/a", session).await;
     }
 
     store.put("op", "rollout/app", &json!({"service": "app", "to": "v2", "duration-s": 600.0}));
-    list(&store, &new, "app", "v2", "ready");
-    until("both entries know of the roll-out", || {
+    list_server(&store, &new, "app", "v2", "ready");
+    wait_until("both entries know of the roll-out", || {
         roll_out_began(&first_entry) && roll_out_began(&other)
     })
     .await;
-    first_entry.until_in_view(2).await;
-    other.until_in_view(2).await;
+    first_entry.wait_for_servers(2).await;
+    other.wait_for_servers(2).await;
     for session in &sessions {
-        other.ask("GET", "/safe/a", session).await;
+        other.request("GET", "/safe/a", session).await;
     }
 
     assert_eq!(old.requests().len(), 2 * sessions.len());
@@ -62,17 +62,17 @@
 /// sessions on the new version ran on the old one.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_starts_after_a_roll_out_knows_its_outcome() {
-    let (old, new) = (always("i-1", SUCCESS).await, always("i-2", SUCCESS).await);
+    let (old, new) = (start_server("i-1", SUCCESS).await, start_server("i-2", SUCCESS).await);
     let first = Site::start(&[(&old, "app", "v1"), (&new, "app", "v2")]).await;
     let order = json!({"service": "app", "to": "v2", "duration-s": 1.0});
     first.store.put("op", "rollout/app", &order);
-    ask_until(&first, "completed").await;
+    request_until_state(&first, "completed").await;
     let before = old.requests().len();
 
-    let next = Site::following(first.store.clone(), &first).await;
-    until("the entry is ready", || next.entry.router.is_ready()).await;
+    let next = Site::start_follower(first.store.clone(), &first).await;
+    wait_until("the entry is ready", || next.entry.router.is_ready()).await;
     for i in 0..100 {
-        next.ask("GET", "/safe/a", &format!("Session: s-{i}\r\n")).await;
+        next.request("GET", "/safe/a", &format!("Session: s-{i}\r\n")).await;
     }
 
     assert_eq!(old.requests().len(), before, "requests ran on the old version after the roll-out");
@@ -129,16 +129,16 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_version_that_is_the_only_one_left_serves_at_once() {
-    let (old, new) = (always("i-1", SUCCESS).await, always("i-2", SUCCESS).await);
+    let (old, new) = (start_server("i-1", SUCCESS).await, start_server("i-2", SUCCESS).await);
     let site = Site::start(&[(&old, "app", "v1")]).await;
 
     site.store.remove("servers", "i-1");
-    list(&site.store, &new, "app", "v2", "ready");
-    until("only the new server is in view", || {
+    list_server(&site.store, &new, "app", "v2", "ready");
+    wait_until("only the new server is in view", || {
         let fleet = site.entry.router.fleet.load();
         fleet.of_service("app").iter().map(|m| &*m.server.id).eq(["i-2"])
     })
     .await;
 
-    assert_eq!(site.ask("GET", "/safe/a", "").await.status, 200);
+    assert_eq!(site.request("GET", "/safe/a", "").await.status, 200);
 }
--- a/tests/platform/unavailable_servers.rs
+++ b/tests/platform/unavailable_servers.rs
@@ -13,7 +13,10 @@
     limited_pool::{arrival_times, flaky_server, responses_under_load, run_load, start_pool},
     pool::Pool,
     server::{Action, ReceivedRequest, Server},
-    site::{Site, always, list, list_life, store_with, until},
+    site::{
+        Site, list_server, list_server_with_start_time, start_server, store_with_servers,
+        wait_until,
+    },
     store::Fault,
 };
 
@@ -39,7 +42,8 @@
 
 /// A server whose responses take half a second, so that the load spreads over all servers.
 async fn busy_server(id: &str) -> Server {
-    always(id, Action::PacedStream { last_event: 5, interval: Duration::from_millis(100) }).await
+    start_server(id, Action::PacedStream { last_event: 5, interval: Duration::from_millis(100) })
+        .await
 }
 
 /// Starts a pool of three busy servers behind one entry, under load for a moment.
@@ -73,8 +77,10 @@
     let (_pool, sites, [draining, ..]) = start_three_server_pool().await;
     draining.announce_draining();
     run_load(&sites, Duration::from_millis(300)).await;
-    until("the draining is known", || !server_dump(&sites[0], &draining)["draining_ms"].is_null())
-        .await;
+    wait_until("the draining is known", || {
+        !server_dump(&sites[0], &draining)["draining_ms"].is_null()
+    })
+    .await;
 
     let from = Instant::now();
     let (sent, served) = run_load(&sites, Duration::from_secs(3)).await;
@@ -107,8 +113,11 @@
 async fn when_all_servers_drain_they_serve_for_half_of_the_drain_time_only() {
     let servers = [busy_server("i-0").await, busy_server("i-1").await, busy_server("i-2").await];
     let pool = start_pool(&servers.each_ref()).await;
-    let site = Site::with(pool.store.clone(), |host| host.drain_time = 2 * LAST_RESORT_TIME).await;
-    site.until_in_view(servers.len()).await;
+    let site = Site::start_with_settings(pool.store.clone(), |host| {
+        host.drain_time = 2 * LAST_RESORT_TIME
+    })
+    .await;
+    site.wait_for_servers(servers.len()).await;
     let sites = [Arc::new(site)];
     servers.iter().for_each(Server::announce_draining);
     let (sent, served) = run_load(&sites, Duration::from_millis(700)).await;
@@ -132,7 +141,7 @@
     draining.announce_draining();
     paused.set_retry_after(Some("60"));
     run_load(&sites, Duration::from_millis(300)).await;
-    until("the draining and the pause are known", || {
+    wait_until("the draining and the pause are known", || {
         knows_draining_and_paused(&sites[0], &draining, &paused)
     })
     .await;
@@ -140,11 +149,11 @@
     for server in [&draining, &paused] {
         pool.store.remove("servers", &server.id);
     }
-    sites[0].until_in_view(1).await;
+    sites[0].wait_for_servers(1).await;
     for server in [&draining, &paused] {
-        list_life(&pool.store, server, "llm", 1_000);
+        list_server_with_start_time(&pool.store, server, "llm", 1_000);
     }
-    sites[0].until_in_view(3).await;
+    sites[0].wait_for_servers(3).await;
     sleep(IN_FLIGHT_TIME).await;
     let from = Instant::now();
     let (sent, served) = run_load(&sites, Duration::from_secs(2)).await;
@@ -156,16 +165,17 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_whose_address_was_reused_gets_no_request_when_its_row_returns() {
-    let (replaced, healthy) = (always("i-0", Action::Misrouted).await, busy_server("i-1").await);
+    let (replaced, healthy) =
+        (start_server("i-0", Action::Misrouted).await, busy_server("i-1").await);
     let pool = start_pool(&[&replaced, &healthy]).await;
     let sites = pool.start_isolated_entries(1).await;
     run_load(&sites, Duration::from_millis(300)).await;
     assert!(!replaced.requests().is_empty());
 
     pool.store.remove("servers", &replaced.id);
-    sites[0].until_in_view(1).await;
-    list_life(&pool.store, &replaced, "llm", 1_000);
-    sites[0].until_in_view(2).await;
+    sites[0].wait_for_servers(1).await;
+    list_server_with_start_time(&pool.store, &replaced, "llm", 1_000);
+    sites[0].wait_for_servers(2).await;
     let from = Instant::now();
     run_load(&sites, Duration::from_secs(1)).await;
 
@@ -179,7 +189,7 @@
     draining.announce_draining();
     paused.set_retry_after(Some("60"));
     run_load(&sites, Duration::from_millis(300)).await;
-    until("the draining and the pause are known", || {
+    wait_until("the draining and the pause are known", || {
         knows_draining_and_paused(&sites[0], &draining, &paused)
     })
     .await;
@@ -201,9 +211,9 @@
     draining.set_extra_headers(&[]);
     paused.set_retry_after(None);
 
-    list_life(&pool.store, &draining, "llm", 2_000);
-    list_life(&pool.store, &paused, "llm", 2_000);
-    until("the restart of both is known", || {
+    list_server_with_start_time(&pool.store, &draining, "llm", 2_000);
+    list_server_with_start_time(&pool.store, &paused, "llm", 2_000);
+    wait_until("the restart of both is known", || {
         let is_new = |server| server_dump(&sites[0], server)["paused_ms"] == 0;
         is_new(&paused) && server_dump(&sites[0], &draining)["draining_ms"].is_null()
     })
@@ -240,7 +250,7 @@
     draining.announce_draining();
     paused.set_retry_after(Some("60"));
     run_load(&sites, Duration::from_millis(300)).await;
-    until("the draining and the pause are known", || {
+    wait_until("the draining and the pause are known", || {
         knows_draining_and_paused(&sites[0], &draining, &paused)
     })
     .await;
@@ -260,7 +270,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn announcements_in_invalid_responses_are_ignored() {
     for action in [Action::Unsigned, Action::WrongRequestId, Action::Gzip, Action::Misrouted] {
-        let (other, healthy) = (always("i-0", action.clone()).await, busy_server("i-1").await);
+        let (other, healthy) =
+            (start_server("i-0", action.clone()).await, busy_server("i-1").await);
         let pool = start_pool(&[&other, &healthy]).await;
         let sites = pool.start_isolated_entries(1).await;
         other.set_extra_headers(&["Server-Leaving: 1", "Retry-After: 60"]);
@@ -338,12 +349,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_already_draining_when_the_entry_starts_gets_no_request() {
     let draining = busy_server("i-0").await;
-    let store = store_with(&[]).await;
-    list(&store, &draining, "llm", "v1", "draining");
-    let site = Site::beside(store).await;
-    site.until_in_view(1).await;
+    let store = store_with_servers(&[]).await;
+    list_server(&store, &draining, "llm", "v1", "draining");
+    let site = Site::start_with_store(store).await;
+    site.wait_for_servers(1).await;
 
-    let answer = site.ask("POST", "/chat/a", "X-Model: small\r\n").await;
+    let answer = site.request("POST", "/chat/a", "X-Model: small\r\n").await;
 
     assert_eq!(answer.status, 503);
     assert!(draining.requests().is_empty());
