--- a/src/agent/dispatch.rs
+++ b/src/agent/dispatch.rs
@@ -269,7 +269,8 @@
     held.retain(|version, revision| {
         let roll_out = snapshot.roll_out_of(crate::ids::model_of(version));
         roll_out.is_some_and(|(id, _)| {
-            let changed = snapshot.changed.get(&(crate::resources::Kind::RollOut, id.clone()));
+            let changed =
+                snapshot.object_revisions.get(&(crate::resources::Kind::RollOut, id.clone()));
             changed.is_none_or(|changed| changed <= revision)
         })
     });
--- a/src/agent/evidence.rs
+++ b/src/agent/evidence.rs
@@ -59,5 +59,5 @@
     let Some((id, _)) = snapshot.roll_out_of(model_of(version)) else {
         return 0;
     };
-    snapshot.changed.get(&(Kind::RollOut, id.clone())).copied().unwrap_or_default()
+    snapshot.object_revisions.get(&(Kind::RollOut, id.clone())).copied().unwrap_or_default()
 }
--- a/src/agent/orders.rs
+++ b/src/agent/orders.rs
@@ -76,6 +76,6 @@
     let owner = partner_of(server);
     let mut versions: Vec<VersionId> = spec.versions.iter().map(|v| qualify(owner, v)).collect();
     versions.sort();
-    let revision = snapshot.changed.get(&(Kind::BackendServer, server.into())).copied()?;
+    let revision = snapshot.object_revisions.get(&(Kind::BackendServer, server.into())).copied()?;
     Some((versions, revision))
 }
--- a/src/entry/guard.rs
+++ b/src/entry/guard.rs
@@ -55,7 +55,7 @@
 
 fn epoch(snapshot: &Snapshot, version: &str) -> Option<Revision> {
     let (id, _) = snapshot.roll_out_of(model_of(version))?;
-    snapshot.changed.get(&(Kind::RollOut, id.clone())).copied()
+    snapshot.object_revisions.get(&(Kind::RollOut, id.clone())).copied()
 }
 
 /// One roll-out with what is known about it.
@@ -95,7 +95,7 @@
         .roll_outs
         .iter()
         .filter_map(|(id, spec)| {
-            let epoch = snapshot.changed.get(&(Kind::RollOut, id.clone()))?;
+            let epoch = snapshot.object_revisions.get(&(Kind::RollOut, id.clone()))?;
             Some(gather(entry, id, spec, *epoch))
         })
         .collect()
--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -81,7 +81,7 @@
         health: entry.health.clone(),
     };
     let now_window = settlement_window(new_request_id(SystemTime::now()));
-    if let Err(e) = settler.pass(permit, now_window).await {
+    if let Err(e) = settler.settle_closed_windows(permit, now_window).await {
         event::STORE_UNREACHABLE.log(format_args!("cause=settle problem={e}"));
     }
 }
--- a/src/entry/sessions.rs
+++ b/src/entry/sessions.rs
@@ -62,7 +62,7 @@
 }
 
 fn changed_at(snapshot: &Snapshot, version: &VersionId) -> Revision {
-    snapshot.changed.get(&(Kind::Version, version.clone())).copied().unwrap_or_default()
+    snapshot.object_revisions.get(&(Kind::Version, version.clone())).copied().unwrap_or_default()
 }
 
 /// The session of one request.
--- a/src/ledger/settle.rs
+++ b/src/ledger/settle.rs
@@ -39,7 +39,7 @@
     /// Requests added.
     pub requests: usize,
     /// Copies of requests that had been added before, or more than once.
-    pub copies: usize,
+    pub duplicates: usize,
 }
 
 /// The job's dependencies.
@@ -58,7 +58,11 @@
     ///
     /// # Errors
     /// When the store gives no answer; what was not settled stays for the next pass.
-    pub async fn pass(&self, permit: &Permit, now_window: u64) -> Result<SettleReport> {
+    pub async fn settle_closed_windows(
+        &self,
+        permit: &Permit,
+        now_window: u64,
+    ) -> Result<SettleReport> {
         let names = self.health.track("charge_list", self.objects.list("charges/")).await?;
         let mut windows: BTreeMap<u64, Vec<Box<str>>> = BTreeMap::new();
         for name in names {
@@ -144,7 +148,7 @@
         event::CHARGES_SETTLED.log(format_args!("window={window} requests={added}"));
         report.windows += 1;
         report.requests += added;
-        report.copies += copies - added;
+        report.duplicates += copies - added;
         Ok(true)
     }
 
--- a/src/operator/commands/write.rs
+++ b/src/operator/commands/write.rs
@@ -205,7 +205,7 @@
 }
 
 fn check_unused(req: &WriteRequest, snapshot: &Snapshot) -> Result<(), WriteError> {
-    let users = snapshot.users_of(req.kind, &req.id);
+    let users = snapshot.dependents_of(req.kind, &req.id);
     if users.is_empty() { Ok(()) } else { Err(WriteError::InUse(users)) }
 }
 
--- a/src/resources/snapshot.rs
+++ b/src/resources/snapshot.rs
@@ -34,7 +34,7 @@
     /// BackendServers by full name.
     pub servers: HashMap<ObjectId, BackendServer>,
     /// Revision of the last change of each object.
-    pub changed: HashMap<(Kind, ObjectId), Revision>,
+    pub object_revisions: HashMap<(Kind, ObjectId), Revision>,
     caller_keys: HashMap<Box<str>, OrganisationId>,
     operator_keys: HashMap<Box<str>, PartnerId>,
     roll_out_of_model: HashMap<ObjectId, ObjectId>,
@@ -53,7 +53,7 @@
     fn insert(&mut self, object: &Object) {
         let id = object.id.clone();
         let owner = object.owner();
-        self.changed.insert((object.spec.kind(), id.clone()), object.revision);
+        self.object_revisions.insert((object.spec.kind(), id.clone()), object.revision);
         match &object.spec {
             Spec::Partner(spec) => {
                 for hash in &spec.operator_key_hashes {
@@ -152,10 +152,10 @@
 /// Answers to what else needs an object.
 impl Snapshot {
     /// Full names of the owner's objects that would break if this one were deleted.
-    pub fn users_of(&self, kind: Kind, id: &str) -> Vec<ObjectId> {
+    pub fn dependents_of(&self, kind: Kind, id: &str) -> Vec<ObjectId> {
         let mut users: Vec<ObjectId> = match kind {
             Kind::Model => self.versions.keys().filter(|v| model_of(v) == id).cloned().collect(),
-            Kind::Version => self.users_of_version(id),
+            Kind::Version => self.dependents_of_version(id),
             Kind::Partner => self.owned_by(partner_of(id)),
             _ => Vec::new(),
         };
@@ -163,7 +163,7 @@
         users
     }
 
-    fn users_of_version(&self, version: &str) -> Vec<ObjectId> {
+    fn dependents_of_version(&self, version: &str) -> Vec<ObjectId> {
         let model = model_of(version);
         let mut users = Vec::new();
         if self.stable_version(model).as_deref() == Some(version) {
@@ -180,7 +180,7 @@
 
     fn owned_by(&self, partner: &str) -> Vec<ObjectId> {
         let owned = self
-            .changed
+            .object_revisions
             .keys()
             .filter(|(kind, id)| *kind != Kind::Partner && partner_of(id) == partner);
         owned.map(|(_, id)| id.clone()).collect()
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -87,9 +87,9 @@
 
     write(&stores, 1, records(Delivery::Whole)).await;
     write(&stores, 2, records(Delivery::Presumed)).await;
-    let report = stores.settler().pass(&permit, LATER).await.unwrap();
+    let report = stores.settler().settle_closed_windows(&permit, LATER).await.unwrap();
 
-    assert_eq!((report.requests, report.copies), (10, 10));
+    assert_eq!((report.requests, report.duplicates), (10, 10));
     assert_eq!(stores.billed().await, 10);
 }
 
@@ -98,12 +98,12 @@
     let stores = stores();
     let (_lease, permit) = stores.lease(1).await;
     write(&stores, 1, (0..5).map(|i| record(5, i, Delivery::Whole)).collect()).await;
-    stores.settler().pass(&permit, LATER).await.unwrap();
+    stores.settler().settle_closed_windows(&permit, LATER).await.unwrap();
 
     write(&stores, 2, (3..8).map(|i| record(5, i, Delivery::Presumed)).collect()).await;
-    let report = stores.settler().pass(&permit, LATER).await.unwrap();
+    let report = stores.settler().settle_closed_windows(&permit, LATER).await.unwrap();
 
-    assert_eq!((report.requests, report.copies), (3, 2));
+    assert_eq!((report.requests, report.duplicates), (3, 2));
     assert_eq!(stores.billed().await, 8);
 }
 
@@ -113,7 +113,7 @@
     let (_lease, permit) = stores.lease(1).await;
     write(&stores, 1, vec![record(99, 1, Delivery::Whole)]).await;
 
-    let report = stores.settler().pass(&permit, 100).await.unwrap();
+    let report = stores.settler().settle_closed_windows(&permit, 100).await.unwrap();
 
     assert_eq!(report.requests, 0);
 }
@@ -130,7 +130,7 @@
         write(&stores, 1, (0..20).map(|i| record(window, i, Delivery::Whole)).collect()).await;
     }
     let mut passes = 0;
-    while stores.settler().pass(&permit, LATER).await.is_err() {
+    while stores.settler().settle_closed_windows(&permit, LATER).await.is_err() {
         passes += 1;
         assert!(passes < 1_000, "never settled");
     }
@@ -152,9 +152,9 @@
     tokio::time::advance(Duration::from_secs(7)).await;
     second.acquire_or_renew(&stores.table.client(), &stores.health).await.unwrap();
     let new = second.permit().expect("taken over");
-    stores.settler().pass(&new, LATER).await.unwrap();
+    stores.settler().settle_closed_windows(&new, LATER).await.unwrap();
     write(&stores, 1, (5..9).map(|i| record(5, i, Delivery::Whole)).collect()).await;
-    let late = stores.settler().pass(&old, LATER).await.unwrap();
+    let late = stores.settler().settle_closed_windows(&old, LATER).await.unwrap();
 
     assert_eq!(late.requests, 0, "the late write took effect");
     assert!(new.fencing > old.fencing);
