--- a/src/resources/check.rs
+++ b/src/resources/check.rs
@@ -28,10 +28,10 @@
         Spec::BackendServer(spec) => {
             for (i, version) in spec.versions.iter().enumerate() {
                 let version = qualify(object.owner(), version);
-                let known = snapshot.versions.contains_key(&version)
+                let is_usable = snapshot.versions.contains_key(&version)
                     && snapshot.model_is_shared(model_of(&version), object.owner());
-                check(
-                    known,
+                require(
+                    is_usable,
                     &format!("versions[{i}]"),
                     "names no version you may use",
                     &mut errors,
@@ -46,31 +46,36 @@
     errors
 }
 
-fn check(right: bool, field: &str, problem: &str, errors: &mut Vec<FieldError>) {
-    if !right {
+fn require(is_valid: bool, field: &str, problem: &str, errors: &mut Vec<FieldError>) {
+    if !is_valid {
         errors.push(FieldError { field: field.into(), problem: problem.into() });
     }
 }
 
 fn check_name(object: &Object, errors: &mut Vec<FieldError>) {
-    let is_word = |c: char| c.is_ascii_alphanumeric() || "-_.@".contains(c);
+    let is_name_char = |c: char| c.is_ascii_alphanumeric() || "-_.@".contains(c);
     let name = object.name();
-    let right = !name.is_empty() && name.len() <= 64 && name.chars().all(is_word);
-    check(right, "name", "must be 1 to 64 letters, digits, `-`, `_`, `.`", errors);
+    let is_valid = !name.is_empty() && name.len() <= 64 && name.chars().all(is_name_char);
+    require(is_valid, "name", "must be 1 to 64 letters, digits, `-`, `_`, `.`", errors);
     let is_version = matches!(object.spec, Spec::Version(_));
-    let has_at = name.matches('@').count() == usize::from(is_version);
-    check(has_at, "name", "a version is named `model@version`, nothing else has an `@`", errors);
+    let is_at_sign_valid = name.matches('@').count() == usize::from(is_version);
+    require(
+        is_at_sign_valid,
+        "name",
+        "a version is named `model@version`, nothing else has an `@`",
+        errors,
+    );
 }
 
 fn check_hashes(field: &str, hashes: &[Box<str>], errors: &mut Vec<FieldError>) {
     for (i, hash) in hashes.iter().enumerate() {
-        let right = hash.len() == 64 && hash.chars().all(|c| c.is_ascii_hexdigit());
-        check(right, &format!("{field}[{i}]"), "must be a SHA-256 in 64 hex digits", errors);
+        let is_valid = hash.len() == 64 && hash.chars().all(|c| c.is_ascii_hexdigit());
+        require(is_valid, &format!("{field}[{i}]"), "must be a SHA-256 in 64 hex digits", errors);
     }
 }
 
 fn check_fraction(field: &str, value: f64, errors: &mut Vec<FieldError>) {
-    check((0.0..=1.0).contains(&value), field, "must lie between 0 and 1", errors);
+    require((0.0..=1.0).contains(&value), field, "must lie between 0 and 1", errors);
 }
 
 fn check_organisation(
@@ -80,12 +85,17 @@
     errors: &mut Vec<FieldError>,
 ) {
     check_hashes("key_hashes", &spec.key_hashes, errors);
-    check((1..=1000).contains(&spec.weight), "weight", "must lie between 1 and 1000", errors);
+    require((1..=1000).contains(&spec.weight), "weight", "must lie between 1 and 1000", errors);
     for (i, allowed) in spec.allowed.iter().enumerate() {
-        let full = qualify(object.owner(), allowed);
-        let shared = snapshot.model_is_shared(model_of(&full), object.owner());
-        let known = !full.contains('@') || snapshot.versions.contains_key(&full);
-        check(shared && known, &format!("allowed[{i}]"), "names no model you may use", errors);
+        let full_name = qualify(object.owner(), allowed);
+        let is_shared = snapshot.model_is_shared(model_of(&full_name), object.owner());
+        let exists = !full_name.contains('@') || snapshot.versions.contains_key(&full_name);
+        require(
+            is_shared && exists,
+            &format!("allowed[{i}]"),
+            "names no model you may use",
+            errors,
+        );
     }
 }
 
@@ -95,8 +105,8 @@
     snapshot: &Snapshot,
     errors: &mut Vec<FieldError>,
 ) {
-    let known = snapshot.models.contains_key(model_of(&object.id));
-    check(known, "name", "the part before the `@` must be one of your models", errors);
+    let model_exists = snapshot.models.contains_key(model_of(&object.id));
+    require(model_exists, "name", "the part before the `@` must be one of your models", errors);
     check_fraction("quality", spec.quality, errors);
 }
 
@@ -106,14 +116,14 @@
     snapshot: &Snapshot,
     errors: &mut Vec<FieldError>,
 ) {
-    check((1..=8).contains(&spec.stages.len()), "stages", "must have 1 to 8 entries", errors);
+    require((1..=8).contains(&spec.stages.len()), "stages", "must have 1 to 8 entries", errors);
     check_fraction("quality_target", spec.quality_target, errors);
-    check(spec.deadline_ms > 0, "deadline_ms", "must be above 0", errors);
+    require(spec.deadline_ms > 0, "deadline_ms", "must be above 0", errors);
     for (i, stage) in spec.stages.iter().enumerate() {
-        let full = qualify(object.owner(), stage);
-        let shared = snapshot.model_is_shared(model_of(&full), object.owner());
-        let known = !full.contains('@') || snapshot.versions.contains_key(&full);
-        check(shared && known, &format!("stages[{i}]"), "names no model you may use", errors);
+        let full_name = qualify(object.owner(), stage);
+        let is_shared = snapshot.model_is_shared(model_of(&full_name), object.owner());
+        let exists = !full_name.contains('@') || snapshot.versions.contains_key(&full_name);
+        require(is_shared && exists, &format!("stages[{i}]"), "names no model you may use", errors);
     }
 }
 
@@ -124,22 +134,22 @@
     errors: &mut Vec<FieldError>,
 ) {
     let model = qualify(object.owner(), &spec.model);
-    check(partner_of(&model) == object.owner(), "model", "must be one of your own", errors);
+    require(partner_of(&model) == object.owner(), "model", "must be one of your own", errors);
     for (field, version) in [("from", &spec.from), ("to", &spec.to)] {
-        let full = format!("{model}@{version}");
-        check(
-            snapshot.versions.contains_key(&*full),
+        let full_name = format!("{model}@{version}");
+        require(
+            snapshot.versions.contains_key(&*full_name),
             field,
             "names no version of the model",
             errors,
         );
     }
-    let taken = snapshot.roll_out_of(&model).is_some_and(|(id, _)| *id != object.id);
-    check(!taken, "model", "has another roll-out; delete that one first", errors);
-    check(spec.from != spec.to, "to", "must differ from `from`", errors);
-    check(!spec.steps.is_empty(), "steps", "must not be empty", errors);
-    check(spec.steps.is_sorted(), "steps", "must not go down", errors);
-    check(spec.step < spec.steps.len().max(1), "step", "must be the index of a step", errors);
+    let has_other_roll_out = snapshot.roll_out_of(&model).is_some_and(|(id, _)| *id != object.id);
+    require(!has_other_roll_out, "model", "has another roll-out; delete that one first", errors);
+    require(spec.from != spec.to, "to", "must differ from `from`", errors);
+    require(!spec.steps.is_empty(), "steps", "must not be empty", errors);
+    require(spec.steps.is_sorted(), "steps", "must not go down", errors);
+    require(spec.step < spec.steps.len().max(1), "step", "must be the index of a step", errors);
     for (i, share) in spec.steps.iter().enumerate() {
         check_fraction(&format!("steps[{i}]"), *share, errors);
     }
--- a/src/resources/config_log.rs
+++ b/src/resources/config_log.rs
@@ -11,7 +11,7 @@
 };
 
 /// Changes kept to bring peers up to date; a peer further behind gets a full copy.
-const KEPT_CHANGES: usize = 4096;
+const MAX_RECENT_CHANGES: usize = 4096;
 
 /// Why a change was not applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -72,7 +72,7 @@
         };
         self.revision = offered;
         self.recent.push_back(change);
-        if self.recent.len() > KEPT_CHANGES {
+        if self.recent.len() > MAX_RECENT_CHANGES {
             self.recent.pop_front();
         }
         Ok(())
--- a/src/resources/snapshot.rs
+++ b/src/resources/snapshot.rs
@@ -80,12 +80,12 @@
 
     /// Organisation whose caller key this is.
     pub fn organisation_by_key(&self, key: &str) -> Option<&str> {
-        find_by_hash(&self.caller_keys, key)
+        find_key_owner(&self.caller_keys, key)
     }
 
     /// Partner whose operator key this is.
     pub fn partner_by_key(&self, key: &str) -> Option<&str> {
-        find_by_hash(&self.operator_keys, key)
+        find_key_owner(&self.operator_keys, key)
     }
 
     /// Whether the owner of a model lets `partner` use it.
@@ -93,7 +93,7 @@
         let Some(spec) = self.models.get(model) else {
             return false;
         };
-        partner_of(model) == partner || lists(&spec.shared_with, partner)
+        partner_of(model) == partner || is_shared_with(&spec.shared_with, partner)
     }
 
     /// Whether the owner of a BackendServer lets `partner` use it.
@@ -101,7 +101,7 @@
         let Some(spec) = self.servers.get(server) else {
             return false;
         };
-        partner_of(server) == partner || lists(&spec.shared_with, partner)
+        partner_of(server) == partner || is_shared_with(&spec.shared_with, partner)
     }
 
     /// Whether an organisation may use a version, by its own list and the owner's sharing.
@@ -138,47 +138,47 @@
     }
 }
 
-fn lists(partners: &[PartnerId], partner: &str) -> bool {
+fn is_shared_with(partners: &[PartnerId], partner: &str) -> bool {
     partners.iter().any(|listed| &**listed == "*" || &**listed == partner)
 }
 
 /// Looks a key up by its hash; the final comparison takes the same time wherever it differs.
-fn find_by_hash<'a>(keys: &'a HashMap<Box<str>, Box<str>>, key: &str) -> Option<&'a str> {
+fn find_key_owner<'a>(keys: &'a HashMap<Box<str>, Box<str>>, key: &str) -> Option<&'a str> {
     let hash = hash_key(key);
-    let (held, owner) = keys.get_key_value(&hash)?;
-    bool::from(held.as_bytes().ct_eq(hash.as_bytes())).then_some(&**owner)
+    let (stored_hash, owner) = keys.get_key_value(&hash)?;
+    bool::from(stored_hash.as_bytes().ct_eq(hash.as_bytes())).then_some(&**owner)
 }
 
 /// Answers to what else needs an object.
 impl Snapshot {
     /// Full names of the owner's objects that would break if this one were deleted.
     pub fn dependents_of(&self, kind: Kind, id: &str) -> Vec<ObjectId> {
-        let mut users: Vec<ObjectId> = match kind {
+        let mut dependents: Vec<ObjectId> = match kind {
             Kind::Model => self.versions.keys().filter(|v| model_of(v) == id).cloned().collect(),
             Kind::Version => self.dependents_of_version(id),
-            Kind::Partner => self.owned_by(partner_of(id)),
+            Kind::Partner => self.objects_owned_by(partner_of(id)),
             _ => Vec::new(),
         };
-        users.sort();
-        users
+        dependents.sort();
+        dependents
     }
 
     fn dependents_of_version(&self, version: &str) -> Vec<ObjectId> {
         let model = model_of(version);
-        let mut users = Vec::new();
+        let mut dependents = Vec::new();
         if self.stable_version(model).as_deref() == Some(version) {
-            users.push(model.into());
+            dependents.push(model.into());
         }
         if let Some((id, roll_out)) = self.roll_out_of(model) {
             let name = version.split_once('@').map_or("", |(_, name)| name);
             if *roll_out.from == *name || *roll_out.to == *name {
-                users.push(id.clone());
+                dependents.push(id.clone());
             }
         }
-        users
+        dependents
     }
 
-    fn owned_by(&self, partner: &str) -> Vec<ObjectId> {
+    fn objects_owned_by(&self, partner: &str) -> Vec<ObjectId> {
         let owned = self
             .object_revisions
             .keys()
