--- a/src/ledger/batch.rs
+++ b/src/ledger/batch.rs
@@ -10,7 +10,7 @@
 };
 
 /// Records in one batch object at most.
-const BATCH_RECORDS: usize = 2_000;
+const MAX_BATCH_RECORDS: usize = 2_000;
 
 /// Bounded buffer of records that are not yet in the object store.
 #[derive(Debug)]
@@ -63,10 +63,10 @@
         }
         let mut batches = Vec::new();
         for (window, records) in windows {
-            for part in records.chunks(BATCH_RECORDS) {
+            for chunk in records.chunks(MAX_BATCH_RECORDS) {
                 let name = batch_name(window, writer, self.next_batch);
                 self.next_batch += 1;
-                batches.push(Batch { name, records: part.to_vec() });
+                batches.push(Batch { name, records: chunk.to_vec() });
             }
         }
         batches
--- a/src/ledger/group.rs
+++ b/src/ledger/group.rs
@@ -12,15 +12,15 @@
 };
 
 /// Rows in one transaction at most.
-const GROUP_ROWS: usize = 128;
+const MAX_GROUP_ROWS: usize = 128;
 /// Groups waiting at most; beyond, an insert is refused at once.
-const WAITING: usize = 4_096;
+const MAX_QUEUED_INSERTS: usize = 4_096;
 
 struct Insert {
     key: Box<str>,
     expected: Option<u64>,
     value: Value,
-    done: oneshot::Sender<InsertOutcome>,
+    reply: oneshot::Sender<InsertOutcome>,
 }
 
 /// Handle on the task that commits groups.
@@ -38,22 +38,22 @@
 impl GroupCommit {
     /// Starts the task; `linger` is how long the first row of a group waits for others.
     pub fn start(table: TableClient, health: StoreHealth, linger: Duration) -> Self {
-        let (tx, rx) = mpsc::channel(WAITING);
-        tokio::spawn(run(table, health, linger, rx));
+        let (tx, rx) = mpsc::channel(MAX_QUEUED_INSERTS);
+        tokio::spawn(commit_queued(table, health, linger, rx));
         Self { tx }
     }
 
     /// Writes a row if it still has the expected version; none means absent.
     pub async fn write(&self, key: Box<str>, expected: Option<u64>, value: Value) -> InsertOutcome {
-        let (done, outcome) = oneshot::channel();
-        if self.tx.try_send(Insert { key, expected, value, done }).is_err() {
+        let (reply, outcome) = oneshot::channel();
+        if self.tx.try_send(Insert { key, expected, value, reply }).is_err() {
             return InsertOutcome::Refused;
         }
         outcome.await.unwrap_or(InsertOutcome::Lost)
     }
 }
 
-async fn run(
+async fn commit_queued(
     table: TableClient,
     health: StoreHealth,
     linger: Duration,
@@ -65,11 +65,11 @@
         }
         let mut group = vec![first];
         let mut deferred = Vec::new();
-        while group.len() < GROUP_ROWS {
+        while group.len() < MAX_GROUP_ROWS {
             let Ok(next) = rx.try_recv() else { break };
             // Two writes of one row can't share a transaction.
-            let repeated = group.iter().any(|insert| insert.key == next.key);
-            if repeated { deferred.push(next) } else { group.push(next) }
+            let is_same_row = group.iter().any(|insert| insert.key == next.key);
+            if is_same_row { deferred.push(next) } else { group.push(next) }
         }
         tokio::spawn(commit(table.clone(), health.clone(), group));
         for insert in deferred {
@@ -90,21 +90,21 @@
         let outcome = match health.track("group_write", table.transact(tx)).await {
             Ok(Ok(version)) => InsertOutcome::Inserted(version),
             Ok(Err(conflicts)) => {
-                let (lost, rest): (Vec<_>, Vec<_>) =
+                let (conflicting, rest): (Vec<_>, Vec<_>) =
                     group.into_iter().partition(|insert| conflicts.contains(&insert.key));
-                answer(lost, &InsertOutcome::Conflict);
+                send_outcome(conflicting, &InsertOutcome::Conflict);
                 group = rest;
                 continue;
             }
             Err(Error::Refused(_)) => InsertOutcome::Refused,
             Err(_) => InsertOutcome::Lost,
         };
-        answer(std::mem::take(&mut group), &outcome);
+        send_outcome(std::mem::take(&mut group), &outcome);
     }
 }
 
-fn answer(group: Vec<Insert>, outcome: &InsertOutcome) {
+fn send_outcome(group: Vec<Insert>, outcome: &InsertOutcome) {
     for insert in group {
-        let _ = insert.done.send(outcome.clone());
+        let _ = insert.reply.send(outcome.clone());
     }
 }
--- a/src/ledger/settle.rs
+++ b/src/ledger/settle.rs
@@ -66,7 +66,7 @@
         let names = self.health.track("charge_list", self.objects.list("charges/")).await?;
         let mut windows: BTreeMap<u64, Vec<Box<str>>> = BTreeMap::new();
         for name in names {
-            let Some(window) = window_in(&name) else {
+            let Some(window) = window_of_batch(&name) else {
                 continue;
             };
             if window + OPEN_WINDOWS <= now_window {
@@ -92,17 +92,18 @@
     ) -> Result<bool> {
         let key: Box<str> = format!("settled/{window:012}").into();
         let row = self.health.track("settle_read", self.table.get(&key)).await?;
-        let mut settled: WindowRow = match &row {
+        let mut window_row: WindowRow = match &row {
             Some(row) => row.parse()?,
             None => WindowRow::default(),
         };
-        let fresh: Vec<Box<str>> =
-            batches.iter().filter(|name| !settled.batches.contains(*name)).cloned().collect();
-        if !fresh.is_empty() {
+        let new_batches: Vec<Box<str>> =
+            batches.iter().filter(|name| !window_row.batches.contains(*name)).cloned().collect();
+        if !new_batches.is_empty() {
             let version = row.as_ref().map(|row| row.version);
-            let permitted =
-                self.add_batches(permit, (&key, version), &mut settled, &fresh, report).await?;
-            if !permitted {
+            let committed = self
+                .add_batches(permit, (&key, version), &mut window_row, &new_batches, report)
+                .await?;
+            if !committed {
                 return Ok(false);
             }
         }
@@ -117,28 +118,28 @@
         &self,
         permit: &Permit,
         (key, version): (&str, Option<u64>),
-        settled: &mut WindowRow,
-        fresh: &[Box<str>],
+        window_row: &mut WindowRow,
+        new_batches: &[Box<str>],
         report: &mut SettleReport,
     ) -> Result<bool> {
-        let mut known = self.read_ids(&settled.ids).await?;
-        let records = self.read_records(fresh).await?;
-        let copies = records.len();
+        let mut settled_ids = self.read_ids(&window_row.ids).await?;
+        let records = self.read_records(new_batches).await?;
+        let records_read = records.len();
         let merged = merge(records);
-        let (sums, ids) = settle(&merged, &known);
+        let (sums_by_organisation, ids) = settle(&merged, &settled_ids);
         let added = ids.len();
-        known.extend(ids);
+        settled_ids.extend(ids);
         let window = key.trim_start_matches("settled/");
         let ids_name: Box<str> =
             format!("settled/{window}/{}-{}", permit.fencing, permit.version).into();
-        self.objects.put(&ids_name, encode(&known)).await?;
-        settled.batches.extend(fresh.iter().cloned());
-        settled.ids = ids_name;
-        let mut tx = permit.transaction().check(key, version).put(key, settled);
-        for (organisation, sum) in sums {
+        self.objects.put(&ids_name, encode(&settled_ids)).await?;
+        window_row.batches.extend(new_batches.iter().cloned());
+        window_row.ids = ids_name;
+        let mut tx = permit.transaction().check(key, version).put(key, window_row);
+        for (organisation, sum) in sums_by_organisation {
             let total_key = total_key(&organisation);
             let row = self.health.track("total_read", self.table.get(&total_key)).await?;
-            let total = plus(row.as_ref(), sum)?;
+            let total = add_to_total(row.as_ref(), sum)?;
             tx = tx.check(total_key.clone(), row.map(|row| row.version)).put(total_key, &total);
         }
         let outcome = self.health.track("settle_write", self.table.transact(tx)).await?;
@@ -148,7 +149,7 @@
         event::CHARGES_SETTLED.log(format_args!("window={window} requests={added}"));
         report.windows += 1;
         report.requests += added;
-        report.duplicates += copies - added;
+        report.duplicates += records_read - added;
         Ok(true)
     }
 
@@ -187,19 +188,19 @@
     format!("totals/{organisation}").into()
 }
 
-fn plus(row: Option<&Row>, sum: Totals) -> Result<Totals> {
-    let old: Totals = match row {
+fn add_to_total(row: Option<&Row>, sum: Totals) -> Result<Totals> {
+    let previous: Totals = match row {
         Some(row) => row.parse()?,
         None => Totals::default(),
     };
     Ok(Totals {
-        requests: old.requests + sum.requests,
-        tokens_in: old.tokens_in + sum.tokens_in,
-        tokens_out: old.tokens_out + sum.tokens_out,
-        cost: old.cost + sum.cost,
+        requests: previous.requests + sum.requests,
+        tokens_in: previous.tokens_in + sum.tokens_in,
+        tokens_out: previous.tokens_out + sum.tokens_out,
+        cost: previous.cost + sum.cost,
     })
 }
 
-fn window_in(name: &str) -> Option<u64> {
+fn window_of_batch(name: &str) -> Option<u64> {
     name.strip_prefix("charges/")?.split_once('/')?.0.parse().ok()
 }
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -19,7 +19,7 @@
 };
 use serde_json::json;
 
-const LATER: u64 = 1_000;
+const LATER_WINDOW: u64 = 1_000;
 
 struct Stores {
     table: TableStandin,
@@ -48,7 +48,7 @@
         (lease, permit)
     }
 
-    async fn billed(&self) -> u64 {
+    async fn billed_requests(&self) -> u64 {
         let totals = read_totals(&self.table.client()).await.unwrap();
         totals.values().map(|total| total.requests).sum()
     }
@@ -67,7 +67,7 @@
     ChargeRecord { request, organisation: "p/o".into(), attempts: vec![attempt], delivery }
 }
 
-async fn write(stores: &Stores, writer: u128, records: Vec<ChargeRecord>) {
+async fn write_charges(stores: &Stores, writer: u128, records: Vec<ChargeRecord>) {
     let mut buffer = ChargeBuffer::new(1_000);
     records.into_iter().for_each(|record| buffer.push(record));
     let mut pending: VecDeque<_> = buffer.take_batches(writer).into();
@@ -80,38 +80,38 @@
 }
 
 #[tokio::test]
-async fn copies_from_entry_and_agent_are_billed_once() {
+async fn duplicate_records_from_entry_and_agent_are_billed_once() {
     let stores = stores();
     let (_lease, permit) = stores.lease(1).await;
     let records = |delivery| (0..10).map(|i| record(5, i, delivery)).collect();
 
-    write(&stores, 1, records(Delivery::Whole)).await;
-    write(&stores, 2, records(Delivery::Presumed)).await;
-    let report = stores.settler().settle_closed_windows(&permit, LATER).await.unwrap();
+    write_charges(&stores, 1, records(Delivery::Whole)).await;
+    write_charges(&stores, 2, records(Delivery::Presumed)).await;
+    let report = stores.settler().settle_closed_windows(&permit, LATER_WINDOW).await.unwrap();
 
     assert_eq!((report.requests, report.duplicates), (10, 10));
-    assert_eq!(stores.billed().await, 10);
+    assert_eq!(stores.billed_requests().await, 10);
 }
 
 #[tokio::test]
-async fn a_batch_that_comes_after_the_settlement_adds_only_what_is_new() {
+async fn a_batch_written_after_settlement_adds_only_new_requests() {
     let stores = stores();
     let (_lease, permit) = stores.lease(1).await;
-    write(&stores, 1, (0..5).map(|i| record(5, i, Delivery::Whole)).collect()).await;
-    stores.settler().settle_closed_windows(&permit, LATER).await.unwrap();
+    write_charges(&stores, 1, (0..5).map(|i| record(5, i, Delivery::Whole)).collect()).await;
+    stores.settler().settle_closed_windows(&permit, LATER_WINDOW).await.unwrap();
 
-    write(&stores, 2, (3..8).map(|i| record(5, i, Delivery::Presumed)).collect()).await;
-    let report = stores.settler().settle_closed_windows(&permit, LATER).await.unwrap();
+    write_charges(&stores, 2, (3..8).map(|i| record(5, i, Delivery::Presumed)).collect()).await;
+    let report = stores.settler().settle_closed_windows(&permit, LATER_WINDOW).await.unwrap();
 
     assert_eq!((report.requests, report.duplicates), (3, 2));
-    assert_eq!(stores.billed().await, 8);
+    assert_eq!(stores.billed_requests().await, 8);
 }
 
 #[tokio::test]
-async fn an_open_window_is_left_alone() {
+async fn an_open_window_is_not_settled() {
     let stores = stores();
     let (_lease, permit) = stores.lease(1).await;
-    write(&stores, 1, vec![record(99, 1, Delivery::Whole)]).await;
+    write_charges(&stores, 1, vec![record(99, 1, Delivery::Whole)]).await;
 
     let report = stores.settler().settle_closed_windows(&permit, 100).await.unwrap();
 
@@ -119,7 +119,7 @@
 }
 
 #[tokio::test]
-async fn lost_replies_of_both_stores_bill_nothing_twice_and_lose_nothing() {
+async fn lost_replies_of_both_stores_cause_no_double_billing_and_no_loss() {
     let stores = stores();
     let (_lease, permit) = stores.lease(1).await;
     let lossy = Faults { lose_replies: 0.3, ..Faults::default() };
@@ -127,23 +127,24 @@
     stores.objects.faults.set(lossy);
 
     for window in 0..10 {
-        write(&stores, 1, (0..20).map(|i| record(window, i, Delivery::Whole)).collect()).await;
+        write_charges(&stores, 1, (0..20).map(|i| record(window, i, Delivery::Whole)).collect())
+            .await;
     }
     let mut passes = 0;
-    while stores.settler().settle_closed_windows(&permit, LATER).await.is_err() {
+    while stores.settler().settle_closed_windows(&permit, LATER_WINDOW).await.is_err() {
         passes += 1;
         assert!(passes < 1_000, "never settled");
     }
 
     stores.table.faults.set(Faults::default());
-    assert_eq!(stores.billed().await, 200);
+    assert_eq!(stores.billed_requests().await, 200);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_paused_holders_late_settlement_fails() {
+async fn a_settlement_under_a_superseded_lease_fails() {
     let stores = stores();
     let (_first, old) = stores.lease(1).await;
-    write(&stores, 1, (0..5).map(|i| record(5, i, Delivery::Whole)).collect()).await;
+    write_charges(&stores, 1, (0..5).map(|i| record(5, i, Delivery::Whole)).collect()).await;
 
     // The holder is paused; another takes the lease over and settles.
     let mut second = Lease::new("settler", 2, LeaseTiming::default());
@@ -152,17 +153,17 @@
     tokio::time::advance(Duration::from_secs(7)).await;
     second.acquire_or_renew(&stores.table.client(), &stores.health).await.unwrap();
     let new = second.permit().expect("taken over");
-    stores.settler().settle_closed_windows(&new, LATER).await.unwrap();
-    write(&stores, 1, (5..9).map(|i| record(5, i, Delivery::Whole)).collect()).await;
-    let late = stores.settler().settle_closed_windows(&old, LATER).await.unwrap();
+    stores.settler().settle_closed_windows(&new, LATER_WINDOW).await.unwrap();
+    write_charges(&stores, 1, (5..9).map(|i| record(5, i, Delivery::Whole)).collect()).await;
+    let late = stores.settler().settle_closed_windows(&old, LATER_WINDOW).await.unwrap();
 
     assert_eq!(late.requests, 0, "the late write took effect");
     assert!(new.fencing > old.fencing);
-    assert_eq!(stores.billed().await, 5);
+    assert_eq!(stores.billed_requests().await, 5);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lease_runs_out_by_itself_when_the_store_is_down() {
+async fn a_lease_expires_while_the_store_is_down() {
     let stores = stores();
     let (mut lease, _) = stores.lease(1).await;
     stores.table.faults.set(Faults { down: true, ..Faults::default() });
@@ -189,7 +190,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn rows_that_come_together_share_a_transaction() {
+async fn rows_written_together_share_a_transaction() {
     let stores = stores();
     let linger = Duration::from_millis(5);
     let group = GroupCommit::start(stores.table.client(), stores.health.clone(), linger);
@@ -211,7 +212,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_row_that_conflicts_does_not_hold_up_its_group() {
+async fn a_conflicting_row_does_not_block_its_group() {
     let stores = stores();
     let table = stores.table.client();
     table.transact(Transaction::default().put("claims/3", &1)).await.unwrap().unwrap();
@@ -231,7 +232,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn while_the_store_is_down_an_insert_is_refused_at_once() {
+async fn an_insert_is_refused_at_once_while_the_store_is_down() {
     let stores = stores();
     stores.table.faults.set(Faults { down: true, ..Faults::default() });
     let group = GroupCommit::start(stores.table.client(), stores.health.clone(), Duration::ZERO);
@@ -243,7 +244,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_reply_is_no_outage_and_a_silent_store_is() {
+async fn one_lost_reply_is_no_outage_but_a_silent_store_is() {
     let health = StoreHealth::new(Metrics::default());
     let lost = || async { Err::<(), _>(mintmoor::platform::Error::Unknown("lost".into())) };
 
@@ -259,7 +260,7 @@
 }
 
 #[tokio::test]
-async fn a_read_whose_answer_was_lost_is_read_again() {
+async fn a_read_whose_reply_was_lost_is_retried() {
     let stores = stores();
     let table = stores.table.client();
     table.transact(Transaction::default().put("objects/a", &1)).await.unwrap().unwrap();
