--- a/src/resources/cascade.rs
+++ b/src/resources/cascade.rs
@@ -1,16 +1,16 @@
-//! A cascade of models from cheap to costly.
+//! Declared configuration of a cascade: models tried from the cheapest to the most expensive.
 
 use serde::{Deserialize, Serialize};
 
-/// Stages tried in order until an answer is good enough.
+/// Spec of a cascade, whose stages are tried in order until an answer is good enough.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cascade {
     /// Models or versions, cheapest first.
     pub stages: Vec<Box<str>>,
-    /// Mean rating to reach, 0 to 1.
+    /// Target for the mean rating of the answers, 0 to 1.
     pub quality_target: f64,
-    /// Time a caller waits when it names no deadline, in milliseconds.
+    /// Deadline in milliseconds for requests that set none.
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
 }
--- a/src/resources/change.rs
+++ b/src/resources/change.rs
@@ -1,4 +1,4 @@
-//! One accepted change of configuration.
+//! An entry of the configuration log.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,19 +7,19 @@
     resources::{Kind, Object},
 };
 
-/// One step of the configuration log; revisions follow each other without gaps.
+/// A committed change to one object. Consecutive changes have consecutive revisions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Revision this change brings into force.
+    /// Configuration revision that this change creates.
     pub revision: Revision,
-    /// Kind of the object changed.
+    /// Kind of the changed object.
     pub kind: Kind,
-    /// Full name of the object changed.
+    /// Full name of the changed object.
     pub id: ObjectId,
-    /// Chosen by the writer, so that a lost reply is recognised on repeat.
+    /// Idempotency key chosen by the writer. A retry after a lost reply is recognised by it.
     pub change_id: Box<str>,
-    /// Who changed it: a partner's operator or a leased job.
+    /// Who made the change: a partner's operator or a job that runs under a lease.
     pub actor: Box<str>,
-    /// The object after the change, or nothing when it was deleted.
+    /// The object after the change; `None` if it was deleted.
     pub object: Option<Object>,
 }
--- a/src/resources/check.rs
+++ b/src/resources/check.rs
@@ -1,4 +1,4 @@
-//! Checks of an object against itself and the rest of the configuration.
+//! Validation of an object, including its references to other objects.
 
 use serde::Serialize;
 
@@ -7,16 +7,17 @@
     resources::{Cascade, Object, Organisation, RollOut, Snapshot, Spec, Version},
 };
 
-/// One thing wrong with an object.
+/// A validation error in one field of an object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct FieldError {
     /// Path of the field inside the spec, such as `steps[1]`.
     pub field: Box<str>,
-    /// What is wrong and what would be right.
+    /// What is wrong, or what a valid value looks like.
     pub problem: Box<str>,
 }
 
-/// Collects everything that is wrong with an object, so that one try shows it all.
+/// Validates an object against `snapshot`. Returns all errors rather than only the first, so that
+/// an operator can correct them in one go.
 pub fn check_object(object: &Object, snapshot: &Snapshot) -> Vec<FieldError> {
     let mut errors = Vec::new();
     check_name(object, &mut errors);
@@ -46,6 +47,7 @@
     errors
 }
 
+/// Records `problem` for `field` unless `is_valid`.
 fn require(is_valid: bool, field: &str, problem: &str, errors: &mut Vec<FieldError>) {
     if !is_valid {
         errors.push(FieldError { field: field.into(), problem: problem.into() });
--- a/src/resources/config_log.rs
+++ b/src/resources/config_log.rs
@@ -1,4 +1,4 @@
-//! The configuration as a log that a process follows, forward only.
+//! A process's copy of the configuration log, whose revision only ever increases.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -10,22 +10,23 @@
     resources::{Change, Kind, Object, Snapshot},
 };
 
-/// Changes kept to bring peers up to date; a peer further behind gets a full copy.
+/// Number of recent changes kept for bringing peers up to date. A peer that is further behind gets
+/// a full copy.
 const MAX_RECENT_CHANGES: usize = 4096;
 
 /// Why a change was not applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ApplyError {
-    /// The change is older than what is in force; configuration never reverts.
-    #[error("revision {offered} is not newer than {held}")]
+    /// The change is not newer than the revision in force. Configuration never goes back.
+    #[error("revision {offered} is not newer than revision {held}, which is in force")]
     Old {
         /// Revision offered.
         offered: Revision,
         /// Revision in force here.
         held: Revision,
     },
-    /// Changes in between are missing.
-    #[error("revision {offered} leaves a gap after {held}")]
+    /// Changes between the revision in force and the offered one are missing.
+    #[error("revision {offered} does not directly follow revision {held}, which is in force")]
     Gap {
         /// Revision offered.
         offered: Revision,
@@ -34,7 +35,7 @@
     },
 }
 
-/// Objects in force and the last changes that led to them.
+/// The objects in force and the most recent changes.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigLog {
     revision: Revision,
@@ -56,7 +57,7 @@
     /// Applies the change that follows the revision in force.
     ///
     /// # Errors
-    /// A change that is not the next one is left out.
+    /// Fails, without any effect, if `change` is not the next revision.
     pub fn apply(&mut self, change: Change) -> Result<(), ApplyError> {
         let (offered, held) = (change.revision, self.revision);
         if offered <= held {
@@ -78,7 +79,8 @@
         Ok(())
     }
 
-    /// Takes over a full copy if it is newer than what is in force.
+    /// Replaces all objects with a full copy at `revision`, if that is newer than the revision in
+    /// force. Returns whether it was.
     pub fn replace(&mut self, revision: Revision, objects: Vec<Object>) -> bool {
         if revision <= self.revision {
             return false;
@@ -89,7 +91,7 @@
         true
     }
 
-    /// Changes after `revision`, or nothing when some of them are no longer kept.
+    /// Changes after `revision`, or `None` if some of them are no longer kept.
     pub fn changes_after(&self, revision: Revision) -> Option<Vec<Change>> {
         if revision >= self.revision {
             return Some(Vec::new());
@@ -101,7 +103,7 @@
         Some(self.recent.iter().filter(|change| change.revision > revision).cloned().collect())
     }
 
-    /// Builds the immutable form that traffic reads.
+    /// Builds an immutable snapshot of the objects in force for use while serving requests.
     pub fn snapshot(&self) -> Arc<Snapshot> {
         Arc::new(Snapshot::build(self.revision, self.objects.values()))
     }
--- a/src/resources/mod.rs
+++ b/src/resources/mod.rs
@@ -1,4 +1,5 @@
-//! Declared objects, their checks, and the immutable snapshot every decision reads.
+//! Configuration objects, their validation, the configuration log, and the immutable snapshot that
+//! request handling reads.
 
 mod backend_server;
 mod cascade;
--- a/src/resources/model.rs
+++ b/src/resources/model.rs
@@ -1,16 +1,17 @@
-//! A model: a family of versions with one of them established.
+//! Declared configuration of a model: a group of versions, one of which is the stable one.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::PartnerId;
 
-/// Declared state of a model.
+/// Spec of a model.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// Version that serves when no roll-out says otherwise: the part behind the `@`.
+    /// Version that serves requests unless a roll-out selects another one. This is only the part of
+    /// the version's name after the `@`.
     pub stable: Box<str>,
-    /// Other partners whose organisations may be allowed this model; `*` means all.
+    /// Other partners that may use this model and allow it to their organisations; `*` means all.
     #[serde(default)]
     pub shared_with: Vec<PartnerId>,
 }
--- a/src/resources/object.rs
+++ b/src/resources/object.rs
@@ -1,4 +1,4 @@
-//! The envelope around every declared object.
+//! The common form of all configuration objects: identity, revision and kind-specific spec.
 
 use std::str::FromStr;
 
@@ -9,7 +9,7 @@
     resources::{BackendServer, Cascade, Model, Organisation, Partner, RollOut, Version},
 };
 
-/// Kinds of object; the text form is the one in API paths.
+/// Kinds of configuration object. API paths contain the form that [`Kind::as_str`] returns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)]
@@ -23,7 +23,7 @@
     BackendServer,
 }
 
-/// A kind that does not exist.
+/// Error for text that names no kind.
 #[derive(Debug, thiserror::Error)]
 #[error(
     "unknown kind `{0}`; kinds are partner, organisation, model, version, cascade, roll_out, backend_server"
@@ -31,7 +31,8 @@
 pub struct UnknownKind(pub Box<str>);
 
 impl Kind {
-    /// All kinds, in the order in which objects can refer to each other.
+    /// All kinds, ordered so that objects refer only to kinds before their own. The one exception
+    /// is the stable version that a model names.
     pub const ALL: [Kind; 7] = [
         Kind::Partner,
         Kind::Model,
@@ -42,7 +43,7 @@
         Kind::BackendServer,
     ];
 
-    /// The form used in paths and files.
+    /// The name used in API paths and object files.
     pub fn as_str(self) -> &'static str {
         match self {
             Kind::Partner => "partner",
@@ -67,7 +68,7 @@
     }
 }
 
-/// What the owner declares, by kind.
+/// The part of an object that its owner declares, by kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)]
@@ -82,7 +83,7 @@
 }
 
 impl Spec {
-    /// The kind this is a spec of.
+    /// The kind of object that this spec belongs to.
     pub fn kind(&self) -> Kind {
         match self {
             Spec::Partner(_) => Kind::Partner,
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Reads the bare JSON of one kind's spec, as the resource API takes it.
+    /// Parses the JSON of a spec without a kind tag, the form that the operator API accepts.
     pub fn from_json(kind: Kind, json: serde_json::Value) -> Result<Spec, serde_json::Error> {
         Ok(match kind {
             Kind::Partner => Spec::Partner(serde_json::from_value(json)?),
@@ -108,7 +109,7 @@
         })
     }
 
-    /// The bare JSON of the spec.
+    /// The spec as JSON, without a kind tag.
     pub fn to_json(&self) -> serde_json::Value {
         let json = match self {
             Spec::Partner(spec) => serde_json::to_value(spec),
@@ -123,14 +124,14 @@
     }
 }
 
-/// A declared object with the revision at which it was last changed.
+/// A configuration object and the revision at which it was last changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Object {
-    /// Full name, `partner/name`; a partner's own object is `partner/partner`.
+    /// Full name, `partner/name`. The object that describes a partner is named `partner/partner`.
     pub id: ObjectId,
-    /// Revision of the last change; what `If-Match` compares.
+    /// Revision of the last change, which `If-Match` is compared with.
     pub revision: Revision,
-    /// What the owner declares.
+    /// The part that the owner declares.
     pub spec: Spec,
 }
 
@@ -140,7 +141,7 @@
         partner_of(&self.id)
     }
 
-    /// Name within the owner.
+    /// Name within the owner: the full name without the partner.
     pub fn name(&self) -> &str {
         self.id.split_once('/').map_or(&self.id, |(_, name)| name)
     }
--- a/src/resources/organisation.rs
+++ b/src/resources/organisation.rs
@@ -1,19 +1,20 @@
-//! An Organisation: a customer of a partner.
+//! Declared configuration of an Organisation, which is a customer of a partner.
 
 use serde::{Deserialize, Serialize};
 
-/// Declared state of an Organisation.
+/// Spec of an Organisation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Organisation {
-    /// SHA-256 of each caller key, in hex; the keys themselves are never kept.
+    /// SHA-256 of each caller key, in hex. The keys themselves are never stored.
     pub key_hashes: Vec<Box<str>>,
-    /// Models (`m`) or single versions (`m@v`) the organisation may use.
+    /// Models (`m`) and single versions (`m@v`) that the organisation may use.
     pub allowed: Vec<Box<str>>,
-    /// Share of a full pool relative to other organisations.
+    /// Weight of its share of a fully used pool, relative to other organisations.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Requests in flight at one entry before it sheds; none means no limit.
+    /// Maximum number of requests in flight per entry; further ones are rejected. `None` means no
+    /// limit.
     #[serde(default)]
     pub max_in_flight: Option<u32>,
 }
--- a/src/resources/roll_out.rs
+++ b/src/resources/roll_out.rs
@@ -1,19 +1,19 @@
-//! A roll-out of one version of a model over another.
+//! Declared configuration of a roll-out, which moves a model's sessions to another version.
 
 use serde::{Deserialize, Serialize};
 
-/// Where a roll-out stands.
+/// State of a roll-out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RollOutState {
-    /// Moves by steps while the guard finds the new version no worse.
+    /// Advances step by step as long as the guard finds the new version no worse.
     #[default]
     Running,
-    /// An operator stopped it where it is.
+    /// An operator paused it at the current step.
     Paused,
-    /// The guard suspects the new version; it takes no new sessions.
+    /// The guard found signs that the new version is worse, so it gets no new sessions.
     Held,
-    /// An operator gave it up; the new version takes no new sessions.
+    /// An operator aborted it. The new version gets no new sessions.
     Aborted,
     /// All new sessions use the new version.
     Finished,
@@ -23,11 +23,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Guard {
-    /// Answers of the new version needed before a step is taken.
+    /// Number of answers from the new version that are required before the next step.
     pub step_samples: u64,
-    /// Rise of the failure rate that counts as worse, 0 to 1.
+    /// Increase of the failure rate that counts as worse, 0 to 1.
     pub tolerated_rise: f64,
-    /// Chance of holding a version that is no worse, in a roll-out of a thousand answers, 0 to 1.
+    /// Probability of holding a version that is no worse, over a roll-out of 1000 answers, 0 to 1.
     pub false_hold: f64,
 }
 
@@ -37,31 +37,31 @@
     }
 }
 
-/// Declared state of a roll-out.
+/// Spec of a roll-out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RollOut {
-    /// Model whose sessions move.
+    /// Model whose sessions are moved.
     pub model: Box<str>,
-    /// Version in use before: the part behind the `@`.
+    /// Old version, as the part of its name after the `@`.
     pub from: Box<str>,
-    /// Version rolled out: the part behind the `@`.
+    /// New version, as the part of its name after the `@`.
     pub to: Box<str>,
-    /// Shares of new sessions, 0 to 1, one a step.
+    /// Share of new sessions that the new version gets in each step, 0 to 1.
     pub steps: Vec<f64>,
-    /// Index of the step in force.
+    /// Index of the current step.
     #[serde(default)]
     pub step: usize,
-    /// Where it stands.
+    /// State of the roll-out.
     #[serde(default)]
     pub state: RollOutState,
-    /// Settings of the guard.
+    /// Settings of the sequential test that guards it.
     #[serde(default)]
     pub guard: Guard,
 }
 
 impl RollOut {
-    /// Share of new sessions that the step in force gives to the new version, 0 to 1.
+    /// Share of new sessions that the new version currently gets, 0 to 1.
     pub fn share(&self) -> f64 {
         match self.state {
             RollOutState::Running | RollOutState::Paused => {
--- a/src/resources/snapshot.rs
+++ b/src/resources/snapshot.rs
@@ -1,4 +1,4 @@
-//! The immutable form of a configuration revision that traffic threads read.
+//! An immutable, indexed view of one configuration revision, read while serving requests.
 
 use std::collections::HashMap;
 
@@ -14,10 +14,10 @@
     },
 };
 
-/// Everything declared, indexed for decisions.
+/// All configuration objects of one revision, indexed for lookups.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
-    /// Revision this is the state of.
+    /// Configuration revision that this is a snapshot of.
     pub revision: Revision,
     /// Partners by name.
     pub partners: HashMap<PartnerId, Partner>,
@@ -33,7 +33,7 @@
     pub roll_outs: HashMap<ObjectId, RollOut>,
     /// BackendServers by full name.
     pub servers: HashMap<ObjectId, BackendServer>,
-    /// Revision of the last change of each object.
+    /// Revision at which each object was last changed.
     pub object_revisions: HashMap<(Kind, ObjectId), Revision>,
     caller_keys: HashMap<Box<str>, OrganisationId>,
     operator_keys: HashMap<Box<str>, PartnerId>,
@@ -41,7 +41,7 @@
 }
 
 impl Snapshot {
-    /// Indexes objects as of one revision.
+    /// Builds the snapshot from the objects in force at `revision`.
     pub fn build<'a>(revision: Revision, objects: impl Iterator<Item = &'a Object>) -> Snapshot {
         let mut snapshot = Snapshot { revision, ..Snapshot::default() };
         for object in objects {
@@ -78,17 +78,17 @@
         }
     }
 
-    /// Organisation whose caller key this is.
+    /// The organisation that a caller key belongs to.
     pub fn organisation_by_key(&self, key: &str) -> Option<&str> {
         find_key_owner(&self.caller_keys, key)
     }
 
-    /// Partner whose operator key this is.
+    /// The partner that an operator key belongs to.
     pub fn partner_by_key(&self, key: &str) -> Option<&str> {
         find_key_owner(&self.operator_keys, key)
     }
 
-    /// Whether the owner of a model lets `partner` use it.
+    /// Whether `partner` owns a model or the model is shared with it.
     pub fn model_is_shared(&self, model: &str, partner: &str) -> bool {
         let Some(spec) = self.models.get(model) else {
             return false;
@@ -96,7 +96,7 @@
         partner_of(model) == partner || is_shared_with(&spec.shared_with, partner)
     }
 
-    /// Whether the owner of a BackendServer lets `partner` use it.
+    /// Whether `partner` owns a BackendServer or the server is shared with it.
     pub fn server_is_shared(&self, server: &str, partner: &str) -> bool {
         let Some(spec) = self.servers.get(server) else {
             return false;
@@ -104,7 +104,8 @@
         partner_of(server) == partner || is_shared_with(&spec.shared_with, partner)
     }
 
-    /// Whether an organisation may use a version, by its own list and the owner's sharing.
+    /// Whether an organisation may use a version: its `allowed` list must contain the version or
+    /// the model, its partner must have access to the model, and the version must exist.
     pub fn is_allowed(&self, organisation: &str, version: &str) -> bool {
         let Some(spec) = self.organisations.get(organisation) else {
             return false;
@@ -125,13 +126,13 @@
         self.versions.get(version).is_some_and(|v| v.state == VersionState::Available)
     }
 
-    /// Established version of a model, as a full name.
+    /// Full name of a model's stable version.
     pub fn stable_version(&self, model: &str) -> Option<VersionId> {
         let spec = self.models.get(model)?;
         Some(format!("{model}@{}", spec.stable).into())
     }
 
-    /// Roll-out of a model with its full name, if one is declared.
+    /// Full name and spec of the roll-out declared for a model, if there is one.
     pub fn roll_out_of(&self, model: &str) -> Option<(&ObjectId, &RollOut)> {
         let id = self.roll_out_of_model.get(model)?;
         self.roll_outs.get(id).map(|spec| (id, spec))
@@ -142,16 +143,17 @@
     partners.iter().any(|listed| &**listed == "*" || &**listed == partner)
 }
 
-/// Looks a key up by its hash; the final comparison takes the same time wherever it differs.
+/// Finds the owner of a key by the key's hash. The final comparison runs in constant time.
 fn find_key_owner<'a>(keys: &'a HashMap<Box<str>, Box<str>>, key: &str) -> Option<&'a str> {
     let hash = hash_key(key);
     let (stored_hash, owner) = keys.get_key_value(&hash)?;
     bool::from(stored_hash.as_bytes().ct_eq(hash.as_bytes())).then_some(&**owner)
 }
 
-/// Answers to what else needs an object.
+/// Lookup of the objects that depend on another object.
 impl Snapshot {
-    /// Full names of the owner's objects that would break if this one were deleted.
+    /// Sorted full names of the owner's objects that prevent the deletion of this one: the versions
+    /// of a model, the model and roll-out that name a version, or all objects of a partner.
     pub fn dependents_of(&self, kind: Kind, id: &str) -> Vec<ObjectId> {
         let mut dependents: Vec<ObjectId> = match kind {
             Kind::Model => self.versions.keys().filter(|v| model_of(v) == id).cloned().collect(),
--- a/src/resources/version.rs
+++ b/src/resources/version.rs
@@ -1,32 +1,32 @@
-//! One version of a model.
+//! Declared configuration of a model version.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::MicroCost;
 
-/// Whether a version may take requests.
+/// Whether a version may serve requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VersionState {
-    /// May take requests.
+    /// May serve requests.
     #[default]
     Available,
-    /// Takes no new request of any kind.
+    /// Gets no new requests of any kind.
     Withdrawn,
 }
 
-/// Declared state of a version, named `model@version`.
+/// Spec of a version, whose object is named `model@version`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Version {
-    /// Cost of a thousand prompt tokens.
+    /// Cost per 1000 prompt tokens.
     pub cost_in: MicroCost,
-    /// Cost of a thousand generated tokens.
+    /// Cost per 1000 generated tokens.
     pub cost_out: MicroCost,
-    /// Mean rating expected before any answer has been rated, 0 to 1.
+    /// Mean rating assumed until answers have been rated, 0 to 1.
     #[serde(default = "default_quality")]
     pub quality: f64,
-    /// Whether it may take requests.
+    /// Whether the version may serve requests.
     #[serde(default)]
     pub state: VersionState,
 }
@@ -36,7 +36,7 @@
 }
 
 impl Version {
-    /// Cost of one answer, rounded up so that no use is free.
+    /// Cost of an answer, rounded up so that even the smallest answer is charged.
     pub fn cost(&self, tokens_in: u64, tokens_out: u64) -> MicroCost {
         (tokens_in * self.cost_in + tokens_out * self.cost_out).div_ceil(1000)
     }
