--- a/src/ledger/batch.rs
+++ b/src/ledger/batch.rs
@@ -1,4 +1,4 @@
-//! Charge records waiting to be written, and the batch objects they are written to.
+//! Buffer of charge records, and the batches in which they are written to the object store.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,10 +9,11 @@
     protocol::{decode, encode},
 };
 
-/// Records in one batch object at most.
+/// Maximum number of records in one batch.
 const MAX_BATCH_RECORDS: usize = 2_000;
 
-/// Bounded buffer of records that are not yet in the object store.
+/// Charge records that have not been put into a batch yet. The capacity is a soft limit: see
+/// [`ChargeBuffer::push`].
 #[derive(Debug)]
 pub struct ChargeBuffer {
     waiting: VecDeque<ChargeRecord>,
@@ -20,42 +21,43 @@
     next_batch: u64,
 }
 
-/// A batch that has its name and keeps it until it is written.
+/// Charge records that are written to the object store as one object.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Batch {
-    /// Deterministic name: a repeated write after a lost reply writes the same object.
+    /// Object name, fixed when the batch is created, so that a retry after a lost reply writes the
+    /// same object again.
     pub name: Box<str>,
-    /// Records of one window.
+    /// Records, all of the same settlement window.
     pub records: Vec<ChargeRecord>,
 }
 
 impl ChargeBuffer {
-    /// An empty buffer for `capacity` records.
+    /// Creates an empty buffer that counts as full at `capacity` records.
     pub fn new(capacity: usize) -> Self {
         Self { waiting: VecDeque::new(), capacity, next_batch: 0 }
     }
 
-    /// Records waiting.
+    /// Number of buffered records.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether the buffer holds no records.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Whether new billable work must be refused until records have been written.
+    /// Whether new billable requests must be refused until records have been taken out.
     pub fn is_full(&self) -> bool {
         self.waiting.len() >= self.capacity
     }
 
-    /// Adds a record. A full buffer still takes it: work already done has to be billed.
+    /// Adds a record, even to a full buffer: work that has been done must be billed.
     pub fn push(&mut self, record: ChargeRecord) {
         self.waiting.push_back(record);
     }
 
-    /// Takes out the waiting records as named batches, one or more a window.
+    /// Removes all records and returns them as batches, one or more per settlement window.
     pub fn take_batches(&mut self, writer: Incarnation) -> Vec<Batch> {
         let mut windows: BTreeMap<u64, Vec<ChargeRecord>> = BTreeMap::new();
         for record in self.waiting.drain(..) {
@@ -77,7 +79,8 @@
     format!("charges/{window:012}/{}-{number:08}", format_id(writer)).into()
 }
 
-/// Writes batches in order; those that failed stay in `pending`. Returns the requests written.
+/// Writes batches in order and removes each from `pending` once it is written; stops at the first
+/// error. Returns the requests whose records were written.
 pub async fn write_batches(
     objects: &ObjectsClient,
     pending: &mut VecDeque<Batch>,
@@ -93,10 +96,10 @@
     (written, Ok(()))
 }
 
-/// Reads a batch object.
+/// Decodes the body of a batch object.
 ///
 /// # Errors
-/// [`Error::Unreadable`] when it is not one.
+/// [`Error::Unreadable`] if the body is not a valid batch.
 pub fn read_batch(body: &[u8]) -> Result<Vec<ChargeRecord>> {
     decode(body).map_err(|e| Error::Unreadable(e.to_string().into()))
 }
--- a/src/ledger/group.rs
+++ b/src/ledger/group.rs
@@ -1,5 +1,5 @@
-//! Inserts of rows, committed in groups: the platform carries only several hundred writes a
-//! second, so rows that arrive together share a transaction.
+//! Group commit of row writes. The platform handles only several hundred writes per second, so rows
+//! that arrive at about the same time share a transaction.
 
 use std::time::Duration;
 
@@ -11,11 +11,12 @@
     platform::{Error, InsertOutcome, TableClient, Transaction},
 };
 
-/// Rows in one transaction at most.
+/// Maximum number of rows in one transaction.
 const MAX_GROUP_ROWS: usize = 128;
-/// Groups waiting at most; beyond, an insert is refused at once.
+/// Maximum number of queued row writes. When the queue is full, further ones are refused at once.
 const MAX_QUEUED_INSERTS: usize = 4_096;
 
+/// A queued write of one row.
 struct Insert {
     key: Box<str>,
     expected: Option<u64>,
@@ -23,7 +24,7 @@
     reply: oneshot::Sender<InsertOutcome>,
 }
 
-/// Handle on the task that commits groups.
+/// Handle to the task that commits row writes in groups.
 #[derive(Clone, Debug)]
 pub struct GroupCommit {
     tx: mpsc::Sender<Insert>,
@@ -36,14 +37,14 @@
 }
 
 impl GroupCommit {
-    /// Starts the task; `linger` is how long the first row of a group waits for others.
+    /// Starts the task. The first row of a group waits for `linger` so that others can join it.
     pub fn start(table: TableClient, health: StoreHealth, linger: Duration) -> Self {
         let (tx, rx) = mpsc::channel(MAX_QUEUED_INSERTS);
         tokio::spawn(commit_queued(table, health, linger, rx));
         Self { tx }
     }
 
-    /// Writes a row if it still has the expected version; none means absent.
+    /// Writes a row if it still has the `expected` version; `None` expects that it does not exist.
     pub async fn write(&self, key: Box<str>, expected: Option<u64>, value: Value) -> InsertOutcome {
         let (reply, outcome) = oneshot::channel();
         if self.tx.try_send(Insert { key, expected, value, reply }).is_err() {
@@ -67,7 +68,7 @@
         let mut deferred = Vec::new();
         while group.len() < MAX_GROUP_ROWS {
             let Ok(next) = rx.try_recv() else { break };
-            // Two writes of one row can't share a transaction.
+            // A transaction can't write the same row twice.
             let is_same_row = group.iter().any(|insert| insert.key == next.key);
             if is_same_row { deferred.push(next) } else { group.push(next) }
         }
@@ -78,7 +79,8 @@
     }
 }
 
-/// Commits a group; rows that conflict are answered and the rest is tried again without them.
+/// Commits a group in one transaction. On a conflict, reports it for the rows concerned and tries
+/// again with the rest.
 async fn commit(table: TableClient, health: StoreHealth, mut group: Vec<Insert>) {
     while !group.is_empty() {
         let mut tx = Transaction::default();
--- a/src/ledger/mod.rs
+++ b/src/ledger/mod.rs
@@ -1,4 +1,4 @@
-//! The ledger: charge records on their way to the object store, and their settlement.
+//! Billing: writes charge records to the object store and adds them to each organisation's totals.
 
 mod batch;
 mod group;
--- a/src/ledger/settle.rs
+++ b/src/ledger/settle.rs
@@ -1,9 +1,10 @@
-//! The settler: a leased job that adds each window's charges to the totals, once.
+//! The settler: a job that runs under a lease and adds the charges of each window to the totals
+//! exactly once.
 //!
-//! A window is settled by reading all its batches, merging them by request and adding what has
-//! not been settled before. The ids already settled are kept in an object that is written
-//! before the totals; the window's row names the object that counts, and row and totals change
-//! in one transaction under the lease. See `docs/decisions/0005-billing.md`.
+//! Settling a window reads its new batches, merges their records by request and adds the requests
+//! that have not been settled before. The ids of all settled requests are stored in an object that
+//! is written before the totals. The window's row names the object that is valid; the row and the
+//! totals change in one transaction under the lease. See `docs/decisions/0005-billing.md`.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,45 +20,48 @@
     telemetry::event,
 };
 
-/// Windows younger than this many windows are left alone, so that their batches arrive first.
+/// A window is settled only when it is at least this many windows old, so that its batches have
+/// time to arrive.
 const OPEN_WINDOWS: u64 = 2;
 
-/// Row of a settled window.
+/// Table row that records what has been settled in a window.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct WindowRow {
-    /// Batches already added.
+    /// Names of the batches that have been added to the totals.
     batches: BTreeSet<Box<str>>,
-    /// Object that holds the ids already added.
+    /// Name of the object that holds the ids of the requests added; empty if there is none.
     ids: Box<str>,
 }
 
-/// What one pass did.
+/// Result of one run of the settler.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SettleReport {
-    /// Windows whose totals grew.
+    /// Number of windows in which new batches were settled.
     pub windows: usize,
-    /// Requests added.
+    /// Number of requests added to the totals.
     pub requests: usize,
-    /// Copies of requests that had been added before, or more than once.
+    /// Number of records left out because their request was already counted, in this run or before.
     pub duplicates: usize,
 }
 
-/// The job's dependencies.
+/// The settlement job and the services that it uses.
 #[derive(Clone, Debug)]
 pub struct Settler {
-    /// Table service.
+    /// Client of the table store, which holds totals and window rows.
     pub table: TableClient,
-    /// Object store.
+    /// Client of the object store, which holds batches and settled ids.
     pub objects: ObjectsClient,
-    /// Health of the store.
+    /// Records the outcome of store calls.
     pub health: StoreHealth,
 }
 
 impl Settler {
-    /// Settles every window older than the open ones; `now_window` is the window of now.
+    /// Settles every window that is no longer open; `now_window` is the current window. Stops early
+    /// if a transaction is rejected.
     ///
     /// # Errors
-    /// When the store gives no answer; what was not settled stays for the next pass.
+    /// Fails if a store call fails or stored data is unreadable. Windows that were not settled are
+    /// left for the next run.
     pub async fn settle_closed_windows(
         &self,
         permit: &Permit,
@@ -82,7 +86,8 @@
         Ok(report)
     }
 
-    /// Settles one window. False when the lease has passed to someone else.
+    /// Settles one window and deletes its batches. Returns false if the transaction was rejected,
+    /// usually because the lease has passed to another process.
     async fn settle_window(
         &self,
         permit: &Permit,
@@ -107,13 +112,16 @@
                 return Ok(false);
             }
         }
-        // The totals hold them now; the row remembers the names should a delete be lost.
+        // The totals include these batches now. If a delete is lost, the names in the row keep
+        // the batch from being added again.
         for name in batches {
             self.objects.delete(&name).await?;
         }
         Ok(true)
     }
 
+    /// Adds batches to the totals and to the window's row in one transaction. Returns whether the
+    /// transaction was committed.
     async fn add_batches(
         &self,
         permit: &Permit,
@@ -158,7 +166,9 @@
             return Ok(BTreeSet::new());
         }
         let Some(body) = self.objects.get(name).await? else {
-            return Err(Error::Unreadable(format!("object {name} is missing").into()));
+            return Err(Error::Unreadable(
+                format!("object {name} with the settled request ids is missing").into(),
+            ));
         };
         decode(&body).map_err(|e| Error::Unreadable(e.to_string().into()))
     }
@@ -174,10 +184,10 @@
     }
 }
 
-/// Totals of all organisations.
+/// Reads the totals of all organisations.
 ///
 /// # Errors
-/// When the store gives no answer.
+/// Fails if the store call fails or a row is unreadable.
 pub async fn read_totals(table: &TableClient) -> Result<BTreeMap<Box<str>, Totals>> {
     let rows = table.list("totals/", "", 10_000).await?;
     let name = |row: &Row| row.key.trim_start_matches("totals/").into();
@@ -201,6 +211,7 @@
     })
 }
 
+/// The settlement window in the name of a batch object.
 fn window_of_batch(name: &str) -> Option<u64> {
     name.strip_prefix("charges/")?.split_once('/')?.0.parse().ok()
 }
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -1,5 +1,5 @@
-//! The ledger and leases against the stand-in stores without sockets, with lost replies,
-//! outages and paused clocks.
+//! Tests of billing, leases, group commit and store health against in-process stand-ins of the
+//! stores, with lost replies, outages and a paused clock.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -19,6 +19,7 @@
 };
 use serde_json::json;
 
+/// A current window at which all windows used in these tests are closed.
 const LATER_WINDOW: u64 = 1_000;
 
 struct Stores {
@@ -44,7 +45,7 @@
     async fn lease(&self, me: u128) -> (Lease, Permit) {
         let mut lease = Lease::new("settler", me, LeaseTiming::default());
         lease.acquire_or_renew(&self.table.client(), &self.health).await.unwrap();
-        let permit = lease.permit().expect("nobody else holds it");
+        let permit = lease.permit().expect("no other process holds the lease");
         (lease, permit)
     }
 
@@ -76,7 +77,7 @@
             return;
         }
     }
-    panic!("never written");
+    panic!("batches not written after 100 tries");
 }
 
 #[tokio::test]
@@ -133,7 +134,7 @@
     let mut passes = 0;
     while stores.settler().settle_closed_windows(&permit, LATER_WINDOW).await.is_err() {
         passes += 1;
-        assert!(passes < 1_000, "never settled");
+        assert!(passes < 1_000, "settlement failed 1000 times");
     }
 
     stores.table.faults.set(Faults::default());
@@ -146,18 +147,18 @@
     let (_first, old) = stores.lease(1).await;
     write_charges(&stores, 1, (0..5).map(|i| record(5, i, Delivery::Whole)).collect()).await;
 
-    // The holder is paused; another takes the lease over and settles.
+    // The first holder is paused while a second one takes over the lease and settles.
     let mut second = Lease::new("settler", 2, LeaseTiming::default());
     second.acquire_or_renew(&stores.table.client(), &stores.health).await.unwrap();
-    assert!(second.permit().is_none(), "not before the lease has run out");
+    assert!(second.permit().is_none(), "the lease must not change hands before it expires");
     tokio::time::advance(Duration::from_secs(7)).await;
     second.acquire_or_renew(&stores.table.client(), &stores.health).await.unwrap();
-    let new = second.permit().expect("taken over");
+    let new = second.permit().expect("the lease has expired and was taken over");
     stores.settler().settle_closed_windows(&new, LATER_WINDOW).await.unwrap();
     write_charges(&stores, 1, (5..9).map(|i| record(5, i, Delivery::Whole)).collect()).await;
     let late = stores.settler().settle_closed_windows(&old, LATER_WINDOW).await.unwrap();
 
-    assert_eq!(late.requests, 0, "the late write took effect");
+    assert_eq!(late.requests, 0, "a settlement under the old lease took effect");
     assert!(new.fencing > old.fencing);
     assert_eq!(stores.billed_requests().await, 5);
 }
@@ -170,7 +171,7 @@
 
     tokio::time::advance(Duration::from_secs(3)).await;
     assert!(lease.acquire_or_renew(&stores.table.client(), &stores.health).await.is_err());
-    assert!(lease.permit().is_some(), "still within its time");
+    assert!(lease.permit().is_some(), "the lease has not expired yet");
     tokio::time::advance(Duration::from_secs(2)).await;
     assert!(lease.permit().is_none());
 }
@@ -208,7 +209,7 @@
             other => panic!("{other:?}"),
         })
         .collect();
-    assert_eq!(numbers.len(), 1, "one transaction for all");
+    assert_eq!(numbers.len(), 1, "all rows must share one transaction");
 }
 
 #[tokio::test(start_paused = true)]
@@ -253,7 +254,7 @@
     tokio::time::advance(Duration::from_secs(1)).await;
     let _ = health.track("test", lost()).await;
     tokio::time::advance(Duration::from_secs(1)).await;
-    assert!(health.is_unavailable(), "counted from the first call without an answer");
+    assert!(health.is_unavailable(), "the time must count from the first call without an answer");
     let _ = health.track("test", async { Ok(()) }).await;
 
     assert!(!health.last_call_failed() && !health.is_unavailable());
