--- a/src/ledger/settle.rs
+++ b/src/ledger/settle.rs
@@ -1,9 +1,10 @@
-//! The settler: a leased job that adds each window's charges to the totals, once.
+//! The settler: a job that runs under a lease and adds the charges of each window to the totals
+//! exactly once.
 //!
-//! A window is settled by reading all its batches, merging them by request and adding what has
-//! not been settled before. The ids already settled are kept in an object that is written
-//! before the totals; the window's row names the object that counts, and row and totals change
-//! in one transaction under the lease. See `docs/decisions/0005-billing.md`.
+//! Settling a window reads its new batches, merges their records by request and adds the requests
+//! that have not been settled before. The ids of all settled requests are stored in an object that
+//! is written before the totals. The window's row names the object that is valid; the row and the
+//! totals change in one transaction under the lease. See `docs/decisions/0005-billing.md`.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,50 +20,57 @@
     telemetry::event,
 };
 
-/// Windows younger than this many windows are left alone, so that their batches arrive first.
+/// A window is settled only when it is at least this many windows old, so that its batches have
+/// time to arrive.
 const OPEN_WINDOWS: u64 = 2;
 
-/// Row of a settled window.
+/// Table row that records what has been settled in a window.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct WindowRow {
-    /// Batches already added.
+    /// Names of the batches that have been added to the totals.
     batches: BTreeSet<Box<str>>,
-    /// Object that holds the ids already added.
+    /// Name of the object that holds the ids of the requests added; empty if there is none.
     ids: Box<str>,
 }
 
-/// What one pass did.
+/// Result of one run of the settler.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SettleReport {
-    /// Windows whose totals grew.
+    /// Number of windows in which new batches were settled.
     pub windows: usize,
-    /// Requests added.
+    /// Number of requests added to the totals.
     pub requests: usize,
-    /// Copies of requests that had been added before, or more than once.
-    pub copies: usize,
+    /// Number of records left out because their request was already counted, in this run or before.
+    pub duplicates: usize,
 }
 
-/// The job's dependencies.
+/// The settlement job and the services that it uses.
 #[derive(Clone, Debug)]
 pub struct Settler {
-    /// Table service.
+    /// Client of the table store, which holds totals and window rows.
     pub table: TableClient,
-    /// Object store.
+    /// Client of the object store, which holds batches and settled ids.
     pub objects: ObjectsClient,
-    /// Health of the store.
+    /// Records the outcome of store calls.
     pub health: StoreHealth,
 }
 
 impl Settler {
-    /// Settles every window older than the open ones; `now_window` is the window of now.
+    /// Settles every window that is no longer open; `now_window` is the current window. Stops early
+    /// if a transaction is rejected.
     ///
     /// # Errors
-    /// When the store gives no answer; what was not settled stays for the next pass.
-    pub async fn pass(&self, permit: &Permit, now_window: u64) -> Result<SettleReport> {
+    /// Fails if a store call fails or stored data is unreadable. Windows that were not settled are
+    /// left for the next run.
+    pub async fn settle_closed_windows(
+        &self,
+        permit: &Permit,
+        now_window: u64,
+    ) -> Result<SettleReport> {
         let names = self.health.track("charge_list", self.objects.list("charges/")).await?;
         let mut windows: BTreeMap<u64, Vec<Box<str>>> = BTreeMap::new();
         for name in names {
-            let Some(window) = window_in(&name) else {
+            let Some(window) = window_of_batch(&name) else {
                 continue;
             };
             if window + OPEN_WINDOWS <= now_window {
@@ -78,7 +86,8 @@
         Ok(report)
     }
 
-    /// Settles one window. False when the lease has passed to someone else.
+    /// Settles one window and deletes its batches. Returns false if the transaction was rejected,
+    /// usually because the lease has passed to another process.
     async fn settle_window(
         &self,
         permit: &Permit,
@@ -88,53 +97,57 @@
     ) -> Result<bool> {
         let key: Box<str> = format!("settled/{window:012}").into();
         let row = self.health.track("settle_read", self.table.get(&key)).await?;
-        let mut settled: WindowRow = match &row {
+        let mut window_row: WindowRow = match &row {
             Some(row) => row.parse()?,
             None => WindowRow::default(),
         };
-        let fresh: Vec<Box<str>> =
-            batches.iter().filter(|name| !settled.batches.contains(*name)).cloned().collect();
-        if !fresh.is_empty() {
+        let new_batches: Vec<Box<str>> =
+            batches.iter().filter(|name| !window_row.batches.contains(*name)).cloned().collect();
+        if !new_batches.is_empty() {
             let version = row.as_ref().map(|row| row.version);
-            let permitted =
-                self.add_batches(permit, (&key, version), &mut settled, &fresh, report).await?;
-            if !permitted {
+            let committed = self
+                .add_batches(permit, (&key, version), &mut window_row, &new_batches, report)
+                .await?;
+            if !committed {
                 return Ok(false);
             }
         }
-        // The totals hold them now; the row remembers the names should a delete be lost.
+        // The totals include these batches now. If a delete is lost, the names in the row keep
+        // the batch from being added again.
         for name in batches {
             self.objects.delete(&name).await?;
         }
         Ok(true)
     }
 
+    /// Adds batches to the totals and to the window's row in one transaction. Returns whether the
+    /// transaction was committed.
     async fn add_batches(
         &self,
         permit: &Permit,
         (key, version): (&str, Option<u64>),
-        settled: &mut WindowRow,
-        fresh: &[Box<str>],
+        window_row: &mut WindowRow,
+        new_batches: &[Box<str>],
         report: &mut SettleReport,
     ) -> Result<bool> {
-        let mut known = self.read_ids(&settled.ids).await?;
-        let records = self.read_records(fresh).await?;
-        let copies = records.len();
+        let mut settled_ids = self.read_ids(&window_row.ids).await?;
+        let records = self.read_records(new_batches).await?;
+        let records_read = records.len();
         let merged = merge(records);
-        let (sums, ids) = settle(&merged, &known);
+        let (sums_by_organisation, ids) = settle(&merged, &settled_ids);
         let added = ids.len();
-        known.extend(ids);
+        settled_ids.extend(ids);
         let window = key.trim_start_matches("settled/");
         let ids_name: Box<str> =
             format!("settled/{window}/{}-{}", permit.fencing, permit.version).into();
-        self.objects.put(&ids_name, encode(&known)).await?;
-        settled.batches.extend(fresh.iter().cloned());
-        settled.ids = ids_name;
-        let mut tx = permit.transaction().check(key, version).put(key, settled);
-        for (organisation, sum) in sums {
+        self.objects.put(&ids_name, encode(&settled_ids)).await?;
+        window_row.batches.extend(new_batches.iter().cloned());
+        window_row.ids = ids_name;
+        let mut tx = permit.transaction().check(key, version).put(key, window_row);
+        for (organisation, sum) in sums_by_organisation {
             let total_key = total_key(&organisation);
             let row = self.health.track("total_read", self.table.get(&total_key)).await?;
-            let total = plus(row.as_ref(), sum)?;
+            let total = add_to_total(row.as_ref(), sum)?;
             tx = tx.check(total_key.clone(), row.map(|row| row.version)).put(total_key, &total);
         }
         let outcome = self.health.track("settle_write", self.table.transact(tx)).await?;
@@ -144,7 +157,7 @@
         event::CHARGES_SETTLED.log(format_args!("window={window} requests={added}"));
         report.windows += 1;
         report.requests += added;
-        report.copies += copies - added;
+        report.duplicates += records_read - added;
         Ok(true)
     }
 
@@ -153,7 +166,9 @@
             return Ok(BTreeSet::new());
         }
         let Some(body) = self.objects.get(name).await? else {
-            return Err(Error::Unreadable(format!("object {name} is missing").into()));
+            return Err(Error::Unreadable(
+                format!("object {name} with the settled request ids is missing").into(),
+            ));
         };
         decode(&body).map_err(|e| Error::Unreadable(e.to_string().into()))
     }
@@ -169,10 +184,10 @@
     }
 }
 
-/// Totals of all organisations.
+/// Reads the totals of all organisations.
 ///
 /// # Errors
-/// When the store gives no answer.
+/// Fails if the store call fails or a row is unreadable.
 pub async fn read_totals(table: &TableClient) -> Result<BTreeMap<Box<str>, Totals>> {
     let rows = table.list("totals/", "", 10_000).await?;
     let name = |row: &Row| row.key.trim_start_matches("totals/").into();
@@ -183,19 +198,20 @@
     format!("totals/{organisation}").into()
 }
 
-fn plus(row: Option<&Row>, sum: Totals) -> Result<Totals> {
-    let old: Totals = match row {
+fn add_to_total(row: Option<&Row>, sum: Totals) -> Result<Totals> {
+    let previous: Totals = match row {
         Some(row) => row.parse()?,
         None => Totals::default(),
     };
     Ok(Totals {
-        requests: old.requests + sum.requests,
-        tokens_in: old.tokens_in + sum.tokens_in,
-        tokens_out: old.tokens_out + sum.tokens_out,
-        cost: old.cost + sum.cost,
+        requests: previous.requests + sum.requests,
+        tokens_in: previous.tokens_in + sum.tokens_in,
+        tokens_out: previous.tokens_out + sum.tokens_out,
+        cost: previous.cost + sum.cost,
     })
 }
 
-fn window_in(name: &str) -> Option<u64> {
+/// The settlement window in the name of a batch object.
+fn window_of_batch(name: &str) -> Option<u64> {
     name.strip_prefix("charges/")?.split_once('/')?.0.parse().ok()
 }
--- a/src/resources/snapshot.rs
+++ b/src/resources/snapshot.rs
@@ -1,4 +1,4 @@
-//! The immutable form of a configuration revision that traffic threads read.
+//! An immutable, indexed view of one configuration revision, read while serving requests.
 
 use std::collections::HashMap;
 
@@ -14,10 +14,10 @@
     },
 };
 
-/// Everything declared, indexed for decisions.
+/// All configuration objects of one revision, indexed for lookups.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
-    /// Revision this is the state of.
+    /// Configuration revision that this is a snapshot of.
     pub revision: Revision,
     /// Partners by name.
     pub partners: HashMap<PartnerId, Partner>,
@@ -33,15 +33,15 @@
     pub roll_outs: HashMap<ObjectId, RollOut>,
     /// BackendServers by full name.
     pub servers: HashMap<ObjectId, BackendServer>,
-    /// Revision of the last change of each object.
-    pub changed: HashMap<(Kind, ObjectId), Revision>,
+    /// Revision at which each object was last changed.
+    pub object_revisions: HashMap<(Kind, ObjectId), Revision>,
     caller_keys: HashMap<Box<str>, OrganisationId>,
     operator_keys: HashMap<Box<str>, PartnerId>,
     roll_out_of_model: HashMap<ObjectId, ObjectId>,
 }
 
 impl Snapshot {
-    /// Indexes objects as of one revision.
+    /// Builds the snapshot from the objects in force at `revision`.
     pub fn build<'a>(revision: Revision, objects: impl Iterator<Item = &'a Object>) -> Snapshot {
         let mut snapshot = Snapshot { revision, ..Snapshot::default() };
         for object in objects {
@@ -53,7 +53,7 @@
     fn insert(&mut self, object: &Object) {
         let id = object.id.clone();
         let owner = object.owner();
-        self.changed.insert((object.spec.kind(), id.clone()), object.revision);
+        self.object_revisions.insert((object.spec.kind(), id.clone()), object.revision);
         match &object.spec {
             Spec::Partner(spec) => {
                 for hash in &spec.operator_key_hashes {
@@ -78,33 +78,34 @@
         }
     }
 
-    /// Organisation whose caller key this is.
+    /// The organisation that a caller key belongs to.
     pub fn organisation_by_key(&self, key: &str) -> Option<&str> {
-        find_by_hash(&self.caller_keys, key)
+        find_key_owner(&self.caller_keys, key)
     }
 
-    /// Partner whose operator key this is.
+    /// The partner that an operator key belongs to.
     pub fn partner_by_key(&self, key: &str) -> Option<&str> {
-        find_by_hash(&self.operator_keys, key)
+        find_key_owner(&self.operator_keys, key)
     }
 
-    /// Whether the owner of a model lets `partner` use it.
+    /// Whether `partner` owns a model or the model is shared with it.
     pub fn model_is_shared(&self, model: &str, partner: &str) -> bool {
         let Some(spec) = self.models.get(model) else {
             return false;
         };
-        partner_of(model) == partner || lists(&spec.shared_with, partner)
+        partner_of(model) == partner || is_shared_with(&spec.shared_with, partner)
     }
 
-    /// Whether the owner of a BackendServer lets `partner` use it.
+    /// Whether `partner` owns a BackendServer or the server is shared with it.
     pub fn server_is_shared(&self, server: &str, partner: &str) -> bool {
         let Some(spec) = self.servers.get(server) else {
             return false;
         };
-        partner_of(server) == partner || lists(&spec.shared_with, partner)
+        partner_of(server) == partner || is_shared_with(&spec.shared_with, partner)
     }
 
-    /// Whether an organisation may use a version, by its own list and the owner's sharing.
+    /// Whether an organisation may use a version: its `allowed` list must contain the version or
+    /// the model, its partner must have access to the model, and the version must exist.
     pub fn is_allowed(&self, organisation: &str, version: &str) -> bool {
         let Some(spec) = self.organisations.get(organisation) else {
             return false;
@@ -125,62 +126,63 @@
         self.versions.get(version).is_some_and(|v| v.state == VersionState::Available)
     }
 
-    /// Established version of a model, as a full name.
+    /// Full name of a model's stable version.
     pub fn stable_version(&self, model: &str) -> Option<VersionId> {
         let spec = self.models.get(model)?;
         Some(format!("{model}@{}", spec.stable).into())
     }
 
-    /// Roll-out of a model with its full name, if one is declared.
+    /// Full name and spec of the roll-out declared for a model, if there is one.
     pub fn roll_out_of(&self, model: &str) -> Option<(&ObjectId, &RollOut)> {
         let id = self.roll_out_of_model.get(model)?;
         self.roll_outs.get(id).map(|spec| (id, spec))
     }
 }
 
-fn lists(partners: &[PartnerId], partner: &str) -> bool {
+fn is_shared_with(partners: &[PartnerId], partner: &str) -> bool {
     partners.iter().any(|listed| &**listed == "*" || &**listed == partner)
 }
 
-/// Looks a key up by its hash; the final comparison takes the same time wherever it differs.
-fn find_by_hash<'a>(keys: &'a HashMap<Box<str>, Box<str>>, key: &str) -> Option<&'a str> {
+/// Finds the owner of a key by the key's hash. The final comparison runs in constant time.
+fn find_key_owner<'a>(keys: &'a HashMap<Box<str>, Box<str>>, key: &str) -> Option<&'a str> {
     let hash = hash_key(key);
-    let (held, owner) = keys.get_key_value(&hash)?;
-    bool::from(held.as_bytes().ct_eq(hash.as_bytes())).then_some(&**owner)
+    let (stored_hash, owner) = keys.get_key_value(&hash)?;
+    bool::from(stored_hash.as_bytes().ct_eq(hash.as_bytes())).then_some(&**owner)
 }
 
-/// Answers to what else needs an object.
+/// Lookup of the objects that depend on another object.
 impl Snapshot {
-    /// Full names of the owner's objects that would break if this one were deleted.
-    pub fn users_of(&self, kind: Kind, id: &str) -> Vec<ObjectId> {
-        let mut users: Vec<ObjectId> = match kind {
+    /// Sorted full names of the owner's objects that prevent the deletion of this one: the versions
+    /// of a model, the model and roll-out that name a version, or all objects of a partner.
+    pub fn dependents_of(&self, kind: Kind, id: &str) -> Vec<ObjectId> {
+        let mut dependents: Vec<ObjectId> = match kind {
             Kind::Model => self.versions.keys().filter(|v| model_of(v) == id).cloned().collect(),
-            Kind::Version => self.users_of_version(id),
-            Kind::Partner => self.owned_by(partner_of(id)),
+            Kind::Version => self.dependents_of_version(id),
+            Kind::Partner => self.objects_owned_by(partner_of(id)),
             _ => Vec::new(),
         };
-        users.sort();
-        users
+        dependents.sort();
+        dependents
     }
 
-    fn users_of_version(&self, version: &str) -> Vec<ObjectId> {
+    fn dependents_of_version(&self, version: &str) -> Vec<ObjectId> {
         let model = model_of(version);
-        let mut users = Vec::new();
+        let mut dependents = Vec::new();
         if self.stable_version(model).as_deref() == Some(version) {
-            users.push(model.into());
+            dependents.push(model.into());
         }
         if let Some((id, roll_out)) = self.roll_out_of(model) {
             let name = version.split_once('@').map_or("", |(_, name)| name);
             if *roll_out.from == *name || *roll_out.to == *name {
-                users.push(id.clone());
+                dependents.push(id.clone());
             }
         }
-        users
+        dependents
     }
 
-    fn owned_by(&self, partner: &str) -> Vec<ObjectId> {
+    fn objects_owned_by(&self, partner: &str) -> Vec<ObjectId> {
         let owned = self
-            .changed
+            .object_revisions
             .keys()
             .filter(|(kind, id)| *kind != Kind::Partner && partner_of(id) == partner);
         owned.map(|(_, id)| id.clone()).collect()
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -1,5 +1,5 @@
-//! The ledger and leases against the stand-in stores without sockets, with lost replies,
-//! outages and paused clocks.
+//! Tests of billing, leases, group commit and store health against in-process stand-ins of the
+//! stores, with lost replies, outages and a paused clock.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -19,7 +19,8 @@
 };
 use serde_json::json;
 
-const LATER: u64 = 1_000;
+/// A current window at which all windows used in these tests are closed.
+const LATER_WINDOW: u64 = 1_000;
 
 struct Stores {
     table: TableStandin,
@@ -44,11 +45,11 @@
     async fn lease(&self, me: u128) -> (Lease, Permit) {
         let mut lease = Lease::new("settler", me, LeaseTiming::default());
         lease.acquire_or_renew(&self.table.client(), &self.health).await.unwrap();
-        let permit = lease.permit().expect("nobody else holds it");
+        let permit = lease.permit().expect("no other process holds the lease");
         (lease, permit)
     }
 
-    async fn billed(&self) -> u64 {
+    async fn billed_requests(&self) -> u64 {
         let totals = read_totals(&self.table.client()).await.unwrap();
         totals.values().map(|total| total.requests).sum()
     }
@@ -67,7 +68,7 @@
     ChargeRecord { request, organisation: "p/o".into(), attempts: vec![attempt], delivery }
 }
 
-async fn write(stores: &Stores, writer: u128, records: Vec<ChargeRecord>) {
+async fn write_charges(stores: &Stores, writer: u128, records: Vec<ChargeRecord>) {
     let mut buffer = ChargeBuffer::new(1_000);
     records.into_iter().for_each(|record| buffer.push(record));
     let mut pending: VecDeque<_> = buffer.take_batches(writer).into();
@@ -76,50 +77,50 @@
             return;
         }
     }
-    panic!("never written");
+    panic!("batches not written after 100 tries");
 }
 
 #[tokio::test]
-async fn copies_from_entry_and_agent_are_billed_once() {
+async fn duplicate_records_from_entry_and_agent_are_billed_once() {
     let stores = stores();
     let (_lease, permit) = stores.lease(1).await;
     let records = |delivery| (0..10).map(|i| record(5, i, delivery)).collect();
 
-    write(&stores, 1, records(Delivery::Whole)).await;
-    write(&stores, 2, records(Delivery::Presumed)).await;
-    let report = stores.settler().pass(&permit, LATER).await.unwrap();
+    write_charges(&stores, 1, records(Delivery::Whole)).await;
+    write_charges(&stores, 2, records(Delivery::Presumed)).await;
+    let report = stores.settler().settle_closed_windows(&permit, LATER_WINDOW).await.unwrap();
 
-    assert_eq!((report.requests, report.copies), (10, 10));
-    assert_eq!(stores.billed().await, 10);
+    assert_eq!((report.requests, report.duplicates), (10, 10));
+    assert_eq!(stores.billed_requests().await, 10);
 }
 
 #[tokio::test]
-async fn a_batch_that_comes_after_the_settlement_adds_only_what_is_new() {
+async fn a_batch_written_after_settlement_adds_only_new_requests() {
     let stores = stores();
     let (_lease, permit) = stores.lease(1).await;
-    write(&stores, 1, (0..5).map(|i| record(5, i, Delivery::Whole)).collect()).await;
-    stores.settler().pass(&permit, LATER).await.unwrap();
+    write_charges(&stores, 1, (0..5).map(|i| record(5, i, Delivery::Whole)).collect()).await;
+    stores.settler().settle_closed_windows(&permit, LATER_WINDOW).await.unwrap();
 
-    write(&stores, 2, (3..8).map(|i| record(5, i, Delivery::Presumed)).collect()).await;
-    let report = stores.settler().pass(&permit, LATER).await.unwrap();
+    write_charges(&stores, 2, (3..8).map(|i| record(5, i, Delivery::Presumed)).collect()).await;
+    let report = stores.settler().settle_closed_windows(&permit, LATER_WINDOW).await.unwrap();
 
-    assert_eq!((report.requests, report.copies), (3, 2));
-    assert_eq!(stores.billed().await, 8);
+    assert_eq!((report.requests, report.duplicates), (3, 2));
+    assert_eq!(stores.billed_requests().await, 8);
 }
 
 #[tokio::test]
-async fn an_open_window_is_left_alone() {
+async fn an_open_window_is_not_settled() {
     let stores = stores();
     let (_lease, permit) = stores.lease(1).await;
-    write(&stores, 1, vec![record(99, 1, Delivery::Whole)]).await;
+    write_charges(&stores, 1, vec![record(99, 1, Delivery::Whole)]).await;
 
-    let report = stores.settler().pass(&permit, 100).await.unwrap();
+    let report = stores.settler().settle_closed_windows(&permit, 100).await.unwrap();
 
     assert_eq!(report.requests, 0);
 }
 
 #[tokio::test]
-async fn lost_replies_of_both_stores_bill_nothing_twice_and_lose_nothing() {
+async fn lost_replies_of_both_stores_cause_no_double_billing_and_no_loss() {
     let stores = stores();
     let (_lease, permit) = stores.lease(1).await;
     let lossy = Faults { lose_replies: 0.3, ..Faults::default() };
@@ -127,49 +128,50 @@
     stores.objects.faults.set(lossy);
 
     for window in 0..10 {
-        write(&stores, 1, (0..20).map(|i| record(window, i, Delivery::Whole)).collect()).await;
+        write_charges(&stores, 1, (0..20).map(|i| record(window, i, Delivery::Whole)).collect())
+            .await;
     }
     let mut passes = 0;
-    while stores.settler().pass(&permit, LATER).await.is_err() {
+    while stores.settler().settle_closed_windows(&permit, LATER_WINDOW).await.is_err() {
         passes += 1;
-        assert!(passes < 1_000, "never settled");
+        assert!(passes < 1_000, "settlement failed 1000 times");
     }
 
     stores.table.faults.set(Faults::default());
-    assert_eq!(stores.billed().await, 200);
+    assert_eq!(stores.billed_requests().await, 200);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_paused_holders_late_settlement_fails() {
+async fn a_settlement_under_a_superseded_lease_fails() {
     let stores = stores();
     let (_first, old) = stores.lease(1).await;
-    write(&stores, 1, (0..5).map(|i| record(5, i, Delivery::Whole)).collect()).await;
+    write_charges(&stores, 1, (0..5).map(|i| record(5, i, Delivery::Whole)).collect()).await;
 
-    // The holder is paused; another takes the lease over and settles.
+    // The first holder is paused while a second one takes over the lease and settles.
     let mut second = Lease::new("settler", 2, LeaseTiming::default());
     second.acquire_or_renew(&stores.table.client(), &stores.health).await.unwrap();
-    assert!(second.permit().is_none(), "not before the lease has run out");
+    assert!(second.permit().is_none(), "the lease must not change hands before it expires");
     tokio::time::advance(Duration::from_secs(7)).await;
     second.acquire_or_renew(&stores.table.client(), &stores.health).await.unwrap();
-    let new = second.permit().expect("taken over");
-    stores.settler().pass(&new, LATER).await.unwrap();
-    write(&stores, 1, (5..9).map(|i| record(5, i, Delivery::Whole)).collect()).await;
-    let late = stores.settler().pass(&old, LATER).await.unwrap();
+    let new = second.permit().expect("the lease has expired and was taken over");
+    stores.settler().settle_closed_windows(&new, LATER_WINDOW).await.unwrap();
+    write_charges(&stores, 1, (5..9).map(|i| record(5, i, Delivery::Whole)).collect()).await;
+    let late = stores.settler().settle_closed_windows(&old, LATER_WINDOW).await.unwrap();
 
-    assert_eq!(late.requests, 0, "the late write took effect");
+    assert_eq!(late.requests, 0, "a settlement under the old lease took effect");
     assert!(new.fencing > old.fencing);
-    assert_eq!(stores.billed().await, 5);
+    assert_eq!(stores.billed_requests().await, 5);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lease_runs_out_by_itself_when_the_store_is_down() {
+async fn a_lease_expires_while_the_store_is_down() {
     let stores = stores();
     let (mut lease, _) = stores.lease(1).await;
     stores.table.faults.set(Faults { down: true, ..Faults::default() });
 
     tokio::time::advance(Duration::from_secs(3)).await;
     assert!(lease.acquire_or_renew(&stores.table.client(), &stores.health).await.is_err());
-    assert!(lease.permit().is_some(), "still within its time");
+    assert!(lease.permit().is_some(), "the lease has not expired yet");
     tokio::time::advance(Duration::from_secs(2)).await;
     assert!(lease.permit().is_none());
 }
@@ -189,7 +191,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn rows_that_come_together_share_a_transaction() {
+async fn rows_written_together_share_a_transaction() {
     let stores = stores();
     let linger = Duration::from_millis(5);
     let group = GroupCommit::start(stores.table.client(), stores.health.clone(), linger);
@@ -207,11 +209,11 @@
             other => panic!("{other:?}"),
         })
         .collect();
-    assert_eq!(numbers.len(), 1, "one transaction for all");
+    assert_eq!(numbers.len(), 1, "all rows must share one transaction");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_row_that_conflicts_does_not_hold_up_its_group() {
+async fn a_conflicting_row_does_not_block_its_group() {
     let stores = stores();
     let table = stores.table.client();
     table.transact(Transaction::default().put("claims/3", &1)).await.unwrap().unwrap();
@@ -231,7 +233,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn while_the_store_is_down_an_insert_is_refused_at_once() {
+async fn an_insert_is_refused_at_once_while_the_store_is_down() {
     let stores = stores();
     stores.table.faults.set(Faults { down: true, ..Faults::default() });
     let group = GroupCommit::start(stores.table.client(), stores.health.clone(), Duration::ZERO);
@@ -243,7 +245,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_reply_is_no_outage_and_a_silent_store_is() {
+async fn one_lost_reply_is_no_outage_but_a_silent_store_is() {
     let health = StoreHealth::new(Metrics::default());
     let lost = || async { Err::<(), _>(mintmoor::platform::Error::Unknown("lost".into())) };
 
@@ -252,14 +254,14 @@
     tokio::time::advance(Duration::from_secs(1)).await;
     let _ = health.track("test", lost()).await;
     tokio::time::advance(Duration::from_secs(1)).await;
-    assert!(health.is_unavailable(), "counted from the first call without an answer");
+    assert!(health.is_unavailable(), "the time must count from the first call without an answer");
     let _ = health.track("test", async { Ok(()) }).await;
 
     assert!(!health.last_call_failed() && !health.is_unavailable());
 }
 
 #[tokio::test]
-async fn a_read_whose_answer_was_lost_is_read_again() {
+async fn a_read_whose_reply_was_lost_is_retried() {
     let stores = stores();
     let table = stores.table.client();
     table.transact(Transaction::default().put("objects/a", &1)).await.unwrap().unwrap();
