--- a/tests/play/comeback.rs
+++ b/tests/play/comeback.rs
@@ -2,31 +2,31 @@
 
 use std::{collections::BinaryHeap, time::Duration};
 
+use event_queue::TimedEvent;
 use mintmoor::policy::overload::{Overload, retry_after};
-use ordered::Due;
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
 /// Places of a pool, and the mean time that a request has one, seconds.
-const PLACES: usize = 400;
-const STAY: f64 = 1.0;
+const SLOTS: usize = 400;
+const MEAN_SERVICE_TIME: f64 = 1.0;
 /// Callers' deadlines, seconds; they come back once, after a third of what is left at most.
 const DEADLINES: [f64; 3] = [4.0, 15.0, 20.0];
 const SEEDS: std::ops::Range<u64> = 1..6;
 
-mod ordered {
+mod event_queue {
     /// Something that happens at a time; the earliest is the greatest.
     #[derive(Clone, Copy, Debug, PartialEq)]
-    pub struct Due<T>(pub f64, pub T);
+    pub struct TimedEvent<T>(pub f64, pub T);
 
-    impl<T: PartialEq> Eq for Due<T> {}
+    impl<T: PartialEq> Eq for TimedEvent<T> {}
 
-    impl<T: PartialEq> PartialOrd for Due<T> {
+    impl<T: PartialEq> PartialOrd for TimedEvent<T> {
         fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
             Some(self.cmp(other))
         }
     }
 
-    impl<T: PartialEq> Ord for Due<T> {
+    impl<T: PartialEq> Ord for TimedEvent<T> {
         fn cmp(&self, other: &Self) -> std::cmp::Ordering {
             other.0.total_cmp(&self.0)
         }
@@ -34,83 +34,95 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Happens {
+enum Event {
     /// A caller asks, with so much time left.
-    Ask { time_left: f64, is_back: bool },
+    Request { time_left: f64, is_retry: bool },
     /// A place becomes free.
-    Free,
+    SlotFreed,
 }
 
 /// Callers never served, of all who asked: 0.8 of what the pool can do, and `times` that for ten seconds.
-fn part_refused(seed: u64, times: f64, mut wait: impl FnMut(f64, &mut StdRng) -> f64) -> f64 {
+fn never_served_ratio(
+    seed: u64,
+    load_factor: f64,
+    mut retry_wait: impl FnMut(f64, &mut StdRng) -> f64,
+) -> f64 {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut due = arrivals(times, &mut rng);
-    let asked = due.len() as f64;
-    let (mut busy, mut lost) = (0, 0.0);
-    while let Some(Due(at, what)) = due.pop() {
-        match what {
-            Happens::Free => busy -= 1,
-            Happens::Ask { .. } if busy < PLACES => {
+    let mut queue = arrivals(load_factor, &mut rng);
+    let requests = queue.len() as f64;
+    let (mut busy, mut never_served) = (0, 0.0);
+    while let Some(TimedEvent(at, event)) = queue.pop() {
+        match event {
+            Event::SlotFreed => busy -= 1,
+            Event::Request { .. } if busy < SLOTS => {
                 busy += 1;
-                let stay = -STAY * (1.0 - rng.random::<f64>()).ln();
-                due.push(Due(at + stay, Happens::Free));
+                let service_time = -MEAN_SERVICE_TIME * (1.0 - rng.random::<f64>()).ln();
+                queue.push(TimedEvent(at + service_time, Event::SlotFreed));
             }
-            Happens::Ask { is_back: true, .. } => lost += 1.0,
-            Happens::Ask { time_left, .. } => {
-                let pause = wait(at, &mut rng).min(time_left / 3.0);
-                let time_left = time_left - pause;
-                due.push(Due(at + pause, Happens::Ask { time_left, is_back: true }));
+            Event::Request { is_retry: true, .. } => never_served += 1.0,
+            Event::Request { time_left, .. } => {
+                let retry_wait = retry_wait(at, &mut rng).min(time_left / 3.0);
+                let time_left = time_left - retry_wait;
+                queue.push(TimedEvent(
+                    at + retry_wait,
+                    Event::Request { time_left, is_retry: true },
+                ));
             }
         }
     }
-    lost / asked
+    never_served / requests
 }
 
-fn arrivals(times: f64, rng: &mut StdRng) -> BinaryHeap<Due<Happens>> {
-    let mut due = BinaryHeap::new();
+fn arrivals(load_factor: f64, rng: &mut StdRng) -> BinaryHeap<TimedEvent<Event>> {
+    let mut queue = BinaryHeap::new();
     let mut at = 0.0;
     while at < 30.0 {
-        let rate = 0.8 * PLACES as f64 / STAY * if (5.0..15.0).contains(&at) { times } else { 1.0 };
+        let rate = 0.8 * SLOTS as f64 / MEAN_SERVICE_TIME
+            * if (5.0..15.0).contains(&at) { load_factor } else { 1.0 };
         at += -(1.0 - rng.random::<f64>()).ln() / rate;
         let time_left = DEADLINES[rng.random_range(0..DEADLINES.len())];
-        due.push(Due(at, Happens::Ask { time_left, is_back: false }));
+        queue.push(TimedEvent(at, Event::Request { time_left, is_retry: false }));
     }
-    due
+    queue
 }
 
 /// Mean over the seeds, with a fixed wait as it was, and by how long the overload has lasted.
-fn compare(times: f64) -> (f64, f64) {
-    let mean = |of: &dyn Fn(u64) -> f64| SEEDS.map(of).sum::<f64>() / SEEDS.count() as f64;
-    let fixed = mean(&|seed| part_refused(seed, times, |_, _| 0.2));
-    let by_length = mean(&|seed| {
+fn compare(load_factor: f64) -> (f64, f64) {
+    let mean =
+        |value_of: &dyn Fn(u64) -> f64| SEEDS.map(value_of).sum::<f64>() / SEEDS.count() as f64;
+    let fixed_wait = mean(&|seed| never_served_ratio(seed, load_factor, |_, _| 0.2));
+    let growing_wait = mean(&|seed| {
         let mut overload = Overload::default();
-        part_refused(seed, times, move |at, rng| {
-            let lasted = overload.record_refusal(Duration::from_secs_f64(at));
-            retry_after(lasted, rng.random()).as_secs_f64()
+        never_served_ratio(seed, load_factor, move |at, rng| {
+            let overload_duration = overload.record_refusal(Duration::from_secs_f64(at));
+            retry_after(overload_duration, rng.random()).as_secs_f64()
         })
     });
-    (fixed, by_length)
+    (fixed_wait, growing_wait)
 }
 
 #[test]
-fn more_callers_are_served_when_the_wait_grows_with_the_overload() {
-    for times in [1.4, 1.8, 2.5] {
-        let (fixed, by_length) = compare(times);
+fn fewer_requests_are_never_served_when_retry_after_grows_with_the_overload() {
+    for load_factor in [1.4, 1.8, 2.5] {
+        let (fixed_wait, growing_wait) = compare(load_factor);
 
-        println!("{times} times the load: {fixed:.3} never served, {by_length:.3}");
-        assert!(by_length < fixed * 0.8, "{times}: {fixed} {by_length}");
+        println!("{load_factor} times the load: {fixed_wait:.3} never served, {growing_wait:.3}");
+        assert!(growing_wait < fixed_wait * 0.8, "{load_factor}: {fixed_wait} {growing_wait}");
     }
 }
 
 #[test]
-fn the_wait_is_as_long_as_the_overload_has_lasted_within_bounds() {
+fn retry_after_grows_with_the_overload_within_bounds_and_restarts_after_it() {
     let mut overload = Overload::default();
     let second = Duration::from_secs(1);
 
     assert!(retry_after(overload.record_refusal(10 * second), 1.0) <= Duration::from_millis(300));
-    let lasted = (20..=60).map(|half| overload.record_refusal(second / 2 * half)).last().unwrap();
-    assert_eq!(lasted, 20 * second);
-    assert_eq!(retry_after(lasted, 0.0), 3 * second);
-    assert_eq!(retry_after(lasted, 1.0), 9 * second);
+    let overload_duration = (20..=60)
+        .map(|half_seconds| overload.record_refusal(second / 2 * half_seconds))
+        .last()
+        .unwrap();
+    assert_eq!(overload_duration, 20 * second);
+    assert_eq!(retry_after(overload_duration, 0.0), 3 * second);
+    assert_eq!(retry_after(overload_duration, 1.0), 9 * second);
     assert_eq!(overload.record_refusal(40 * second), Duration::ZERO, "that overload was over");
 }
--- a/tests/play/engine.rs
+++ b/tests/play/engine.rs
@@ -7,48 +7,48 @@
 
 /// Speed and size of an engine.
 #[derive(Clone, Copy, Debug)]
-pub struct Speed {
+pub struct EngineProfile {
     /// Prompt tokens that a model of pace 1 reads in a second.
-    pub read_rate: f64,
+    pub prefill_rate: f64,
     /// Time of a step of a model of pace 1, seconds.
-    pub step: f64,
+    pub step_time: f64,
     /// Time that each running request adds to it, seconds.
-    pub step_per_run: f64,
+    pub step_time_per_request: f64,
     /// Prompt tokens read in one step at most.
-    pub chunk: f64,
+    pub prefill_chunk: f64,
     /// Tokens of parts kept.
-    pub memory: u64,
+    pub cache_tokens: u64,
 }
 
-impl Speed {
+impl EngineProfile {
     /// Engines that read 38 tokens a millisecond.
     pub fn slow() -> Self {
         Self {
-            read_rate: 38_000.0,
-            step: 4.6e-3,
-            step_per_run: 1.5e-4,
-            chunk: 1024.0,
-            memory: 400_000,
+            prefill_rate: 38_000.0,
+            step_time: 4.6e-3,
+            step_time_per_request: 1.5e-4,
+            prefill_chunk: 1024.0,
+            cache_tokens: 400_000,
         }
     }
 
     /// Engines that read 112 tokens a millisecond.
     pub fn fast() -> Self {
         Self {
-            read_rate: 112_000.0,
-            step: 3.23e-3,
-            step_per_run: 4.83e-5,
-            chunk: 4_096.0,
-            memory: 585_993,
+            prefill_rate: 112_000.0,
+            step_time: 3.23e-3,
+            step_time_per_request: 4.83e-5,
+            prefill_chunk: 4_096.0,
+            cache_tokens: 585_993,
         }
     }
 
     /// The same with all its work done so many times faster.
-    pub fn times(self, factor: f64) -> Self {
+    pub fn scaled(self, factor: f64) -> Self {
         Self {
-            read_rate: self.read_rate * factor,
-            step: self.step / factor,
-            step_per_run: self.step_per_run / factor,
+            prefill_rate: self.prefill_rate * factor,
+            step_time: self.step_time / factor,
+            step_time_per_request: self.step_time_per_request / factor,
             ..self
         }
     }
@@ -56,97 +56,117 @@
 
 /// A request at an engine.
 #[derive(Clone, Debug)]
-struct Run {
+struct RunningRequest {
     id: usize,
-    pace: f64,
-    unread: f64,
+    time_factor: f64,
+    unread_tokens: f64,
     tokens_left: u64,
-    first_at: Option<f64>,
+    first_token_at: Option<f64>,
 }
 
 /// What an engine tells of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Told {
-    First(usize, f64),
+pub enum EngineEvent {
+    FirstToken(usize, f64),
     Ended(usize, f64),
 }
 
 #[derive(Clone, Debug)]
 pub struct Engine {
-    speed: Speed,
-    runs: Vec<Run>,
-    kept: HashMap<u32, (u64, u64)>,
-    used: u64,
-    step_ends: f64,
+    profile: EngineProfile,
+    running: Vec<RunningRequest>,
+    cached: HashMap<u32, (u64, u64)>,
+    use_counter: u64,
+    step_ends_at: f64,
     /// Shared tokens read.
-    pub shared_read: u64,
+    pub shared_tokens_read: u64,
 }
 
 impl Engine {
-    pub fn new(speed: Speed) -> Self {
-        let (runs, kept) = (Vec::new(), HashMap::new());
-        Self { speed, runs, kept, used: 0, step_ends: 0.0, shared_read: 0 }
+    pub fn new(profile: EngineProfile) -> Self {
+        let (running, cached) = (Vec::new(), HashMap::new());
+        Self { profile, running, cached, use_counter: 0, step_ends_at: 0.0, shared_tokens_read: 0 }
     }
 
     /// Begins a request; its own tokens are always read, the parts it keeps are not.
-    pub fn begin(&mut self, id: usize, pace: f64, marks: &[PromptPrefix], own: u64, answer: u64) {
-        let kept = marks.iter().take_while(|m| self.kept.contains_key(&m.hash)).count();
-        let shared: u64 = marks[kept..].iter().map(|m| m.tokens).sum();
-        self.shared_read += shared;
-        for mark in marks {
-            self.used += 1;
-            self.kept.insert(mark.hash, (mark.tokens, self.used));
+    pub fn start(
+        &mut self,
+        id: usize,
+        time_factor: f64,
+        prefixes: &[PromptPrefix],
+        unique_tokens: u64,
+        answer_tokens: u64,
+    ) {
+        let cached_prefixes =
+            prefixes.iter().take_while(|prefix| self.cached.contains_key(&prefix.hash)).count();
+        let shared_tokens: u64 =
+            prefixes[cached_prefixes..].iter().map(|prefix| prefix.tokens).sum();
+        self.shared_tokens_read += shared_tokens;
+        for prefix in prefixes {
+            self.use_counter += 1;
+            self.cached.insert(prefix.hash, (prefix.tokens, self.use_counter));
         }
         // The own part takes memory, too, though nobody asks for it again.
-        self.used += 1;
-        self.kept.insert(u32::MAX - self.used as u32, (own, self.used));
-        while self.kept.values().map(|(tokens, _)| tokens).sum::<u64>() > self.speed.memory {
-            let oldest = *self.kept.iter().min_by_key(|(_, (_, used))| *used).unwrap().0;
-            self.kept.remove(&oldest);
+        self.use_counter += 1;
+        self.cached.insert(u32::MAX - self.use_counter as u32, (unique_tokens, self.use_counter));
+        while self.cached.values().map(|(tokens, _)| tokens).sum::<u64>()
+            > self.profile.cache_tokens
+        {
+            let oldest = *self.cached.iter().min_by_key(|(_, (_, last_use))| *last_use).unwrap().0;
+            self.cached.remove(&oldest);
         }
-        let unread = (shared + own) as f64;
-        self.runs.push(Run { id, pace, unread, tokens_left: answer, first_at: None });
+        let unread_tokens = (shared_tokens + unique_tokens) as f64;
+        self.running.push(RunningRequest {
+            id,
+            time_factor,
+            unread_tokens,
+            tokens_left: answer_tokens,
+            first_token_at: None,
+        });
     }
 
     /// Leaves a request whose answer nobody wants any more.
-    pub fn leave(&mut self, id: usize) {
-        if let Some(run) = self.runs.iter_mut().find(|run| run.id == id) {
-            run.tokens_left = 1;
+    pub fn cancel(&mut self, id: usize) {
+        if let Some(request) = self.running.iter_mut().find(|request| request.id == id) {
+            request.tokens_left = 1;
         }
     }
 
     /// Runs until a moment and gives what happened.
-    pub fn run_until(&mut self, now: f64, told: &mut Vec<Told>) {
-        while !self.runs.is_empty() && self.step_ends < now {
-            self.step(told);
+    pub fn advance_to(&mut self, now: f64, events: &mut Vec<EngineEvent>) {
+        while !self.running.is_empty() && self.step_ends_at < now {
+            self.run_step(events);
         }
-        if self.runs.is_empty() {
-            self.step_ends = self.step_ends.max(now);
+        if self.running.is_empty() {
+            self.step_ends_at = self.step_ends_at.max(now);
         }
     }
 
-    fn step(&mut self, told: &mut Vec<Told>) {
-        let mut chunk = self.speed.chunk;
-        let mut reading = 0.0;
-        for run in &mut self.runs {
-            let part = run.unread.min(chunk);
-            run.unread -= part;
-            chunk -= part;
-            reading += part * run.pace / self.speed.read_rate;
+    fn run_step(&mut self, events: &mut Vec<EngineEvent>) {
+        let mut tokens_left_in_step = self.profile.prefill_chunk;
+        let mut prefill_time = 0.0;
+        for request in &mut self.running {
+            let tokens = request.unread_tokens.min(tokens_left_in_step);
+            request.unread_tokens -= tokens;
+            tokens_left_in_step -= tokens;
+            prefill_time += tokens * request.time_factor / self.profile.prefill_rate;
         }
-        let runs = self.runs.len() as f64;
-        let pace = self.runs.iter().map(|run| run.pace).sum::<f64>() / runs;
-        self.step_ends += reading + pace * (self.speed.step + self.speed.step_per_run * runs);
-        for run in self.runs.iter_mut().filter(|run| run.unread <= 0.0) {
-            if run.first_at.is_none() {
-                run.first_at = Some(self.step_ends);
-                told.push(Told::First(run.id, self.step_ends));
+        let running_count = self.running.len() as f64;
+        let time_factor =
+            self.running.iter().map(|request| request.time_factor).sum::<f64>() / running_count;
+        self.step_ends_at += prefill_time
+            + time_factor
+                * (self.profile.step_time + self.profile.step_time_per_request * running_count);
+        for request in self.running.iter_mut().filter(|request| request.unread_tokens <= 0.0) {
+            if request.first_token_at.is_none() {
+                request.first_token_at = Some(self.step_ends_at);
+                events.push(EngineEvent::FirstToken(request.id, self.step_ends_at));
             }
-            run.tokens_left = run.tokens_left.saturating_sub(1);
-            if run.tokens_left == 0 {
-                told.push(Told::Ended(run.id, self.step_ends));
+            request.tokens_left = request.tokens_left.saturating_sub(1);
+            if request.tokens_left == 0 {
+                events.push(EngineEvent::Ended(request.id, self.step_ends_at));
             }
         }
-        self.runs.retain(|run| run.tokens_left > 0);
+        self.running.retain(|request| request.tokens_left > 0);
     }
 }
--- a/tests/play/overload.rs
+++ b/tests/play/overload.rs
@@ -3,9 +3,9 @@
 use mintmoor::policy::placement::PlacementConfig;
 
 use crate::{
-    engine::Speed,
-    mix::{arrivals, long_prompts},
-    system::{Escalation, Memory, Outcome, Setup, flat_terms, play},
+    engine::EngineProfile,
+    mix::{arrivals, long_prompt_workload},
+    system::{CacheKnowledge, EscalationRule, Outcome, Scenario, flat_placement_costs, simulate},
 };
 
 /// One seed tells little: near the edge of what the engines can do, parts in time of 0.70 to 0.86 follow
@@ -13,57 +13,66 @@
 const SEEDS: std::ops::Range<u64> = 1..9;
 
 /// Eight engines where twelve would be right, and three times the usual load for twelve seconds.
-fn play_burst(policy: &Policy, seed: u64) -> Outcome {
-    let Policy { memory, escalation, terms } = *policy;
-    let (kinds, speeds) = (long_prompts(), vec![Speed::slow(); 8]);
-    let setup = Setup { kinds, speeds, entries: 3, zones: 3, escalation, terms, lost: None };
+fn simulate_burst(policy: &Policy, seed: u64) -> Outcome {
+    let Policy { cache_knowledge, escalation, placement } = *policy;
+    let (classes, engine_profiles) = (long_prompt_workload(), vec![EngineProfile::slow(); 8]);
+    let scenario = Scenario {
+        classes,
+        engine_profiles,
+        entries: 3,
+        zones: 3,
+        escalation,
+        placement,
+        engine_loss: None,
+    };
     let rate = |at: f64| if (8.0..20.0).contains(&at) { 3.0 } else { 1.0 };
-    let all = arrivals(&setup.kinds, setup.entries, 34.0, seed, rate);
-    play(&setup, &all, memory)
+    let all = arrivals(&scenario.classes, scenario.entries, 34.0, seed, rate);
+    simulate(&scenario, &all, cache_knowledge)
 }
 
 struct Policy {
-    memory: Memory,
-    escalation: Escalation,
-    terms: PlacementConfig,
+    cache_knowledge: CacheKnowledge,
+    escalation: EscalationRule,
+    placement: PlacementConfig,
 }
 
-fn former() -> Policy {
-    let (memory, escalation) = (Memory::HashOnly, Escalation::MeanWait);
-    Policy { memory, escalation, terms: flat_terms() }
+fn previous_policy() -> Policy {
+    let (cache_knowledge, escalation) = (CacheKnowledge::HashOnly, EscalationRule::MeanWait);
+    Policy { cache_knowledge, escalation, placement: flat_placement_costs() }
 }
 
-fn current() -> Policy {
-    let (memory, escalation) = (Memory::Kept, Escalation::ExpectedWait);
-    Policy { memory, escalation, terms: PlacementConfig::default() }
+fn current_policy() -> Policy {
+    let (cache_knowledge, escalation) = (CacheKnowledge::Reported, EscalationRule::ExpectedWait);
+    Policy { cache_knowledge, escalation, placement: PlacementConfig::default() }
 }
 
 /// Mean part of the answers in time, and mean worth, over the seeds.
-fn play_bursts(policy: &Policy) -> (f64, f64) {
-    let outcomes: Vec<Outcome> = SEEDS.map(|seed| play_burst(policy, seed)).collect();
-    let mean =
-        |of: fn(&Outcome) -> f64| outcomes.iter().map(of).sum::<f64>() / outcomes.len() as f64;
-    (mean(Outcome::part_in_time), mean(|outcome| outcome.worth))
+fn simulate_bursts(policy: &Policy) -> (f64, f64) {
+    let outcomes: Vec<Outcome> = SEEDS.map(|seed| simulate_burst(policy, seed)).collect();
+    let mean = |value_of: fn(&Outcome) -> f64| {
+        outcomes.iter().map(value_of).sum::<f64>() / outcomes.len() as f64
+    };
+    (mean(Outcome::on_time_ratio), mean(|outcome| outcome.value))
 }
 
 #[test]
-fn in_an_overload_most_answers_are_still_in_time() {
-    let (in_time_before, worth_before) = play_bursts(&former());
-    let (in_time, worth) = play_bursts(&current());
+fn under_overload_most_answers_are_on_time() {
+    let (previous_on_time, previous_value) = simulate_bursts(&previous_policy());
+    let (on_time, value) = simulate_bursts(&current_policy());
 
-    println!("{in_time_before:.3} {worth_before:.0}, {in_time:.3} {worth:.0}");
-    assert!(in_time > 0.8 && in_time > in_time_before * 3.0);
-    assert!(worth > worth_before * 1.7);
+    println!("{previous_on_time:.3} {previous_value:.0}, {on_time:.3} {value:.0}");
+    assert!(on_time > 0.8 && on_time > previous_on_time * 3.0);
+    assert!(value > previous_value * 1.7);
 }
 
 #[test]
-fn the_largest_model_is_asked_only_as_fast_as_it_can_answer() {
-    let by_mean_wait = Policy { escalation: Escalation::MeanWait, ..current() };
+fn under_overload_escalating_by_expected_wait_beats_escalating_by_mean_wait() {
+    let by_mean_wait = Policy { escalation: EscalationRule::MeanWait, ..current_policy() };
 
-    let (in_time_before, worth_before) = play_bursts(&by_mean_wait);
-    let (in_time, worth) = play_bursts(&current());
+    let (mean_wait_on_time, mean_wait_value) = simulate_bursts(&by_mean_wait);
+    let (on_time, value) = simulate_bursts(&current_policy());
 
-    println!("mean wait {in_time_before:.3} {worth_before:.0}, {in_time:.3} {worth:.0}");
-    assert!(in_time > in_time_before * 1.5);
-    assert!(worth > worth_before * 1.3);
+    println!("mean wait {mean_wait_on_time:.3} {mean_wait_value:.0}, {on_time:.3} {value:.0}");
+    assert!(on_time > mean_wait_on_time * 1.5);
+    assert!(value > mean_wait_value * 1.3);
 }
--- a/tests/play/pauses.rs
+++ b/tests/play/pauses.rs
@@ -18,19 +18,19 @@
 const SERVERS: usize = 6;
 const SLOTS: usize = 16;
 /// Time that a request takes at a server.
-const TAKES: Duration = Duration::from_millis(400);
+const SERVICE_TIME: Duration = Duration::from_millis(400);
 const PAUSE: Duration = Duration::from_secs(1);
-const LASTS: Duration = Duration::from_secs(1_000);
+const SIMULATED_TIME: Duration = Duration::from_secs(1_000);
 /// Load, as a multiple of what all servers take.
-const OVERLOAD: f64 = 1.5;
+const LOAD_FACTOR: f64 = 1.5;
 const ENTRIES: usize = 4;
 /// Sends of one request at most.
-const MOST_SENDS: usize = 5;
+const MAX_SENDS: usize = 5;
 /// Time after a rejection in which requests may arrive that were on their way.
-const ON_THEIR_WAY: Duration = Duration::from_millis(500);
+const IN_TRANSIT: Duration = Duration::from_millis(500);
 
 /// Rules by which the entry ejects servers.
-const OUTLIER_RULES: OutlierConfig = OutlierConfig {
+const OUTLIER_CONFIG: OutlierConfig = OutlierConfig {
     consecutive_failures: 2,
     base_ejection: Duration::from_millis(500),
     max_ejection: Duration::from_secs(4),
@@ -51,26 +51,26 @@
 
 /// A server as one entry knows it.
 #[derive(Default)]
-struct View {
+struct ServerView {
     announced: Announcements,
     outlier: OutlierDetector,
     window: SendWindow,
     /// When the entry's requests there end.
-    own: BinaryHeap<Reverse<Duration>>,
+    in_flight: BinaryHeap<Reverse<Duration>>,
     /// Rejections within the last pause.
-    rejected: VecDeque<Duration>,
+    recent_rejections: VecDeque<Duration>,
 }
 
-impl View {
+impl ServerView {
     fn availability(&mut self, policy: Policy, now: Duration) -> Availability {
-        end_work(&mut self.own, now);
+        remove_finished(&mut self.in_flight, now);
         let mut signals = Signals::default();
         match policy {
             Policy::Ejection => signals.is_ejected = self.outlier.should_skip(now),
             Policy::Pauses => signals.announced = self.announced,
             Policy::Windows => {
                 signals.announced = self.announced;
-                signals.in_flight = self.own.len() as u32;
+                signals.in_flight = self.in_flight.len() as u32;
                 signals.window = self.window;
             }
         }
@@ -78,76 +78,77 @@
     }
 
     fn note_answer(&mut self, now: Duration) {
-        self.own.push(Reverse(now + TAKES));
-        self.outlier.record_answer(&OUTLIER_RULES);
+        self.in_flight.push(Reverse(now + SERVICE_TIME));
+        self.outlier.record_answer(&OUTLIER_CONFIG);
         self.announced.record_answer(now);
         self.window.record_answer();
     }
 
     fn note_rejection(&mut self, now: Duration) {
-        self.outlier.record_failure(&OUTLIER_RULES, now);
+        self.outlier.record_failure(&OUTLIER_CONFIG, now);
         self.announced.record_pause(PAUSE, now);
-        self.window.record_rejection(self.own.len() as u32, now);
-        self.rejected.push_back(now);
+        self.window.record_rejection(self.in_flight.len() as u32, now);
+        self.recent_rejections.push_back(now);
     }
 
     /// Whether a send now falls into a pause, later than half a second after the rejection that began it.
-    fn is_late(&mut self, now: Duration) -> bool {
-        while self.rejected.front().is_some_and(|at| *at + PAUSE <= now) {
-            self.rejected.pop_front();
+    fn is_send_during_pause(&mut self, now: Duration) -> bool {
+        while self.recent_rejections.front().is_some_and(|at| *at + PAUSE <= now) {
+            self.recent_rejections.pop_front();
         }
-        self.rejected.front().is_some_and(|at| *at + ON_THEIR_WAY < now)
+        self.recent_rejections.front().is_some_and(|at| *at + IN_TRANSIT < now)
     }
 }
 
-fn end_work(work: &mut BinaryHeap<Reverse<Duration>>, now: Duration) {
-    while work.peek().is_some_and(|end| end.0 <= now) {
-        work.pop();
+fn remove_finished(running: &mut BinaryHeap<Reverse<Duration>>, now: Duration) {
+    while running.peek().is_some_and(|end| end.0 <= now) {
+        running.pop();
     }
 }
 
 #[derive(Debug, Default)]
 struct Outcome {
-    asked: usize,
+    requests: usize,
     served: usize,
     sends: usize,
     /// Sends to a server within its pause.
-    late: usize,
+    sends_during_pause: usize,
 }
 
 impl Outcome {
     /// Served part of what all servers take.
-    fn used(&self) -> f64 {
-        self.served as f64 * OVERLOAD / self.asked as f64
+    fn utilization(&self) -> f64 {
+        self.served as f64 * LOAD_FACTOR / self.requests as f64
     }
 }
 
 fn simulate(policy: Policy) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    let mut views: Vec<Vec<View>> =
-        (0..ENTRIES).map(|_| (0..SERVERS).map(|_| View::default()).collect()).collect();
-    let mut work = vec![BinaryHeap::new(); SERVERS];
+    let mut views: Vec<Vec<ServerView>> =
+        (0..ENTRIES).map(|_| (0..SERVERS).map(|_| ServerView::default()).collect()).collect();
+    let mut running = vec![BinaryHeap::new(); SERVERS];
     let mut outcome = Outcome::default();
     let mut now = Duration::from_secs(1);
-    while now < LASTS {
-        let load = OVERLOAD * (SERVERS * SLOTS) as f64 / TAKES.as_secs_f64();
+    while now < SIMULATED_TIME {
+        let load = LOAD_FACTOR * (SERVERS * SLOTS) as f64 / SERVICE_TIME.as_secs_f64();
         now += Duration::from_secs_f64(-rng.random::<f64>().max(1e-9).ln() / load);
-        outcome.asked += 1;
+        outcome.requests += 1;
         let views = &mut views[rng.random_range(0..ENTRIES)];
-        for _ in 0..MOST_SENDS {
-            let check = |(i, view): (usize, &mut View)| (i, view.availability(policy, now));
-            let mut usable: Vec<_> = views.iter_mut().enumerate().map(check).collect();
+        for _ in 0..MAX_SENDS {
+            let with_availability =
+                |(i, view): (usize, &mut ServerView)| (i, view.availability(policy, now));
+            let mut usable: Vec<_> = views.iter_mut().enumerate().map(with_availability).collect();
             retain_first_tier(&mut usable);
             if usable.is_empty() {
                 break;
             }
             let (chosen, _) = usable[rng.random_range(0..usable.len())];
-            let (view, work) = (&mut views[chosen], &mut work[chosen]);
+            let (view, running) = (&mut views[chosen], &mut running[chosen]);
             outcome.sends += 1;
-            outcome.late += usize::from(view.is_late(now));
-            end_work(work, now);
-            if work.len() < SLOTS {
-                work.push(Reverse(now + TAKES));
+            outcome.sends_during_pause += usize::from(view.is_send_during_pause(now));
+            remove_finished(running, now);
+            if running.len() < SLOTS {
+                running.push(Reverse(now + SERVICE_TIME));
                 view.note_answer(now);
                 outcome.served += 1;
                 break;
@@ -159,23 +160,23 @@
 }
 
 #[test]
-fn a_pool_under_overload_whose_servers_ask_for_pauses_is_used_without_retry_amplification() {
+fn send_windows_use_an_overloaded_pool_without_retry_amplification() {
     let ejection = simulate(Policy::Ejection);
     let pauses = simulate(Policy::Pauses);
     let windows = simulate(Policy::Windows);
 
     for (name, outcome) in [("ejection", &ejection), ("pauses", &pauses), ("windows", &windows)] {
-        println!("{name}: {outcome:?}, {:.3} of what all servers take", outcome.used());
+        println!("{name}: {outcome:?}, {:.3} of what all servers take", outcome.utilization());
     }
-    assert!(ejection.late > 0);
-    assert_eq!((pauses.late, windows.late), (0, 0));
-    assert!(windows.sends < windows.asked, "more sends than requests");
-    assert!(windows.used() > 0.8, "{windows:?}");
-    assert!(windows.used() > 2.0 * pauses.used(), "{pauses:?}");
+    assert!(ejection.sends_during_pause > 0);
+    assert_eq!((pauses.sends_during_pause, windows.sends_during_pause), (0, 0));
+    assert!(windows.sends < windows.requests, "more sends than requests");
+    assert!(windows.utilization() > 0.8, "{windows:?}");
+    assert!(windows.utilization() > 2.0 * pauses.utilization(), "{pauses:?}");
 }
 
 #[test]
-fn a_window_is_forgotten_half_a_minute_after_the_last_rejection() {
+fn a_send_window_expires_30_s_after_the_last_rejection() {
     let mut window = SendWindow::default();
     let now = Duration::from_secs(1);
     assert!(window.allows_another(1_000, now));
--- a/tests/play/placing.rs
+++ b/tests/play/placing.rs
@@ -3,93 +3,111 @@
 use mintmoor::policy::placement::PlacementConfig;
 
 use crate::{
-    engine::Speed,
-    mix::{Kind, arrivals, long_prompts, nothing_shared},
-    system::{Escalation, Memory, Outcome, Setup, flat_terms, play},
+    engine::EngineProfile,
+    mix::{RequestClass, arrivals, long_prompt_workload, unshared_workload},
+    system::{CacheKnowledge, EscalationRule, Outcome, Scenario, flat_placement_costs, simulate},
 };
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 const SECONDS: f64 = 30.0;
 
-fn setup(kinds: Vec<Kind>, speeds: Vec<Speed>) -> Setup {
-    let (escalation, terms) = (Escalation::MeanWait, PlacementConfig::default());
-    Setup { kinds, speeds, entries: 3, zones: 3, escalation, terms, lost: None }
+fn scenario(classes: Vec<RequestClass>, engine_profiles: Vec<EngineProfile>) -> Scenario {
+    let (escalation, placement) = (EscalationRule::MeanWait, PlacementConfig::default());
+    Scenario {
+        classes,
+        engine_profiles,
+        entries: 3,
+        zones: 3,
+        escalation,
+        placement,
+        engine_loss: None,
+    }
 }
 
 /// Worth and shared tokens read again, summed over the seeds.
-fn play_seeds(setup: &Setup, memory: Memory, rate: f64) -> (f64, u64) {
-    let play_seed = |seed: &u64| {
-        let all = arrivals(&setup.kinds, setup.entries, SECONDS, *seed, |_| rate);
-        play(setup, &all, memory)
+fn simulate_seeds(scenario: &Scenario, cache_knowledge: CacheKnowledge, rate: f64) -> (f64, u64) {
+    let simulate_seed = |seed: &u64| {
+        let all = arrivals(&scenario.classes, scenario.entries, SECONDS, *seed, |_| rate);
+        simulate(scenario, &all, cache_knowledge)
     };
-    let sum = |(worth, read): (f64, u64), outcome: Outcome| {
-        (worth + outcome.worth, read + outcome.read_again)
+    let sum = |(value, reread): (f64, u64), outcome: Outcome| {
+        (value + outcome.value, reread + outcome.reread_tokens)
     };
-    SEEDS.iter().map(play_seed).fold((0.0, 0), sum)
+    SEEDS.iter().map(simulate_seed).fold((0.0, 0), sum)
 }
 
 /// By hash alone with flat charges, as it was, and by what is kept with those of today.
-fn compare(setup: &Setup, rate: f64) -> [(f64, u64); 2] {
-    let former = Setup { terms: flat_terms(), ..setup.clone() };
-    [play_seeds(&former, Memory::HashOnly, rate), play_seeds(setup, Memory::Kept, rate)]
+fn compare(scenario: &Scenario, rate: f64) -> [(f64, u64); 2] {
+    let previous = Scenario { placement: flat_placement_costs(), ..scenario.clone() };
+    [
+        simulate_seeds(&previous, CacheKnowledge::HashOnly, rate),
+        simulate_seeds(scenario, CacheKnowledge::Reported, rate),
+    ]
 }
 
 #[test]
-fn shared_parts_are_read_half_as_often_and_more_answers_are_in_time() {
-    let flat = Setup { terms: flat_terms(), ..setup(long_prompts(), vec![Speed::slow(); 12]) };
+fn placing_by_reported_caches_halves_rereads_and_raises_the_value() {
+    let flat = Scenario {
+        placement: flat_placement_costs(),
+        ..scenario(long_prompt_workload(), vec![EngineProfile::slow(); 12])
+    };
 
-    let [hash_only, kept] =
-        [Memory::HashOnly, Memory::Kept].map(|memory| play_seeds(&flat, memory, 1.8));
+    let [hash_only, reported] = [CacheKnowledge::HashOnly, CacheKnowledge::Reported]
+        .map(|cache_knowledge| simulate_seeds(&flat, cache_knowledge, 1.8));
 
-    println!("{hash_only:?} {kept:?}");
-    assert!(kept.1 * 2 < hash_only.1, "{hash_only:?} {kept:?}");
-    assert!(kept.0 > hash_only.0 * 1.05, "{hash_only:?} {kept:?}");
+    println!("{hash_only:?} {reported:?}");
+    assert!(reported.1 * 2 < hash_only.1, "{hash_only:?} {reported:?}");
+    assert!(reported.0 > hash_only.0 * 1.05, "{hash_only:?} {reported:?}");
 }
 
 #[test]
-fn no_other_pool_is_worse_off() {
-    let fast = Speed::slow().times(3.0);
-    let slow = Speed::slow().times(1.0 / 3.0);
-    let unlike = (0..12).map(|i| Speed::slow().times([0.5, 1.0, 2.0][i % 3])).collect();
+fn placing_by_reported_caches_costs_no_value_in_other_pools() {
+    let fast = EngineProfile::slow().scaled(3.0);
+    let slow = EngineProfile::slow().scaled(1.0 / 3.0);
+    let mixed_speeds =
+        (0..12).map(|i| EngineProfile::slow().scaled([0.5, 1.0, 2.0][i % 3])).collect();
     let cases = [
-        ("three times faster", long_prompts(), vec![fast; 12], 2.5),
-        ("three times slower", long_prompts(), vec![slow; 12], 0.3),
-        ("nothing shared", nothing_shared(), vec![Speed::slow(); 12], 1.0),
-        ("one server", long_prompts(), vec![Speed::slow(); 1], 0.08),
-        ("unlike each other", long_prompts(), unlike, 1.0),
+        ("three times faster", long_prompt_workload(), vec![fast; 12], 2.5),
+        ("three times slower", long_prompt_workload(), vec![slow; 12], 0.3),
+        ("nothing shared", unshared_workload(), vec![EngineProfile::slow(); 12], 1.0),
+        ("one server", long_prompt_workload(), vec![EngineProfile::slow(); 1], 0.08),
+        ("unlike each other", long_prompt_workload(), mixed_speeds, 1.0),
     ];
-    for (name, kinds, speeds, rate) in cases {
-        let setup = setup(kinds, speeds);
+    for (name, classes, engine_profiles, rate) in cases {
+        let scenario = scenario(classes, engine_profiles);
 
-        let [hash_only, kept] = compare(&setup, rate);
+        let [hash_only, reported] = compare(&scenario, rate);
 
-        println!("{name}: {hash_only:?} {kept:?}");
-        assert!(kept.0 >= hash_only.0 * 0.99, "{name}: {hash_only:?} {kept:?}");
+        println!("{name}: {hash_only:?} {reported:?}");
+        assert!(reported.0 >= hash_only.0 * 0.99, "{name}: {hash_only:?} {reported:?}");
     }
 }
 
 #[test]
-fn parts_of_a_lost_server_are_found_again_after_one_reading() {
-    let setup = Setup { lost: Some((3, 10.0)), ..setup(long_prompts(), vec![Speed::slow(); 12]) };
+fn after_an_engine_is_lost_reported_caches_still_reduce_rereads_and_raise_the_value() {
+    let scenario = Scenario {
+        engine_loss: Some((3, 10.0)),
+        ..scenario(long_prompt_workload(), vec![EngineProfile::slow(); 12])
+    };
 
-    let [hash_only, kept] = compare(&setup, 0.9);
+    let [hash_only, reported] = compare(&scenario, 0.9);
 
-    println!("{hash_only:?} {kept:?}");
-    assert!(kept.1 < hash_only.1, "{hash_only:?} {kept:?}");
-    assert!(kept.0 > hash_only.0, "{hash_only:?} {kept:?}");
+    println!("{hash_only:?} {reported:?}");
+    assert!(reported.1 < hash_only.1, "{hash_only:?} {reported:?}");
+    assert!(reported.0 > hash_only.0, "{hash_only:?} {reported:?}");
 }
 
 #[test]
-fn long_bodies_leave_the_zone_less_often_and_callers_get_as_much() {
-    let by_size = setup(long_prompts(), vec![Speed::slow(); 12]);
-    let before = Setup { terms: flat_terms(), ..by_size.clone() };
+fn charging_by_size_reduces_cross_zone_bytes_and_keeps_the_value() {
+    let size_based_costs = scenario(long_prompt_workload(), vec![EngineProfile::slow(); 12]);
+    let flat_costs = Scenario { placement: flat_placement_costs(), ..size_based_costs.clone() };
 
-    let [before, after] = [before, by_size].map(|setup| {
-        let all = arrivals(&setup.kinds, setup.entries, SECONDS, 1, |_| 1.0);
-        play(&setup, &all, Memory::Kept)
+    let [flat, by_size] = [flat_costs, size_based_costs].map(|scenario| {
+        let all = arrivals(&scenario.classes, scenario.entries, SECONDS, 1, |_| 1.0);
+        simulate(&scenario, &all, CacheKnowledge::Reported)
     });
 
-    println!("{before:?} {after:?}");
-    assert!(after.far_bytes * 6 < before.far_bytes * 5, "{before:?} {after:?}");
-    assert!(after.worth > before.worth * 0.98, "{before:?} {after:?}");
+    println!("{flat:?} {by_size:?}");
+    assert!(by_size.cross_zone_bytes * 6 < flat.cross_zone_bytes * 5, "{flat:?} {by_size:?}");
+    assert!(by_size.value > flat.value * 0.98, "{flat:?} {by_size:?}");
 }
--- a/tests/play/system.rs
+++ b/tests/play/system.rs
@@ -10,50 +10,53 @@
 };
 
 use crate::{
-    engine::{Engine, Speed, Told},
-    mix::{Arrival, Kind, LARGE, Model, SMALL},
+    engine::{Engine, EngineEvent, EngineProfile},
+    mix::{Arrival, LARGE, Model, RequestClass, SMALL},
 };
 
 /// Time after which entries know what others sent: reports and heartbeats between them.
-const REPORTED_AFTER: f64 = 0.5;
+const REPORT_DELAY: f64 = 0.5;
 
 /// Time between two reports of the load that entries put on engines.
-const SHARE_EVERY: f64 = 0.4;
+const LOAD_REPORT_INTERVAL: f64 = 0.4;
 /// Mean wait before any answer, seconds, and the step of the mean: those of the rule compared with.
-const MEAN_BEFORE: f64 = 0.2;
-const MEAN_STEP: f64 = 0.05;
+const INITIAL_MEAN_WAIT: f64 = 0.2;
+const MEAN_WAIT_WEIGHT: f64 = 0.05;
 
 /// The rule before waits were estimated: the threshold falls from a mean wait of 0.2 of the objective to
 /// 0.6, and a prompt that makes the answer late needs a confidence of 30.
-fn asks_by_mean_wait(
+fn escalates_by_mean_wait(
     arrival: &Arrival,
     elapsed: f64,
-    reading: f64,
+    prefill_time: f64,
     mean: f64,
-    objective: f64,
+    first_token_objective: f64,
 ) -> bool {
-    let pressure = ((mean / objective - 0.2) / 0.4).clamp(0.0, 1.0);
-    let threshold =
-        if elapsed + reading > objective { 30.0 } else { 52.0 - 32.0 * pressure * 2.0 / 3.0 };
+    let pressure = ((mean / first_token_objective - 0.2) / 0.4).clamp(0.0, 1.0);
+    let threshold = if elapsed + prefill_time > first_token_objective {
+        30.0
+    } else {
+        52.0 - 32.0 * pressure * 2.0 / 3.0
+    };
     f64::from(arrival.confidence) < threshold
 }
 
 /// What is played.
 #[derive(Clone, Debug)]
-pub struct Setup {
-    pub kinds: Vec<Kind>,
-    pub speeds: Vec<Speed>,
+pub struct Scenario {
+    pub classes: Vec<RequestClass>,
+    pub engine_profiles: Vec<EngineProfile>,
     pub entries: usize,
     /// AvailabilityZones that entries and engines stand in by turns.
     pub zones: usize,
-    pub escalation: Escalation,
-    pub terms: PlacementConfig,
+    pub escalation: EscalationRule,
+    pub placement: PlacementConfig,
     /// An engine that is lost, and when.
-    pub lost: Option<(usize, f64)>,
+    pub engine_loss: Option<(usize, f64)>,
 }
 
 /// The charges before bodies counted by their size and crowding counted at all.
-pub fn flat_terms() -> PlacementConfig {
+pub fn flat_placement_costs() -> PlacementConfig {
     PlacementConfig {
         far: Duration::from_millis(30),
         far_kilobyte: Duration::ZERO,
@@ -64,16 +67,16 @@
 
 /// Which policy is played.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Memory {
+pub enum CacheKnowledge {
     /// Shared parts are believed to be where a hash of them says, and nowhere else.
     HashOnly,
     /// Entries remember and tell each other where parts were sent.
-    Kept,
+    Reported,
 }
 
 /// How it is decided whether an answer is asked again of the largest model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Escalation {
+pub enum EscalationRule {
     /// By the mean wait for the largest model of late.
     MeanWait,
     /// By the wait that is expected now.
@@ -83,53 +86,55 @@
 /// What callers got.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    pub asked: Vec<u32>,
-    pub in_time: Vec<u32>,
+    pub requests: Vec<u32>,
+    pub on_time: Vec<u32>,
     pub late: Vec<u32>,
     /// Worth of the answers: 0.3 of it for late ones, 0.05 for those that are not good.
-    pub worth: f64,
+    pub value: f64,
     /// Shared tokens that engines read though one had read them before.
-    pub read_again: u64,
+    pub reread_tokens: u64,
     /// Bytes of bodies sent to another zone.
-    pub far_bytes: u64,
+    pub cross_zone_bytes: u64,
     /// Requests sent to each engine.
-    pub sent: Vec<u32>,
+    pub requests_by_engine: Vec<u32>,
     /// Shared tokens of all prompts sent, but for those read for the first time.
-    pub asked_again: u64,
+    pub reused_shared_tokens: u64,
 }
 
 impl Outcome {
     /// Requests of the engine that got most, as a multiple of the mean.
-    pub fn busiest(&self) -> f64 {
-        let all: u32 = self.sent.iter().sum();
-        f64::from(*self.sent.iter().max().unwrap()) * self.sent.len() as f64 / f64::from(all)
+    pub fn peak_to_mean_requests(&self) -> f64 {
+        let total: u32 = self.requests_by_engine.iter().sum();
+        f64::from(*self.requests_by_engine.iter().max().unwrap())
+            * self.requests_by_engine.len() as f64
+            / f64::from(total)
     }
 
     /// Part of the shared tokens that were asked for again and found kept.
-    pub fn found_kept(&self) -> f64 {
-        1.0 - self.read_again as f64 / self.asked_again as f64
+    pub fn cache_hit_ratio(&self) -> f64 {
+        1.0 - self.reread_tokens as f64 / self.reused_shared_tokens as f64
     }
 
     /// Part of the answers that were in time.
-    pub fn part_in_time(&self) -> f64 {
-        let sum = |of: &[u32]| f64::from(of.iter().sum::<u32>());
-        sum(&self.in_time) / sum(&self.asked)
+    pub fn on_time_ratio(&self) -> f64 {
+        let sum = |counts: &[u32]| f64::from(counts.iter().sum::<u32>());
+        sum(&self.on_time) / sum(&self.requests)
     }
 }
 
 /// One entry's knowledge of one engine.
 #[derive(Clone, Debug, Default)]
-struct View {
-    kept: CachedPrefixes,
+struct EngineView {
+    cached: CachedPrefixes,
     load: LoadEstimate,
     backlog: f64,
 }
 
-impl View {
+impl EngineView {
     /// Knows of an engine's memory, as the configuration tells it.
-    fn of(speed: &Speed) -> Self {
+    fn of(profile: &EngineProfile) -> Self {
         let mut view = Self::default();
-        view.kept.set_capacity(speed.memory);
+        view.cached.set_capacity(profile.cache_tokens);
         view
     }
 
@@ -144,178 +149,197 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Sent {
+struct Attempt {
     arrival: usize,
     model: Model,
     engine: usize,
     sent_at: f64,
-    reading: f64,
-    first_at: Option<f64>,
-    is_asked_again: bool,
+    prefill_time: f64,
+    first_token_at: Option<f64>,
+    is_escalated: bool,
 }
 
-struct Note {
+struct PrefixReport {
     at: f64,
     from: usize,
     engine: usize,
-    mark: PromptPrefix,
+    prefix: PromptPrefix,
 }
 
-struct System<'a> {
-    setup: &'a Setup,
-    memory: Memory,
+struct Simulator<'a> {
+    scenario: &'a Scenario,
+    cache_knowledge: CacheKnowledge,
     engines: Vec<Engine>,
-    views: Vec<Vec<View>>,
-    sent: Vec<Sent>,
-    notes: Vec<Note>,
-    next_share: f64,
+    views: Vec<Vec<EngineView>>,
+    attempts: Vec<Attempt>,
+    reports: Vec<PrefixReport>,
+    next_load_report: f64,
     /// Mean wait for the largest model, by entry.
     mean_wait: Vec<f64>,
     /// Tokens of each shared part that was read at all.
-    first_read: HashMap<u32, u64>,
+    distinct_shared_tokens: HashMap<u32, u64>,
     outcome: Outcome,
 }
 
 /// Plays the arrivals through.
-pub fn play(setup: &Setup, arrivals: &[Arrival], memory: Memory) -> Outcome {
-    let kinds = setup.kinds.len();
-    let mut system = System {
-        setup,
-        memory,
-        engines: setup.speeds.iter().map(|speed| Engine::new(*speed)).collect(),
-        views: vec![setup.speeds.iter().map(View::of).collect(); setup.entries],
-        sent: Vec::new(),
-        notes: Vec::new(),
-        first_read: HashMap::new(),
+pub fn simulate(
+    scenario: &Scenario,
+    arrivals: &[Arrival],
+    cache_knowledge: CacheKnowledge,
+) -> Outcome {
+    let classes = scenario.classes.len();
+    let mut simulator = Simulator {
+        scenario,
+        cache_knowledge,
+        engines: scenario.engine_profiles.iter().map(|profile| Engine::new(*profile)).collect(),
+        views: vec![
+            scenario.engine_profiles.iter().map(EngineView::of).collect();
+            scenario.entries
+        ],
+        attempts: Vec::new(),
+        reports: Vec::new(),
+        distinct_shared_tokens: HashMap::new(),
         outcome: Outcome {
-            asked: vec![0; kinds],
-            in_time: vec![0; kinds],
-            late: vec![0; kinds],
-            worth: 0.0,
-            read_again: 0,
-            far_bytes: 0,
-            sent: vec![0; setup.speeds.len()],
-            asked_again: 0,
+            requests: vec![0; classes],
+            on_time: vec![0; classes],
+            late: vec![0; classes],
+            value: 0.0,
+            reread_tokens: 0,
+            cross_zone_bytes: 0,
+            requests_by_engine: vec![0; scenario.engine_profiles.len()],
+            reused_shared_tokens: 0,
         },
-        next_share: 0.0,
-        mean_wait: vec![MEAN_BEFORE; setup.entries],
+        next_load_report: 0.0,
+        mean_wait: vec![INITIAL_MEAN_WAIT; scenario.entries],
     };
     for (i, arrival) in arrivals.iter().enumerate() {
-        system.run_until(arrival.at, arrivals);
-        system.outcome.asked[arrival.kind] += 1;
-        system.place(i, arrival, SMALL, arrival.at);
+        simulator.advance_to(arrival.at, arrivals);
+        simulator.outcome.requests[arrival.class] += 1;
+        simulator.place(i, arrival, SMALL, arrival.at);
     }
     let end = arrivals.last().map_or(0.0, |arrival| arrival.at) + 60.0;
-    system.run_until(end, arrivals);
-    let read: u64 = system.engines.iter().map(|engine| engine.shared_read).sum();
-    let first: u64 = system.first_read.values().sum();
-    system.outcome.read_again = read - first;
-    system.outcome.asked_again -= first;
-    system.outcome
+    simulator.advance_to(end, arrivals);
+    let read: u64 = simulator.engines.iter().map(|engine| engine.shared_tokens_read).sum();
+    let first: u64 = simulator.distinct_shared_tokens.values().sum();
+    simulator.outcome.reread_tokens = read - first;
+    simulator.outcome.reused_shared_tokens -= first;
+    simulator.outcome
 }
 
-impl System<'_> {
+impl Simulator<'_> {
     fn is_lost(&self, engine: usize, now: f64) -> bool {
-        self.setup.lost.is_some_and(|(lost, at)| lost == engine && now >= at)
+        self.scenario
+            .engine_loss
+            .is_some_and(|(engine_loss, at)| engine_loss == engine && now >= at)
     }
 
-    fn is_near(&self, engine: usize, entry: usize) -> bool {
-        engine % self.setup.zones == entry % self.setup.zones
+    fn is_same_zone_as_entry(&self, engine: usize, entry: usize) -> bool {
+        engine % self.scenario.zones == entry % self.scenario.zones
     }
 
-    fn run_until(&mut self, now: f64, arrivals: &[Arrival]) {
+    fn advance_to(&mut self, now: f64, arrivals: &[Arrival]) {
         for engine in 0..self.engines.len() {
-            let mut told = Vec::new();
+            let mut events = Vec::new();
             if !self.is_lost(engine, now) {
-                self.engines[engine].run_until(now, &mut told);
+                self.engines[engine].advance_to(now, &mut events);
             }
-            for told in told {
-                self.take_in(told, arrivals);
+            for event in events {
+                self.handle_event(event, arrivals);
             }
         }
-        let due = |note: &Note| note.at + REPORTED_AFTER <= now;
-        if now >= self.next_share {
-            self.next_share = now + SHARE_EVERY;
-            self.share_loads(Duration::from_secs_f64(now));
+        let is_due = |report: &PrefixReport| report.at + REPORT_DELAY <= now;
+        if now >= self.next_load_report {
+            self.next_load_report = now + LOAD_REPORT_INTERVAL;
+            self.exchange_loads(Duration::from_secs_f64(now));
         }
-        let (told, waiting) = std::mem::take(&mut self.notes).into_iter().partition(due);
-        self.notes = waiting;
-        for note in told {
-            self.pass_on(&note);
+        let (due_reports, waiting) =
+            std::mem::take(&mut self.reports).into_iter().partition(is_due);
+        self.reports = waiting;
+        for report in due_reports {
+            self.deliver_report(&report);
         }
     }
 
     /// Lets each entry know what the others have at the engines.
-    fn share_loads(&mut self, now: Duration) {
+    fn exchange_loads(&mut self, now: Duration) {
         for engine in 0..self.engines.len() {
-            let of = |view: &View| (view.load.own_requests, view.own_backlog());
-            let told: Vec<_> = self.views.iter().map(|views| of(&views[engine])).collect();
-            let requests: u32 = told.iter().map(|(requests, _)| requests).sum();
-            let backlog: Duration = told.iter().map(|(_, backlog)| backlog).sum();
-            for (entry, (own, own_backlog)) in told.iter().enumerate() {
+            let reported = |view: &EngineView| (view.load.own_requests, view.own_backlog());
+            let loads: Vec<_> = self.views.iter().map(|views| reported(&views[engine])).collect();
+            let requests: u32 = loads.iter().map(|(requests, _)| requests).sum();
+            let backlog: Duration = loads.iter().map(|(_, backlog)| backlog).sum();
+            for (entry, (own, own_backlog)) in loads.iter().enumerate() {
                 let load = &mut self.views[entry][engine].load;
                 load.record_peer_load(requests - own, backlog - *own_backlog, now);
             }
         }
     }
 
-    fn pass_on(&mut self, note: &Note) {
-        for entry in (0..self.setup.entries).filter(|entry| *entry != note.from) {
-            self.views[entry][note.engine]
-                .kept
-                .record_peer_report(note.mark.hash, note.mark.tokens);
+    fn deliver_report(&mut self, report: &PrefixReport) {
+        for entry in (0..self.scenario.entries).filter(|entry| *entry != report.from) {
+            self.views[entry][report.engine]
+                .cached
+                .record_peer_report(report.prefix.hash, report.prefix.tokens);
         }
     }
 
-    fn take_in(&mut self, told: Told, arrivals: &[Arrival]) {
-        match told {
-            Told::First(id, at) => self.take_first(id, at, arrivals),
-            Told::Ended(id, _) => self.take_end(id, arrivals),
+    fn handle_event(&mut self, event: EngineEvent, arrivals: &[Arrival]) {
+        match event {
+            EngineEvent::FirstToken(id, at) => self.handle_first_token(id, at, arrivals),
+            EngineEvent::Ended(id, _) => self.handle_end(id, arrivals),
         }
     }
 
-    fn take_first(&mut self, id: usize, at: f64, arrivals: &[Arrival]) {
-        self.sent[id].first_at = Some(at);
-        let Sent { arrival: i, model, engine, sent_at, reading, .. } = self.sent[id];
+    fn handle_first_token(&mut self, id: usize, at: f64, arrivals: &[Arrival]) {
+        self.attempts[id].first_token_at = Some(at);
+        let Attempt { arrival: i, model, engine, sent_at, prefill_time, .. } = self.attempts[id];
         let arrival = &arrivals[i];
-        self.views[arrival.entry][engine].backlog -= reading;
-        if model.pace == LARGE.pace {
+        self.views[arrival.entry][engine].backlog -= prefill_time;
+        if model.time_factor == LARGE.time_factor {
             let mean = &mut self.mean_wait[arrival.entry];
-            *mean += (at - sent_at - *mean) * MEAN_STEP;
-        } else if self.asks_again(arrival, at) {
-            self.sent[id].is_asked_again = true;
-            self.engines[engine].leave(id);
+            *mean += (at - sent_at - *mean) * MEAN_WAIT_WEIGHT;
+        } else if self.should_escalate(arrival, at) {
+            self.attempts[id].is_escalated = true;
+            self.engines[engine].cancel(id);
             self.place(i, arrival, LARGE, at);
         }
     }
 
-    fn take_end(&mut self, id: usize, arrivals: &[Arrival]) {
-        let sent = &self.sent[id];
-        let arrival = &arrivals[sent.arrival];
-        self.views[arrival.entry][sent.engine].load.own_requests -= 1;
-        if sent.is_asked_again {
+    fn handle_end(&mut self, id: usize, arrivals: &[Arrival]) {
+        let attempt = &self.attempts[id];
+        let arrival = &arrivals[attempt.arrival];
+        self.views[arrival.entry][attempt.engine].load.own_requests -= 1;
+        if attempt.is_escalated {
             return;
         }
-        let kind = &self.setup.kinds[arrival.kind];
-        let is_late = sent.first_at.unwrap_or(f64::MAX) - arrival.at > kind.objective;
-        let is_good = arrival.is_easy || sent.model.pace == LARGE.pace;
-        let worth = kind.worth * if is_late { 0.3 } else { 1.0 } * if is_good { 1.0 } else { 0.05 };
+        let class = &self.scenario.classes[arrival.class];
+        let is_late =
+            attempt.first_token_at.unwrap_or(f64::MAX) - arrival.at > class.first_token_objective;
+        let is_good =
+            arrival.small_model_suffices || attempt.model.time_factor == LARGE.time_factor;
+        let value =
+            class.value * if is_late { 0.3 } else { 1.0 } * if is_good { 1.0 } else { 0.05 };
         let outcome = &mut self.outcome;
-        let counts = if is_late { &mut outcome.late } else { &mut outcome.in_time };
-        counts[arrival.kind] += 1;
-        outcome.worth += worth;
+        let counts = if is_late { &mut outcome.late } else { &mut outcome.on_time };
+        counts[arrival.class] += 1;
+        outcome.value += value;
     }
 
     /// Whether the smallest model's answer is asked again of the largest.
-    fn asks_again(&self, arrival: &Arrival, now: f64) -> bool {
-        let kind = &self.setup.kinds[arrival.kind];
-        let (engine, unread) = self.choose(arrival, &LARGE, now);
-        let reading = unread as f64 * self.token_time(&LARGE);
+    fn should_escalate(&self, arrival: &Arrival, now: f64) -> bool {
+        let class = &self.scenario.classes[arrival.class];
+        let (engine, unread_tokens) = self.choose_engine(arrival, &LARGE, now);
+        let prefill_time = unread_tokens as f64 * self.prefill_token_time(&LARGE);
         let view = &self.views[arrival.entry][engine];
         let backlog = view.backlog(Duration::from_secs_f64(now)).as_secs_f64();
-        if self.setup.escalation == Escalation::MeanWait {
+        if self.scenario.escalation == EscalationRule::MeanWait {
             let mean = self.mean_wait[arrival.entry];
-            return asks_by_mean_wait(arrival, now - arrival.at, reading, mean, kind.objective);
+            return escalates_by_mean_wait(
+                arrival,
+                now - arrival.at,
+                prefill_time,
+                mean,
+                class.first_token_objective,
+            );
         }
         let answer = StageAnswer {
             stage: 0,
@@ -323,44 +347,51 @@
             confidence: Some(arrival.confidence),
             attempts_left: 2,
             time_left: Duration::from_secs(5),
-            objective: Duration::from_secs_f64(kind.objective),
-            expected_first_event: Duration::from_secs_f64(reading + backlog),
-            expected_idle_first_event: Duration::from_secs_f64(reading),
+            objective: Duration::from_secs_f64(class.first_token_objective),
+            expected_first_event: Duration::from_secs_f64(prefill_time + backlog),
+            expected_idle_first_event: Duration::from_secs_f64(prefill_time),
             elapsed: Duration::from_secs_f64(now - arrival.at),
             priority: 1,
         };
         escalate(&answer, &EscalationConfig::default()).is_some()
     }
 
-    fn token_time(&self, model: &Model) -> f64 {
-        model.pace / self.setup.speeds[0].read_rate
+    fn prefill_token_time(&self, model: &Model) -> f64 {
+        model.time_factor / self.scenario.engine_profiles[0].prefill_rate
     }
 
     fn place(&mut self, i: usize, arrival: &Arrival, model: Model, now: f64) {
-        let (engine, unread) = self.choose(arrival, &model, now);
-        let reading = unread as f64 * self.token_time(&model);
-        let (first_at, is_asked_again) = (None, false);
-        let sent =
-            Sent { arrival: i, model, engine, sent_at: now, reading, first_at, is_asked_again };
-        self.send(arrival, sent, unread);
+        let (engine, unread_tokens) = self.choose_engine(arrival, &model, now);
+        let prefill_time = unread_tokens as f64 * self.prefill_token_time(&model);
+        let (first_token_at, is_escalated) = (None, false);
+        let attempt = Attempt {
+            arrival: i,
+            model,
+            engine,
+            sent_at: now,
+            prefill_time,
+            first_token_at,
+            is_escalated,
+        };
+        self.send(arrival, attempt, unread_tokens);
     }
 
     /// The engine that is chosen, and the tokens that it is believed to have to read.
-    fn choose(&self, arrival: &Arrival, model: &Model, now: f64) -> (usize, u64) {
-        let marks = arrival.marks(model);
-        let work = PlacementRequest {
-            affinity: marks.last().map(|mark| u64::from(mark.hash)),
-            shared_tokens: marks.iter().map(|mark| mark.tokens).sum(),
-            prefill_token_time: Duration::from_secs_f64(self.token_time(model)),
+    fn choose_engine(&self, arrival: &Arrival, model: &Model, now: f64) -> (usize, u64) {
+        let prefixes = arrival.prefixes(model);
+        let request = PlacementRequest {
+            affinity: prefixes.last().map(|prefix| u64::from(prefix.hash)),
+            shared_tokens: prefixes.iter().map(|prefix| prefix.tokens).sum(),
+            prefill_token_time: Duration::from_secs_f64(self.prefill_token_time(model)),
             // A byte for each token, as prompts come.
             bytes: arrival.prompt_tokens() as usize,
             request_hash: 0,
         };
         let views = &self.views[arrival.entry];
         let at = Duration::from_secs_f64(now);
-        let known = |view: &View| match self.memory {
-            Memory::HashOnly => 0,
-            Memory::Kept => view.kept.cached_tokens(&marks),
+        let known_cached_tokens = |view: &EngineView| match self.cache_knowledge {
+            CacheKnowledge::HashOnly => 0,
+            CacheKnowledge::Reported => view.cached.cached_tokens(&prefixes),
         };
         let candidate = |engine: usize| Candidate {
             id_hash: hash_id(&format!("engine-{engine}")),
@@ -368,37 +399,46 @@
             slots: 64,
             backlog: views[engine].own_backlog()
                 + views[engine].load.peer_backlog_for_placement(at),
-            cached_tokens: known(&views[engine]),
+            cached_tokens: known_cached_tokens(&views[engine]),
             failure_rate: 0.0,
-            is_same_zone: self.is_near(engine, arrival.entry),
+            is_same_zone: self.is_same_zone_as_entry(engine, arrival.entry),
         };
         let engines: Vec<usize> =
             (0..self.engines.len()).filter(|engine| !self.is_lost(*engine, now)).collect();
         let candidates: Vec<Candidate> = engines.iter().copied().map(candidate).collect();
-        let chosen = place(&candidates, &work, &self.setup.terms).expect("there are engines");
+        let chosen =
+            place(&candidates, &request, &self.scenario.placement).expect("there are engines");
         let engine = engines[chosen];
-        (engine, arrival.prompt_tokens() - known(&views[engine]))
+        (engine, arrival.prompt_tokens() - known_cached_tokens(&views[engine]))
     }
 
-    fn send(&mut self, arrival: &Arrival, sent: Sent, unread: u64) {
-        let Sent { engine, model, sent_at: now, .. } = sent;
-        let marks = arrival.marks(&model);
-        self.first_read.extend(marks.iter().map(|mark| (mark.hash, mark.tokens)));
-        self.outcome.asked_again += marks.iter().map(|mark| mark.tokens).sum::<u64>();
-        self.outcome.sent[engine] += 1;
-        if !self.is_near(engine, arrival.entry) {
-            self.outcome.far_bytes += arrival.prompt_tokens();
+    fn send(&mut self, arrival: &Arrival, attempt: Attempt, unread_tokens: u64) {
+        let Attempt { engine, model, sent_at: now, .. } = attempt;
+        let prefixes = arrival.prefixes(&model);
+        self.distinct_shared_tokens
+            .extend(prefixes.iter().map(|prefix| (prefix.hash, prefix.tokens)));
+        self.outcome.reused_shared_tokens +=
+            prefixes.iter().map(|prefix| prefix.tokens).sum::<u64>();
+        self.outcome.requests_by_engine[engine] += 1;
+        if !self.is_same_zone_as_entry(engine, arrival.entry) {
+            self.outcome.cross_zone_bytes += arrival.prompt_tokens();
         }
         let view = &mut self.views[arrival.entry][engine];
         view.load.own_requests += 1;
-        view.backlog += sent.reading;
-        view.kept.record_sent(&marks, unread);
-        if let Some(mark) = view.kept.take_report(&marks, Duration::from_secs_f64(now)) {
-            self.notes.push(Note { at: now, from: arrival.entry, engine, mark });
+        view.backlog += attempt.prefill_time;
+        view.cached.record_sent(&prefixes, unread_tokens);
+        if let Some(prefix) = view.cached.take_report(&prefixes, Duration::from_secs_f64(now)) {
+            self.reports.push(PrefixReport { at: now, from: arrival.entry, engine, prefix });
         }
-        let id = self.sent.len();
-        self.sent.push(sent);
-        let own = arrival.own_tokens;
-        self.engines[engine].begin(id, model.pace, &marks, own, arrival.answer_tokens);
+        let id = self.attempts.len();
+        self.attempts.push(attempt);
+        let unique_tokens = arrival.unique_tokens;
+        self.engines[engine].start(
+            id,
+            model.time_factor,
+            &prefixes,
+            unique_tokens,
+            arrival.answer_tokens,
+        );
     }
 }
