--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -83,7 +83,7 @@
             far: Duration::from_millis(15),
             // Equal to prefilling 830 tokens again; the users' prices equate a kilobyte to 310 to 980 tokens.
             // A third less traffic goes between zones than with a cost independent of the size
-            // (tests/play/placing.rs). With 9 ms the score of quiet days was 0.03 lower where prompts are
+            // (tests/play/placement.rs). With 9 ms the score of quiet days was 0.03 lower where prompts are
             // longest; with 40 ms it was no higher, and that of days with load was 0.008 lower where prompts
             // are shorter (docs/decisions/0011).
             far_kilobyte: Duration::from_millis(25),
--- a/tests/play/fleet.rs
+++ b/tests/play/fleet.rs
@@ -4,8 +4,8 @@
 
 use crate::{
     engine::EngineProfile,
-    mix::{arrivals, short_prompt_workload},
-    system::{CacheKnowledge, EscalationRule, Outcome, Scenario, simulate},
+    simulator::{CacheKnowledge, EscalationRule, Outcome, Scenario, simulate},
+    workload::{arrivals, short_prompt_workload},
 };
 
 /// Engines of the largest pool; smaller ones have a part of its engines and load.
--- a/tests/play/main.rs
+++ b/tests/play/main.rs
@@ -3,11 +3,11 @@
 //! Time is simulated and all draws come from seeds, so a run always gives the same figures.
 
 mod comeback;
-mod crashing;
 mod engine;
 mod fleet;
-mod mix;
 mod overload;
 mod pauses;
-mod placing;
-mod system;
+mod placement;
+mod quarantine;
+mod simulator;
+mod workload;
--- a/tests/play/overload.rs
+++ b/tests/play/overload.rs
@@ -4,8 +4,10 @@
 
 use crate::{
     engine::EngineProfile,
-    mix::{arrivals, long_prompt_workload},
-    system::{CacheKnowledge, EscalationRule, Outcome, Scenario, flat_placement_costs, simulate},
+    simulator::{
+        CacheKnowledge, EscalationRule, Outcome, Scenario, flat_placement_costs, simulate,
+    },
+    workload::{arrivals, long_prompt_workload},
 };
 
 /// One seed tells little: near the edge of what the engines can do, parts in time of 0.70 to 0.86 follow
--- a/tests/play/placing.rs
+++ b/tests/play/placement.rs
@@ -4,8 +4,10 @@
 
 use crate::{
     engine::EngineProfile,
-    mix::{RequestClass, arrivals, long_prompt_workload, unshared_workload},
-    system::{CacheKnowledge, EscalationRule, Outcome, Scenario, flat_placement_costs, simulate},
+    simulator::{
+        CacheKnowledge, EscalationRule, Outcome, Scenario, flat_placement_costs, simulate,
+    },
+    workload::{RequestClass, arrivals, long_prompt_workload, unshared_workload},
 };
 
 const SEEDS: [u64; 3] = [1, 2, 3];
--- a/tests/play/system.rs
+++ b/tests/play/simulator.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     engine::{Engine, EngineEvent, EngineProfile},
-    mix::{Arrival, LARGE, Model, RequestClass, SMALL},
+    workload::{Arrival, LARGE, Model, RequestClass, SMALL},
 };
 
 /// Time after which entries know what others sent: reports and heartbeats between them.
