--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -22,25 +22,25 @@
     time::{sleep, timeout},
 };
 
-use crate::record::{Exchange, Kind, Outcome, Record, WITHDRAWN_KEY};
+use crate::record::{Exchange, Outcome, Record, RequestKind, WITHDRAWN_KEY};
 
 /// Longest that a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(5);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause of a caller between two requests.
-const PAUSE_MS: u64 = 20;
+const MEAN_PAUSE_MS: u64 = 20;
 /// Requests that a caller sends on one connection at most.
-const MOST_ON_ONE: u64 = 12;
+const MAX_REQUESTS_PER_CONNECTION: u64 = 12;
 
 /// Sessions that callers ask for; so many that an entry has not seen most of them lately.
-const SESSIONS: u32 = 400;
+const SESSION_COUNT: u32 = 400;
 
 /// Time between two tries of a caller that insists.
-const INSIST_EVERY: Duration = Duration::from_millis(150);
+const REPEAT_INTERVAL: Duration = Duration::from_millis(150);
 
 /// What is asked, and of whom.
-struct Asked {
+struct RequestInfo {
     id: String,
-    kind: Kind,
+    kind: RequestKind,
     entry: usize,
     key: &'static str,
 }
@@ -52,31 +52,31 @@
     pub entries: Vec<SocketAddr>,
     /// Which of them the balancer sends new connections to.
     pub in_rotation: Vec<AtomicBool>,
-    pub is_over: AtomicBool,
+    pub is_stopped: AtomicBool,
     pub next_id: AtomicU64,
 }
 
 impl Callers {
     /// Asks for the same work over and over, at any entry, without waiting for answers.
-    pub async fn insist(self: &Arc<Self>, body: String, seed: u64, lasts: Duration) {
+    pub async fn repeat_request(self: &Arc<Self>, body: String, seed: u64, duration: Duration) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut asking = JoinSet::new();
-        let until = Instant::now() + lasts;
+        let mut sends = JoinSet::new();
+        let until = Instant::now() + duration;
         while Instant::now() < until {
-            let entry = self.choose(&mut rng);
+            let entry = self.choose_entry(&mut rng);
             let id = format!("soak-{}", self.next_id.fetch_add(1, Ordering::SeqCst));
-            let req = request(&id, Kind::Stream, "key-1", 0, &body);
-            let asked = Asked { id, kind: Kind::Stream, entry, key: "key-1" };
+            let req = build_request(&id, RequestKind::Stream, "key-1", 0, &body);
+            let info = RequestInfo { id, kind: RequestKind::Stream, entry, key: "key-1" };
             let callers = self.clone();
-            asking.spawn(async move { callers.send_alone(asked, req).await });
-            sleep(INSIST_EVERY).await;
+            sends.spawn(async move { callers.send_on_new_connection(info, req).await });
+            sleep(REPEAT_INTERVAL).await;
         }
-        while asking.join_next().await.is_some() {}
+        while sends.join_next().await.is_some() {}
     }
 
     /// Sends a request on a connection of its own.
-    async fn send_alone(&self, asked: Asked, req: Request<Full<Bytes>>) {
-        let connecting = TcpStream::connect(self.entries[asked.entry]);
+    async fn send_on_new_connection(&self, info: RequestInfo, req: Request<Full<Bytes>>) {
+        let connecting = TcpStream::connect(self.entries[info.entry]);
         let Ok(Ok(stream)) = timeout(Duration::from_secs(1), connecting).await else {
             return;
         };
@@ -85,19 +85,19 @@
         };
         // What ends the connection shows in the exchange.
         let connection = tokio::spawn(async move { drop(connection.await) });
-        self.send_recorded(&mut sender, asked, req).await;
+        self.send_recorded(&mut sender, info, req).await;
         connection.abort();
     }
 
     /// One caller, until the soak is over.
-    pub async fn call(self: Arc<Self>, seed: u64) {
+    pub async fn run_caller(self: Arc<Self>, seed: u64) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        while !self.is_over.load(Ordering::SeqCst) {
-            let entry = self.choose(&mut rng);
+        while !self.is_stopped.load(Ordering::SeqCst) {
+            let entry = self.choose_entry(&mut rng);
             let Ok(Ok(stream)) =
                 timeout(Duration::from_secs(1), TcpStream::connect(self.entries[entry])).await
             else {
-                sleep(Duration::from_millis(PAUSE_MS)).await;
+                sleep(Duration::from_millis(MEAN_PAUSE_MS)).await;
                 continue;
             };
             let _ = stream.set_nodelay(true);
@@ -106,22 +106,22 @@
             };
             // What ends the connection shows in the exchange.
             let connection = tokio::spawn(async move { drop(connection.await) });
-            for _ in 0..rng.random_range(1..=MOST_ON_ONE) {
-                if sender.ready().await.is_err() || self.is_over.load(Ordering::SeqCst) {
+            for _ in 0..rng.random_range(1..=MAX_REQUESTS_PER_CONNECTION) {
+                if sender.ready().await.is_err() || self.is_stopped.load(Ordering::SeqCst) {
                     break;
                 }
-                let is_kept = self.exchange(&mut sender, entry, &mut rng).await;
-                if !is_kept {
+                let keeps_connection = self.send_random_request(&mut sender, entry, &mut rng).await;
+                if !keeps_connection {
                     break;
                 }
-                sleep(Duration::from_millis(rng.random_range(0..2 * PAUSE_MS))).await;
+                sleep(Duration::from_millis(rng.random_range(0..2 * MEAN_PAUSE_MS))).await;
             }
             connection.abort();
         }
     }
 
     /// An entry in rotation; any where there is none.
-    fn choose(&self, rng: &mut impl Rng) -> usize {
+    fn choose_entry(&self, rng: &mut impl Rng) -> usize {
         let all: Vec<usize> = (0..self.entries.len()).collect();
         let ready: Vec<usize> = all
             .iter()
@@ -133,45 +133,53 @@
     }
 
     /// Sends one request; whether the connection goes on.
-    async fn exchange(
+    async fn send_random_request(
         &self,
         sender: &mut SendRequest<Full<Bytes>>,
         entry: usize,
         rng: &mut impl Rng,
     ) -> bool {
-        let kind = [Kind::Idempotent, Kind::OnceOnly, Kind::Stream][rng.random_range(0..3)];
+        let kind = [RequestKind::Idempotent, RequestKind::NonIdempotent, RequestKind::Stream]
+            [rng.random_range(0..3)];
         let key = if rng.random_range(0..10) == 0 { WITHDRAWN_KEY } else { "key-1" };
         let id = format!("soak-{}", self.next_id.fetch_add(1, Ordering::SeqCst));
-        let req = request(&id, kind, key, rng.random_range(0..SESSIONS), "asked");
-        self.send_recorded(sender, Asked { id, kind, entry, key }, req).await
+        let req = build_request(&id, kind, key, rng.random_range(0..SESSION_COUNT), "asked");
+        self.send_recorded(sender, RequestInfo { id, kind, entry, key }, req).await
     }
 
     /// Sends a request and records what became of it; whether the connection goes on.
     async fn send_recorded(
         &self,
         sender: &mut SendRequest<Full<Bytes>>,
-        asked: Asked,
+        info: RequestInfo,
         req: Request<Full<Bytes>>,
     ) -> bool {
         let sent = Instant::now();
-        let (outcome, is_kept) = match timeout(PATIENCE, send(sender, req)).await {
-            Ok(done) => done,
-            // The caller gives up; nothing is promised beyond its own deadline.
-            Err(_) => (Outcome::GaveUp, false),
-        };
+        let (outcome, keeps_connection) =
+            match timeout(ANSWER_TIMEOUT, send_request(sender, req)).await {
+                Ok(done) => done,
+                // The caller gives up; nothing is promised beyond its own deadline.
+                Err(_) => (Outcome::TimedOut, false),
+            };
         let ended = Instant::now();
-        let Asked { id, kind, entry, key } = asked;
+        let RequestInfo { id, kind, entry, key } = info;
         let exchange = Exchange { id, kind, entry, key, sent, ended, outcome };
         self.record.exchanges.lock().unwrap().push(exchange);
-        is_kept
+        keeps_connection
     }
 }
 
-fn request(id: &str, kind: Kind, key: &str, session: u32, body: &str) -> Request<Full<Bytes>> {
+fn build_request(
+    id: &str,
+    kind: RequestKind,
+    key: &str,
+    session: u32,
+    body: &str,
+) -> Request<Full<Bytes>> {
     let (method, path) = match kind {
-        Kind::Idempotent => ("GET", "/safe/a"),
-        Kind::OnceOnly => ("POST", "/once/a"),
-        Kind::Stream => ("POST", "/chat/a"),
+        RequestKind::Idempotent => ("GET", "/safe/a"),
+        RequestKind::NonIdempotent => ("POST", "/once/a"),
+        RequestKind::Stream => ("POST", "/chat/a"),
     };
     let body =
         if method == "POST" { Bytes::copy_from_slice(body.as_bytes()) } else { Bytes::new() };
@@ -188,7 +196,10 @@
         .unwrap()
 }
 
-async fn send(sender: &mut SendRequest<Full<Bytes>>, req: Request<Full<Bytes>>) -> (Outcome, bool) {
+async fn send_request(
+    sender: &mut SendRequest<Full<Bytes>>,
+    req: Request<Full<Bytes>>,
+) -> (Outcome, bool) {
     let mut res = match sender.try_send_request(req).await {
         Ok(res) => res,
         Err(mut e) => {
