--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -4,7 +4,7 @@
 
 mod callers;
 mod faults;
-mod fleet;
+mod process;
 mod proxy;
 mod record;
 #[path = "../platform/server.rs"]
--- a/tests/soak/system.rs
+++ b/tests/soak/system.rs
@@ -23,7 +23,7 @@
 use crate::{
     callers::Callers,
     faults::{Disruption, draw_disruption},
-    fleet::{Entry, loopback_host},
+    process::{Entry, loopback_host},
     proxy::Proxy,
     record::{
         CONTACT_BOUND, CRASHING_BODY_PREFIX, EVENTS_PER_STREAM, Execution, NEW_VERSION,
@@ -221,7 +221,7 @@
         let check = async {
             let address = std::net::SocketAddr::new(
                 loopback_host(number as u8),
-                crate::fleet::READINESS_PORT,
+                crate::process::READINESS_PORT,
             );
             let mut stream = TcpStream::connect(address).await.ok()?;
             let request = "GET /-/readyz HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
