--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -26,13 +26,13 @@
 use tempfile::TempDir;
 
 pub const ROOT_KEY: &str = "root-key-of-the-tests-0001";
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Waits until a condition holds; the condition decides, not the clock.
 pub async fn wait_until<F: Future<Output = bool>>(what: &str, condition: impl Fn() -> F) {
-    let until = tokio::time::Instant::now() + PATIENCE;
+    let deadline = tokio::time::Instant::now() + TIMEOUT;
     while !condition().await {
-        assert!(tokio::time::Instant::now() < until, "never happened: {what}");
+        assert!(tokio::time::Instant::now() < deadline, "never happened: {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -125,17 +125,17 @@
     pub entries: Vec<Process>,
     pub agents: Vec<Process>,
     pub http: HttpClient,
-    _served: Vec<(Served, Option<Stepping>)>,
+    _backends: Vec<(Served, Option<Stepping>)>,
 }
 
 impl Cluster {
     /// Two entries and three agents: two engines with `swift@1` and `swift@2`, one service.
     pub async fn start() -> Cluster {
-        Cluster::start_with("").await
+        Cluster::start_with_entry_settings("").await
     }
 
     /// The same with more lines in the entries' settings.
-    pub async fn start_with(entry_lines: &str) -> Cluster {
+    pub async fn start_with_entry_settings(entry_lines: &str) -> Cluster {
         let platform = Platform::start(7).await.unwrap();
         let dir = tempfile::tempdir().unwrap();
         for (name, key) in [
@@ -153,7 +153,7 @@
             entries: Vec::new(),
             agents: Vec::new(),
             http: HttpClient::default(),
-            _served: Vec::new(),
+            _backends: Vec::new(),
         };
         cluster.start_backends().await;
         for i in 0..2 {
@@ -161,7 +161,7 @@
             let entry = Process::start(cluster.path(), "entry", &settings, &format!("entry-{i}"));
             cluster.entries.push(entry);
         }
-        cluster.declare().await;
+        cluster.create_objects().await;
         cluster.wait_until_linked().await;
         cluster
     }
@@ -177,11 +177,11 @@
             let served = serve(engine.router()).await.unwrap();
             self.start_agent(&format!("engine-{}", i + 1), &served.url());
             self.engines.push(engine);
-            self._served.push((served, Some(stepping)));
+            self._backends.push((served, Some(stepping)));
         }
         let served = serve(self.service.router()).await.unwrap();
         self.start_agent("confirm", &served.url());
-        self._served.push((served, None));
+        self._backends.push((served, None));
         let hosts = self.agents.iter().zip(["engine-1", "engine-2", "confirm"]);
         let hosts = hosts.map(|(agent, name)| host(name, agent.address("link"))).collect();
         self.platform.hosts.set(hosts);
@@ -199,33 +199,33 @@
     }
 
     fn common_settings(&self, host: &str) -> String {
-        let at = self.platform.settings();
-        let key = |name: &str| self.path().join(format!("{name}.key"));
+        let platform = self.platform.settings();
+        let key_file = |name: &str| self.path().join(format!("{name}.key"));
         format!(
             "[process]\nhost = \"{host}\"\nregion = \"sicily\"\nzone = \"sicily-1\"\n\
              [platform]\ntable = \"{}\"\nobjects = \"{}\"\nhosts = \"{}\"\nratings = \"{}\"\n\
              [log]\nformat = \"json\"\n[keys]\nlink_file = {:?}\n",
-            at.table,
-            at.objects,
-            at.hosts,
-            at.ratings,
-            key("link")
+            platform.table,
+            platform.objects,
+            platform.hosts,
+            platform.ratings,
+            key_file("link")
         )
     }
 
     pub fn entry_settings(&self, i: usize, more: &str) -> String {
-        let key = |name: &str| self.path().join(format!("{name}.key"));
+        let key_file = |name: &str| self.path().join(format!("{name}.key"));
         format!(
             "{}session_file = {:?}\nroot_file = {:?}\n[listen]\ncaller = \"127.0.0.1:0\"\n\
              operator = \"127.0.0.1:0\"\n[control]\nheartbeat_ms = 200\npoll_ms = 200\n\
              [stop]\ngrace_ms = 15000\n{more}\n",
             self.common_settings(&format!("entry-{i}")),
-            key("session"),
-            key("root"),
+            key_file("session"),
+            key_file("root"),
         )
     }
 
-    async fn declare(&self) {
+    async fn create_objects(&self) {
         let versions: Vec<Box<str>> = vec!["ricarica/swift@1".into(), "ricarica/swift@2".into()];
         let servers = [
             ("ricarica/engine-1".into(), versions.clone(), false),
@@ -239,13 +239,13 @@
                 _ => operator_key(partner),
             };
             let path = format!("{}/{name}", kind.as_str());
-            let (status, body) = self.operator("PUT", 0, &path, &key, &spec).await;
+            let (status, body) = self.call_operator_api("PUT", 0, &path, &key, &spec).await;
             assert_eq!(status, 200, "{path}: {body}");
         }
     }
 
     /// Calls an entry's operator API.
-    pub async fn operator(
+    pub async fn call_operator_api(
         &self,
         method: &str,
         entry: usize,
@@ -258,30 +258,30 @@
         headers.insert("authorization", format!("Bearer {key}").parse().unwrap());
         let body = body.to_string().into();
         let method = method.parse().unwrap();
-        let reply = self.http.call(method, &uri, headers, body, PATIENCE).await.unwrap();
+        let reply = self.http.call(method, &uri, headers, body, TIMEOUT).await.unwrap();
         (reply.status.as_u16(), serde_json::from_slice(&reply.body).unwrap_or_default())
     }
 
-    pub async fn dump(&self, process: &Process) -> Value {
+    pub async fn state_dump(&self, process: &Process) -> Value {
         let uri = format!("{}/debug/state", process.url("admin"));
         let headers = http::HeaderMap::new();
         let reply =
-            self.http.call(http::Method::GET, &uri, headers, bytes::Bytes::new(), PATIENCE).await;
+            self.http.call(http::Method::GET, &uri, headers, bytes::Bytes::new(), TIMEOUT).await;
         reply.map(|reply| serde_json::from_slice(&reply.body).unwrap()).unwrap_or_default()
     }
 
     async fn wait_until_linked(&self) {
         wait_until("entries linked to all agents that are up to date", || async {
             for entry in &self.entries {
-                let state = self.dump(entry).await;
+                let state = self.state_dump(entry).await;
                 let servers = &state["servers_by_version"]["ricarica/swift@2"];
-                let links = state["links"].as_array().map_or(0, Vec::len);
-                if state["ready"] != true || links < 3 || servers != 2 {
+                let link_count = state["links"].as_array().map_or(0, Vec::len);
+                if state["ready"] != true || link_count < 3 || servers != 2 {
                     return false;
                 }
-                let agents = state["links"].as_array().unwrap();
-                let newest = &state["config_revision"];
-                if agents.iter().any(|link| &link["heartbeat"]["c"] != newest) {
+                let links = state["links"].as_array().unwrap();
+                let newest_revision = &state["config_revision"];
+                if links.iter().any(|link| &link["heartbeat"]["c"] != newest_revision) {
                     return false;
                 }
             }
@@ -295,7 +295,7 @@
     }
 
     /// What a process has logged so far.
-    pub fn log_of(&self, name: &str) -> String {
+    pub fn read_log(&self, name: &str) -> String {
         let file: PathBuf = self.path().join(format!("{name}.log"));
         std::fs::read_to_string(file).unwrap_or_default()
     }
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -35,12 +35,14 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
 
     let spec = json!({ "cost_in": 100, "cost_out": 400, "state": "withdrawn" });
-    let (status, body) = cluster.operator("PUT", 0, "version/swift@1", &key, &spec).await;
+    let (status, body) = cluster.call_operator_api("PUT", 0, "version/swift@1", &key, &spec).await;
     assert_eq!(status, 200, "{body}");
     let revision = body["revision"].clone();
     wait_until("both agents have the revision", || async {
-        let states =
-            [cluster.dump(&cluster.agents[0]).await, cluster.dump(&cluster.agents[1]).await];
+        let states = [
+            cluster.state_dump(&cluster.agents[0]).await,
+            cluster.state_dump(&cluster.agents[1]).await,
+        ];
         states.iter().all(|state| state["config_revision"].as_u64() >= revision.as_u64())
     })
     .await;
@@ -84,8 +86,9 @@
     let delivered = answered.len() as u64;
     // The agents give the entry up, flush its records, and the other entry settles them.
     wait_until("every delivered answer is in the totals", || async {
-        let (_, totals) =
-            cluster.operator("GET", 1, "totals", &operator_key("ricarica"), &json!({})).await;
+        let (_, totals) = cluster
+            .call_operator_api("GET", 1, "totals", &operator_key("ricarica"), &json!({}))
+            .await;
         totals["ricarica/kiosks"]["requests"].as_u64() >= Some(delivered)
     })
     .await;
@@ -117,7 +120,7 @@
 
     cluster.platform.hosts.mark_leaving("host-engine-1");
     wait_until("the agent knows that it is leaving", || async {
-        cluster.dump(&cluster.agents[0]).await["leaving"] == true
+        cluster.state_dump(&cluster.agents[0]).await["leaving"] == true
     })
     .await;
     let before: u64 = cluster.engines[0].started().values().sum();
