--- a/tests/play/comeback.rs
+++ b/tests/play/comeback.rs
@@ -1,4 +1,5 @@
-//! An overload, and callers who were refused: how many are served in the end, by when they come back.
+//! Overload with callers that retry after a refusal: compares a fixed retry wait with one that grows with the
+//! duration of the overload.
 
 use std::{collections::BinaryHeap, time::Duration};
 
@@ -6,15 +7,15 @@
 use mintmoor::policy::overload::{Overload, retry_after};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
-/// Places of a pool, and the mean time that a request has one, seconds.
+/// Slots of the pool, and the mean time that a request occupies one, in seconds.
 const SLOTS: usize = 400;
 const MEAN_SERVICE_TIME: f64 = 1.0;
-/// Callers' deadlines, seconds; they come back once, after a third of what is left at most.
+/// Deadlines of the callers in seconds. Each caller retries once, after at most a third of the time left.
 const DEADLINES: [f64; 3] = [4.0, 15.0, 20.0];
 const SEEDS: std::ops::Range<u64> = 1..6;
 
 mod event_queue {
-    /// Something that happens at a time; the earliest is the greatest.
+    /// An event at a time in seconds. The earliest is the greatest, so that a `BinaryHeap` pops it first.
     #[derive(Clone, Copy, Debug, PartialEq)]
     pub struct TimedEvent<T>(pub f64, pub T);
 
@@ -33,15 +34,17 @@
     }
 }
 
+/// An event of the simulation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Event {
-    /// A caller asks, with so much time left.
+    /// A caller sends a request.
     Request { time_left: f64, is_retry: bool },
-    /// A place becomes free.
+    /// A request is done and its slot becomes free.
     SlotFreed,
 }
 
-/// Callers never served, of all who asked: 0.8 of what the pool can do, and `times` that for ten seconds.
+/// Returns the ratio of requests that are never served. The load is 0.8 of the capacity, and `load_factor` times
+/// that for ten seconds.
 fn never_served_ratio(
     seed: u64,
     load_factor: f64,
@@ -86,7 +89,7 @@
     queue
 }
 
-/// Mean over the seeds, with a fixed wait as it was, and by how long the overload has lasted.
+/// Returns the mean ratio over the seeds with a fixed wait of 0.2 s, as before, and with the growing wait.
 fn compare(load_factor: f64) -> (f64, f64) {
     let mean =
         |value_of: &dyn Fn(u64) -> f64| SEEDS.map(value_of).sum::<f64>() / SEEDS.count() as f64;
@@ -106,7 +109,9 @@
     for load_factor in [1.4, 1.8, 2.5] {
         let (fixed_wait, growing_wait) = compare(load_factor);
 
-        println!("{load_factor} times the load: {fixed_wait:.3} never served, {growing_wait:.3}");
+        println!(
+            "{load_factor} times the load, never served: fixed wait {fixed_wait:.3}, growing wait {growing_wait:.3}"
+        );
         assert!(growing_wait < fixed_wait * 0.8, "{load_factor}: {fixed_wait} {growing_wait}");
     }
 }
@@ -124,5 +129,5 @@
     assert_eq!(overload_duration, 20 * second);
     assert_eq!(retry_after(overload_duration, 0.0), 3 * second);
     assert_eq!(retry_after(overload_duration, 1.0), 9 * second);
-    assert_eq!(overload.record_refusal(40 * second), Duration::ZERO, "that overload was over");
+    assert_eq!(overload.record_refusal(40 * second), Duration::ZERO, "the overload had ended");
 }
--- a/tests/play/engine.rs
+++ b/tests/play/engine.rs
@@ -1,27 +1,27 @@
-//! A batching engine in simulated time: a step reads a chunk of prompts and makes a token of each
-//! answer, and its memory keeps the prompt parts used last.
+//! Simulates a batching engine: each step reads a chunk of the waiting prompts and generates one token for each
+//! running answer, and a cache keeps the most recently used prompt prefixes.
 
 use std::collections::HashMap;
 
 use mintmoor::policy::prefix_cache::PromptPrefix;
 
-/// Speed and size of an engine.
+/// Speed and cache size of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineProfile {
-    /// Prompt tokens that a model of pace 1 reads in a second.
+    /// Prompt tokens read per second by a model with time factor 1.
     pub prefill_rate: f64,
-    /// Time of a step of a model of pace 1, seconds.
+    /// Seconds per step for a model with time factor 1.
     pub step_time: f64,
-    /// Time that each running request adds to it, seconds.
+    /// Seconds that each running request adds to a step.
     pub step_time_per_request: f64,
-    /// Prompt tokens read in one step at most.
+    /// Maximum number of prompt tokens read in one step.
     pub prefill_chunk: f64,
-    /// Tokens of parts kept.
+    /// Capacity of the prefix cache in tokens.
     pub cache_tokens: u64,
 }
 
 impl EngineProfile {
-    /// Engines that read 38 tokens a millisecond.
+    /// Profile of an engine that reads 38 tokens per millisecond.
     pub fn slow() -> Self {
         Self {
             prefill_rate: 38_000.0,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Engines that read 112 tokens a millisecond.
+    /// Profile of an engine that reads 112 tokens per millisecond.
     pub fn fast() -> Self {
         Self {
             prefill_rate: 112_000.0,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The same with all its work done so many times faster.
+    /// Returns the profile of an engine that is `factor` times as fast.
     pub fn scaled(self, factor: f64) -> Self {
         Self {
             prefill_rate: self.prefill_rate * factor,
@@ -54,7 +54,7 @@
     }
 }
 
-/// A request at an engine.
+/// A request that an engine is running.
 #[derive(Clone, Debug)]
 struct RunningRequest {
     id: usize,
@@ -64,21 +64,24 @@
     first_token_at: Option<f64>,
 }
 
-/// What an engine tells of a request.
+/// An event of a request, given by its id, and the time of the event in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EngineEvent {
     FirstToken(usize, f64),
     Ended(usize, f64),
 }
 
+/// A simulated engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
     profile: EngineProfile,
     running: Vec<RunningRequest>,
+    /// Tokens and last use of each cached prefix, by its hash.
     cached: HashMap<u32, (u64, u64)>,
+    /// Incremented at each use of a prefix; orders the evictions.
     use_counter: u64,
     step_ends_at: f64,
-    /// Shared tokens read.
+    /// Number of shared tokens read so far.
     pub shared_tokens_read: u64,
 }
 
@@ -88,7 +91,7 @@
         Self { profile, running, cached, use_counter: 0, step_ends_at: 0.0, shared_tokens_read: 0 }
     }
 
-    /// Begins a request; its own tokens are always read, the parts it keeps are not.
+    /// Starts a request; cached prefixes are not read again, unique tokens always are.
     pub fn start(
         &mut self,
         id: usize,
@@ -106,7 +109,7 @@
             self.use_counter += 1;
             self.cached.insert(prefix.hash, (prefix.tokens, self.use_counter));
         }
-        // The own part takes memory, too, though nobody asks for it again.
+        // The unique part occupies the cache too, although it is never requested again.
         self.use_counter += 1;
         self.cached.insert(u32::MAX - self.use_counter as u32, (unique_tokens, self.use_counter));
         while self.cached.values().map(|(tokens, _)| tokens).sum::<u64>()
@@ -125,14 +128,14 @@
         });
     }
 
-    /// Leaves a request whose answer nobody wants any more.
+    /// Ends a request with its next token because its answer is no longer needed.
     pub fn cancel(&mut self, id: usize) {
         if let Some(request) = self.running.iter_mut().find(|request| request.id == id) {
             request.tokens_left = 1;
         }
     }
 
-    /// Runs until a moment and gives what happened.
+    /// Runs steps until the given time and appends what happened to `events`.
     pub fn advance_to(&mut self, now: f64, events: &mut Vec<EngineEvent>) {
         while !self.running.is_empty() && self.step_ends_at < now {
             self.run_step(events);
--- a/tests/play/fleet.rs
+++ b/tests/play/fleet.rs
@@ -1,4 +1,4 @@
-//! Entries that share one pool, few and many: what old news of the load does to the choice of a server.
+//! Pools of several sizes shared by several entries, whose knowledge of the load that others cause is outdated.
 
 use mintmoor::policy::placement::PlacementConfig;
 
@@ -8,10 +8,10 @@
     workload::{arrivals, short_prompt_workload},
 };
 
-/// Engines of the largest pool; smaller ones have a part of its engines and load.
+/// Engines of the largest pool; smaller pools have proportionally fewer engines and less load.
 const ENGINES: usize = 160;
 
-/// A pool with so many entries and engines, under so many times its usual load, and with so many servers weighed.
+/// Simulates a pool under `load_factor` times its nominal load, with `choices` engines weighed per request.
 fn simulate_pool(entries: usize, engines: usize, load_factor: f64, choices: usize) -> Outcome {
     let scenario = Scenario {
         classes: short_prompt_workload(engines as f64 / ENGINES as f64),
@@ -31,12 +31,14 @@
     let (peak_to_mean_requests, hit_ratio) =
         (outcome.peak_to_mean_requests(), outcome.cache_hit_ratio());
     format!(
-        "in time {on_time:.3} worth {value:.0} busiest {peak_to_mean_requests:.2} found kept {hit_ratio:.2}"
+        "on time {on_time:.3} value {value:.0} peak to mean {peak_to_mean_requests:.2} cache hits {hit_ratio:.2}"
     )
 }
 
-/// Measured: 103 entries at 2.5 times the load have 0.988 of their answers in time instead of 0.884, and
-/// the busiest engine 1.44 times the mean instead of 1.50 (2.03 where equals were told apart by their ids).
+/// Weighing all engines for every request lets entries with the same outdated loads choose the same engines.
+///
+/// Measured with 103 entries at 2.5 times the load: with few choices 0.988 instead of 0.884 of the answers are on
+/// time, and the busiest engine gets 1.44 instead of 1.50 times the mean (2.03 where ties were broken by id).
 #[test]
 fn weighing_few_engines_per_request_keeps_the_value_and_balances_a_large_pool() {
     for (entries, engines) in [(3, 9), (17, 40), (103, ENGINES)] {
--- a/tests/play/main.rs
+++ b/tests/play/main.rs
@@ -1,6 +1,7 @@
-//! Loads played on the decision code: what callers get, against the policy it replaced.
+//! Simulations of load that run the production decision code and compare its outcome for callers with that of
+//! the previous policy.
 //!
-//! Time is simulated and all draws come from seeds, so a run always gives the same figures.
+//! Time is simulated and all random draws are seeded, so every run gives the same figures.
 
 mod comeback;
 mod engine;
--- a/tests/play/overload.rs
+++ b/tests/play/overload.rs
@@ -1,4 +1,4 @@
-//! Sustained overload: what the largest model is asked, and what that leaves for the others.
+//! Overload with and without cache-aware placement and escalation by expected wait.
 
 use mintmoor::policy::placement::PlacementConfig;
 
@@ -10,11 +10,11 @@
     workload::{arrivals, long_prompt_workload},
 };
 
-/// One seed tells little: near the edge of what the engines can do, parts in time of 0.70 to 0.86 follow
-/// from the same charges.
+/// Results are averaged over several seeds: near the engines' capacity, single seeds give on-time ratios from 0.70
+/// to 0.86 with the same placement costs.
 const SEEDS: std::ops::Range<u64> = 1..9;
 
-/// Eight engines where twelve would be right, and three times the usual load for twelve seconds.
+/// Simulates eight engines under a load sized for twelve, which is tripled for twelve seconds.
 fn simulate_burst(policy: &Policy, seed: u64) -> Outcome {
     let Policy { cache_knowledge, escalation, placement } = *policy;
     let (classes, engine_profiles) = (long_prompt_workload(), vec![EngineProfile::slow(); 8]);
@@ -32,6 +32,7 @@
     simulate(&scenario, &all, cache_knowledge)
 }
 
+/// The policy that a simulation runs with.
 struct Policy {
     cache_knowledge: CacheKnowledge,
     escalation: EscalationRule,
@@ -48,7 +49,7 @@
     Policy { cache_knowledge, escalation, placement: PlacementConfig::default() }
 }
 
-/// Mean part of the answers in time, and mean worth, over the seeds.
+/// Returns the mean on-time ratio and the mean value over all seeds.
 fn simulate_bursts(policy: &Policy) -> (f64, f64) {
     let outcomes: Vec<Outcome> = SEEDS.map(|seed| simulate_burst(policy, seed)).collect();
     let mean = |value_of: fn(&Outcome) -> f64| {
@@ -62,7 +63,9 @@
     let (previous_on_time, previous_value) = simulate_bursts(&previous_policy());
     let (on_time, value) = simulate_bursts(&current_policy());
 
-    println!("{previous_on_time:.3} {previous_value:.0}, {on_time:.3} {value:.0}");
+    println!(
+        "on time and value: previous policy {previous_on_time:.3} {previous_value:.0}, current policy {on_time:.3} {value:.0}"
+    );
     assert!(on_time > 0.8 && on_time > previous_on_time * 3.0);
     assert!(value > previous_value * 1.7);
 }
@@ -74,7 +77,9 @@
     let (mean_wait_on_time, mean_wait_value) = simulate_bursts(&by_mean_wait);
     let (on_time, value) = simulate_bursts(&current_policy());
 
-    println!("mean wait {mean_wait_on_time:.3} {mean_wait_value:.0}, {on_time:.3} {value:.0}");
+    println!(
+        "on time and value: by mean wait {mean_wait_on_time:.3} {mean_wait_value:.0}, by expected wait {on_time:.3} {value:.0}"
+    );
     assert!(on_time > mean_wait_on_time * 1.5);
     assert!(value > mean_wait_value * 1.3);
 }
--- a/tests/play/pauses.rs
+++ b/tests/play/pauses.rs
@@ -1,4 +1,4 @@
-//! A pool under one and a half times its load whose servers reject what is too much and ask for a pause.
+//! A pool under 1.5 times its capacity whose servers reject excess requests and ask for a pause.
 
 use std::{
     cmp::Reverse,
@@ -17,19 +17,19 @@
 
 const SERVERS: usize = 6;
 const SLOTS: usize = 16;
-/// Time that a request takes at a server.
+/// Time that a server needs for a request.
 const SERVICE_TIME: Duration = Duration::from_millis(400);
 const PAUSE: Duration = Duration::from_secs(1);
 const SIMULATED_TIME: Duration = Duration::from_secs(1_000);
-/// Load, as a multiple of what all servers take.
+/// Load as a multiple of the pool's capacity.
 const LOAD_FACTOR: f64 = 1.5;
 const ENTRIES: usize = 4;
-/// Sends of one request at most.
+/// Maximum number of sends per request.
 const MAX_SENDS: usize = 5;
-/// Time after a rejection in which requests may arrive that were on their way.
+/// Time after a rejection in which requests that were already in transit may still arrive.
 const IN_TRANSIT: Duration = Duration::from_millis(500);
 
-/// Rules by which the entry ejects servers.
+/// Configuration of the outlier ejection.
 const OUTLIER_CONFIG: OutlierConfig = OutlierConfig {
     consecutive_failures: 2,
     base_ejection: Duration::from_millis(500),
@@ -38,26 +38,26 @@
     max_ejected_share: 0.7,
 };
 
-/// What keeps an entry's requests from a server.
+/// What makes an entry stop sending to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Policy {
-    /// Ejection after failures in a row, as which rejections count.
+    /// Ejection after consecutive failures; rejections count as failures.
     Ejection,
-    /// The pauses that servers ask for.
+    /// The pauses that servers request.
     Pauses,
-    /// The same, and a window that is learned from rejections.
+    /// The requested pauses and a send window that shrinks after rejections.
     Windows,
 }
 
-/// A server as one entry knows it.
+/// What one entry knows about a server.
 #[derive(Default)]
 struct ServerView {
     announced: Announcements,
     outlier: OutlierDetector,
     window: SendWindow,
-    /// When the entry's requests there end.
+    /// When each of the entry's requests at the server ends.
     in_flight: BinaryHeap<Reverse<Duration>>,
-    /// Rejections within the last pause.
+    /// Times of the rejections within the last pause.
     recent_rejections: VecDeque<Duration>,
 }
 
@@ -91,7 +91,7 @@
         self.recent_rejections.push_back(now);
     }
 
-    /// Whether a send now falls into a pause, later than half a second after the rejection that began it.
+    /// Returns whether a send now falls into a requested pause and cannot have been in transit when it began.
     fn is_send_during_pause(&mut self, now: Duration) -> bool {
         while self.recent_rejections.front().is_some_and(|at| *at + PAUSE <= now) {
             self.recent_rejections.pop_front();
@@ -100,28 +100,31 @@
     }
 }
 
+/// Removes the requests that have ended.
 fn remove_finished(running: &mut BinaryHeap<Reverse<Duration>>, now: Duration) {
     while running.peek().is_some_and(|end| end.0 <= now) {
         running.pop();
     }
 }
 
+/// Result of a simulation run.
 #[derive(Debug, Default)]
 struct Outcome {
     requests: usize,
     served: usize,
     sends: usize,
-    /// Sends to a server within its pause.
+    /// Sends to a server during its pause.
     sends_during_pause: usize,
 }
 
 impl Outcome {
-    /// Served part of what all servers take.
+    /// Ratio of served requests to the pool's capacity.
     fn utilization(&self) -> f64 {
         self.served as f64 * LOAD_FACTOR / self.requests as f64
     }
 }
 
+/// Simulates a pool whose entries follow the given policy.
 fn simulate(policy: Policy) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let mut views: Vec<Vec<ServerView>> =
@@ -166,7 +169,7 @@
     let windows = simulate(Policy::Windows);
 
     for (name, outcome) in [("ejection", &ejection), ("pauses", &pauses), ("windows", &windows)] {
-        println!("{name}: {outcome:?}, {:.3} of what all servers take", outcome.utilization());
+        println!("{name}: {outcome:?}, utilization {:.3}", outcome.utilization());
     }
     assert!(ejection.sends_during_pause > 0);
     assert_eq!((pauses.sends_during_pause, windows.sends_during_pause), (0, 0));
@@ -186,7 +189,7 @@
     assert!(window.allows_another(8, now));
     assert!(!window.allows_another(9, now));
     (0..160).for_each(|_| window.record_answer());
-    assert!(window.allows_another(9, now), "it grows with the answers");
+    assert!(window.allows_another(9, now), "the window did not grow with the answers");
     assert!(!window.allows_another(100, now + Duration::from_secs(29)));
     assert!(window.allows_another(100, now + Duration::from_secs(30)));
 }
--- a/tests/play/placement.rs
+++ b/tests/play/placement.rs
@@ -1,4 +1,4 @@
-//! Placing by what servers keep, against placing by a hash of the shared parts alone.
+//! Compares placement by reported caches with placement by a hash of the shared prompt prefixes alone.
 
 use mintmoor::policy::placement::PlacementConfig;
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// Worth and shared tokens read again, summed over the seeds.
+/// Returns the value and the number of reread tokens, summed over the seeds.
 fn simulate_seeds(scenario: &Scenario, cache_knowledge: CacheKnowledge, rate: f64) -> (f64, u64) {
     let simulate_seed = |seed: &u64| {
         let all = arrivals(&scenario.classes, scenario.entries, SECONDS, *seed, |_| rate);
@@ -38,7 +38,7 @@
     SEEDS.iter().map(simulate_seed).fold((0.0, 0), sum)
 }
 
-/// By hash alone with flat charges, as it was, and by what is kept with those of today.
+/// Returns the results of the previous placement, by hash alone with flat costs, and of the current one.
 fn compare(scenario: &Scenario, rate: f64) -> [(f64, u64); 2] {
     let previous = Scenario { placement: flat_placement_costs(), ..scenario.clone() };
     [
@@ -73,7 +73,7 @@
         ("three times slower", long_prompt_workload(), vec![slow; 12], 0.3),
         ("nothing shared", unshared_workload(), vec![EngineProfile::slow(); 12], 1.0),
         ("one server", long_prompt_workload(), vec![EngineProfile::slow(); 1], 0.08),
-        ("unlike each other", long_prompt_workload(), mixed_speeds, 1.0),
+        ("mixed speeds", long_prompt_workload(), mixed_speeds, 1.0),
     ];
     for (name, classes, engine_profiles, rate) in cases {
         let scenario = scenario(classes, engine_profiles);
--- a/tests/play/quarantine.rs
+++ b/tests/play/quarantine.rs
@@ -1,5 +1,4 @@
-//! A pool under a request that ends every server that begins to run it: what other callers get, with what
-//! ended servers remembered, and without.
+//! A pool that receives a request which crashes every server that runs it, with and without the quarantine.
 
 use std::{collections::HashSet, time::Duration};
 
@@ -11,25 +10,26 @@
 use rand_chacha::ChaCha8Rng;
 
 const CRASHING: Fingerprint = Fingerprint(0);
-/// Step of the play, milliseconds.
+/// Time step of the simulation.
 const STEP_MS: u64 = 10;
 const SIMULATED_MS: u64 = 30_000;
-/// The guilty request comes each 0.3 s, from 5 s to 20 s.
+/// The crashing request arrives from the first to the second of these times, every third.
 const CRASHING_ARRIVALS_MS: (u64, u64, u64) = (5_000, 20_000, 300);
-/// From being sent to running, and from running to the server's end.
+/// Time from sending a request until it runs, and from running the crashing request until the server crashes.
 const QUEUE_MS: u64 = 200;
 const CRASH_AFTER_MS: u64 = 100;
-/// From its end until a server is back.
+/// Time from a server's crash until it is up again.
 const RESTART_MS: u64 = 3_000;
-/// Time until all entries know of an end; a few heartbeats.
+/// Time until all entries know of a crash: a few heartbeats.
 const REPORT_DELAY_MS: u64 = 300;
-/// Servers that a request is sent to at most.
+/// Maximum number of sends per request.
 const MAX_SENDS: u32 = 3;
 
+/// A request at a server.
 struct RunningRequest {
     fingerprint: Fingerprint,
     server: usize,
-    /// When it ends by itself, or ends its server.
+    /// When it completes or crashes its server.
     ends_at: u64,
     sends: u32,
 }
@@ -39,13 +39,13 @@
     up_at: u64,
 }
 
-/// What became of the play.
+/// Result of a simulation run; `requests` and `served` do not count the crashing request.
 #[derive(Debug, Default)]
 struct Outcome {
     requests: usize,
     served: usize,
     crashes: u64,
-    /// Innocent requests that were refused.
+    /// Requests refused by the quarantine although they crash no server.
     refused_innocent: usize,
 }
 
@@ -59,7 +59,7 @@
     servers: Vec<Server>,
     running: Vec<RunningRequest>,
     quarantine: Quarantine,
-    /// Ends that not all entries know of yet.
+    /// Reports of crashes that are still on their way to the entries, with the time of their delivery.
     reports: Vec<(u64, Note)>,
     has_quarantine: bool,
     outcome: Outcome,
@@ -78,7 +78,7 @@
         self.quarantine.status(&fingerprint, at(now))
     }
 
-    /// Sends a request to a server, if it is not refused and one is up.
+    /// Sends a request to a server, unless it is refused, has used up its sends, or no server is up.
     fn send(&mut self, fingerprint: Fingerprint, sends: u32, now: u64) {
         if matches!(self.status(fingerprint, now), QuarantineStatus::Refused { .. }) {
             self.outcome.refused_innocent += usize::from(fingerprint != CRASHING);
@@ -90,7 +90,7 @@
             return;
         }
         let server = match self.status(fingerprint, now) {
-            // By a hash of its own; any will do here.
+            // Suspects are placed by a hash of their own. Any hash does for the simulation.
             QuarantineStatus::Suspect => {
                 up[(fingerprint.0 as usize * 7 + sends as usize) % up.len()]
             }
@@ -153,7 +153,7 @@
     let mut next = 1;
     for now in (0..SIMULATED_MS).step_by(STEP_MS as usize) {
         pool.step(now);
-        // Seven new requests a second for each server.
+        // Seven new requests per second and server.
         if pool.rng.random_range(0.0..1.0) < servers as f64 * 0.07 && now < SIMULATED_MS - 5_000 {
             pool.outcome.requests += 1;
             pool.send(Fingerprint(next), 0, now);
@@ -167,8 +167,8 @@
     pool.outcome
 }
 
-/// Nine servers, five seeds: without a memory of what ended them 45 ends in 15 s, and 0.33 to 0.35 of the other
-/// requests served; with it 5 or 6 ends, and 0.996 and more served.
+/// Measured with nine servers and five seeds: without the quarantine 45 crashes in 15 s, and 0.33 to 0.35 of the
+/// other requests are served; with it 5 or 6 crashes, and at least 0.996 are served.
 #[test]
 fn quarantine_keeps_other_requests_served_while_one_request_crashes_servers() {
     for seed in 0..5 {
--- a/tests/play/simulator.rs
+++ b/tests/play/simulator.rs
@@ -1,4 +1,4 @@
-//! Entries before engines in simulated time, with the decision code that production runs.
+//! Simulates entries that place requests on engines, with the production code for placement and escalation.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -14,17 +14,17 @@
     workload::{Arrival, LARGE, Model, RequestClass, SMALL},
 };
 
-/// Time after which entries know what others sent: reports and heartbeats between them.
+/// Seconds until the other entries have received a report of a cached prefix.
 const REPORT_DELAY: f64 = 0.5;
 
-/// Time between two reports of the load that entries put on engines.
+/// Seconds between two exchanges of engine load among the entries.
 const LOAD_REPORT_INTERVAL: f64 = 0.4;
-/// Mean wait before any answer, seconds, and the step of the mean: those of the rule compared with.
+/// Initial mean wait in seconds and smoothing factor of the mean, as in the previous escalation rule.
 const INITIAL_MEAN_WAIT: f64 = 0.2;
 const MEAN_WAIT_WEIGHT: f64 = 0.05;
 
-/// The rule before waits were estimated: the threshold falls from a mean wait of 0.2 of the objective to
-/// 0.6, and a prompt that makes the answer late needs a confidence of 30.
+/// The previous escalation rule, which did not estimate waits: the confidence threshold falls from 52 at a mean
+/// wait of 0.2 of the objective to about 31 at 0.6, and is 30 if reading the prompt alone makes the answer late.
 fn escalates_by_mean_wait(
     arrival: &Arrival,
     elapsed: f64,
@@ -41,21 +41,22 @@
     f64::from(arrival.confidence) < threshold
 }
 
-/// What is played.
+/// Configuration of one simulation run.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub classes: Vec<RequestClass>,
     pub engine_profiles: Vec<EngineProfile>,
     pub entries: usize,
-    /// AvailabilityZones that entries and engines stand in by turns.
+    /// Number of AvailabilityZones; entries and engines are assigned to them round robin.
     pub zones: usize,
     pub escalation: EscalationRule,
     pub placement: PlacementConfig,
-    /// An engine that is lost, and when.
+    /// Index of the engine that is lost, and the time of the loss in seconds.
     pub engine_loss: Option<(usize, f64)>,
 }
 
-/// The charges before bodies counted by their size and crowding counted at all.
+/// Placement costs of the previous policy: a fixed cost for leaving the zone, which depends neither on the size of
+/// the body nor on the backlog of the servers.
 pub fn flat_placement_costs() -> PlacementConfig {
     PlacementConfig {
         far: Duration::from_millis(30),
@@ -65,44 +66,44 @@
     }
 }
 
-/// Which policy is played.
+/// What entries know about the prompt prefixes that engines have cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheKnowledge {
-    /// Shared parts are believed to be where a hash of them says, and nowhere else.
+    /// Nothing; requests with the same shared prefix are placed by its hash.
     HashOnly,
-    /// Entries remember and tell each other where parts were sent.
+    /// Entries record where they sent prefixes and report it to each other.
     Reported,
 }
 
-/// How it is decided whether an answer is asked again of the largest model.
+/// Rule by which a request is escalated from the small model to the large one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EscalationRule {
-    /// By the mean wait for the largest model of late.
+    /// By the recent mean wait for the large model.
     MeanWait,
-    /// By the wait that is expected now.
+    /// By the currently expected wait.
     ExpectedWait,
 }
 
-/// What callers got.
+/// Result of a simulation run; `requests`, `on_time` and `late` are counted by request class.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     pub requests: Vec<u32>,
     pub on_time: Vec<u32>,
     pub late: Vec<u32>,
-    /// Worth of the answers: 0.3 of it for late ones, 0.05 for those that are not good.
+    /// Summed value of the answers; a late answer counts 0.3 of its value, and one that is not good 0.05.
     pub value: f64,
-    /// Shared tokens that engines read though one had read them before.
+    /// Shared prompt tokens that were read although some engine had read them before.
     pub reread_tokens: u64,
-    /// Bytes of bodies sent to another zone.
+    /// Bytes of request bodies sent to another zone.
     pub cross_zone_bytes: u64,
     /// Requests sent to each engine.
     pub requests_by_engine: Vec<u32>,
-    /// Shared tokens of all prompts sent, but for those read for the first time.
+    /// Shared tokens of all prompts sent, except the first occurrence of each prefix.
     pub reused_shared_tokens: u64,
 }
 
 impl Outcome {
-    /// Requests of the engine that got most, as a multiple of the mean.
+    /// Requests of the busiest engine as a multiple of the mean.
     pub fn peak_to_mean_requests(&self) -> f64 {
         let total: u32 = self.requests_by_engine.iter().sum();
         f64::from(*self.requests_by_engine.iter().max().unwrap())
@@ -110,19 +111,19 @@
             / f64::from(total)
     }
 
-    /// Part of the shared tokens that were asked for again and found kept.
+    /// Ratio of the reused shared tokens that were still cached.
     pub fn cache_hit_ratio(&self) -> f64 {
         1.0 - self.reread_tokens as f64 / self.reused_shared_tokens as f64
     }
 
-    /// Part of the answers that were in time.
+    /// Ratio of the requests that were answered on time.
     pub fn on_time_ratio(&self) -> f64 {
         let sum = |counts: &[u32]| f64::from(counts.iter().sum::<u32>());
         sum(&self.on_time) / sum(&self.requests)
     }
 }
 
-/// One entry's knowledge of one engine.
+/// What one entry knows about one engine.
 #[derive(Clone, Debug, Default)]
 struct EngineView {
     cached: CachedPrefixes,
@@ -131,7 +132,7 @@
 }
 
 impl EngineView {
-    /// Knows of an engine's memory, as the configuration tells it.
+    /// Creates the view of an engine whose cache size is known from the configuration.
     fn of(profile: &EngineProfile) -> Self {
         let mut view = Self::default();
         view.cached.set_capacity(profile.cache_tokens);
@@ -142,12 +143,13 @@
         Duration::from_secs_f64(self.backlog.max(0.0))
     }
 
-    /// Time for the prompts of all entries that are not read yet.
+    /// Expected time to read all prompts that are waiting at the engine, those of other entries included.
     fn backlog(&self, now: Duration) -> Duration {
         self.own_backlog() + self.load.peer_backlog(now)
     }
 }
 
+/// One send of a request to an engine.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     arrival: usize,
@@ -159,6 +161,7 @@
     is_escalated: bool,
 }
 
+/// An entry's report that an engine has cached a prefix.
 struct PrefixReport {
     at: f64,
     from: usize,
@@ -166,6 +169,7 @@
     prefix: PromptPrefix,
 }
 
+/// State of a simulation run; `views` is indexed by entry and engine.
 struct Simulator<'a> {
     scenario: &'a Scenario,
     cache_knowledge: CacheKnowledge,
@@ -174,14 +178,14 @@
     attempts: Vec<Attempt>,
     reports: Vec<PrefixReport>,
     next_load_report: f64,
-    /// Mean wait for the largest model, by entry.
+    /// Mean wait for the large model, by entry.
     mean_wait: Vec<f64>,
-    /// Tokens of each shared part that was read at all.
+    /// Tokens of every distinct shared prefix that was sent, by its hash.
     distinct_shared_tokens: HashMap<u32, u64>,
     outcome: Outcome,
 }
 
-/// Plays the arrivals through.
+/// Runs the arrivals through the system until 60 s after the last one.
 pub fn simulate(
     scenario: &Scenario,
     arrivals: &[Arrival],
@@ -260,7 +264,7 @@
         }
     }
 
-    /// Lets each entry know what the others have at the engines.
+    /// Tells each entry the load that the others have put on the engines.
     fn exchange_loads(&mut self, now: Duration) {
         for engine in 0..self.engines.len() {
             let reported = |view: &EngineView| (view.load.own_requests, view.own_backlog());
@@ -324,7 +328,7 @@
         outcome.value += value;
     }
 
-    /// Whether the smallest model's answer is asked again of the largest.
+    /// Returns whether a request that the small model answers is escalated to the large model.
     fn should_escalate(&self, arrival: &Arrival, now: f64) -> bool {
         let class = &self.scenario.classes[arrival.class];
         let (engine, unread_tokens) = self.choose_engine(arrival, &LARGE, now);
@@ -376,14 +380,14 @@
         self.send(arrival, attempt, unread_tokens);
     }
 
-    /// The engine that is chosen, and the tokens that it is believed to have to read.
+    /// Returns the chosen engine and the number of prompt tokens that it is expected to read.
     fn choose_engine(&self, arrival: &Arrival, model: &Model, now: f64) -> (usize, u64) {
         let prefixes = arrival.prefixes(model);
         let request = PlacementRequest {
             affinity: prefixes.last().map(|prefix| u64::from(prefix.hash)),
             shared_tokens: prefixes.iter().map(|prefix| prefix.tokens).sum(),
             prefill_token_time: Duration::from_secs_f64(self.prefill_token_time(model)),
-            // A byte for each token, as prompts come.
+            // The simulation counts one byte per token.
             bytes: arrival.prompt_tokens() as usize,
             request_hash: 0,
         };
--- a/tests/play/workload.rs
+++ b/tests/play/workload.rs
@@ -1,25 +1,25 @@
-//! Kinds of request and their arrivals, drawn from a seed.
+//! Request classes of the simulated workloads and random arrivals from a seed.
 
 use mintmoor::{
     policy::prefix_cache::PromptPrefix, policy::prefix_cache::shared_prefixes, routing::PromptPart,
 };
 use rand::{Rng, RngExt, SeedableRng, rngs::StdRng};
 
-/// One kind of request.
+/// A class of requests with the same size, objective and value.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestClass {
     pub per_second: f64,
-    /// Prompts that requests share, and their tokens.
+    /// Number of distinct shared prompts, and the tokens of each.
     pub shared: (u64, u64),
     pub unique_tokens: u64,
     pub answer_tokens: u64,
-    /// Time to the first event that is in time, seconds.
+    /// Longest time to the first token in seconds for an answer to be on time.
     pub first_token_objective: f64,
-    /// What an answer in time is worth.
+    /// Value of an answer that is on time.
     pub value: f64,
 }
 
-/// A model of the cascade; at pace 1 an engine works at its nominal speed.
+/// A model of the cascade; with time factor 1 an engine works at its nominal speed, with 2 at half of it.
 #[derive(Clone, Copy, Debug)]
 pub struct Model {
     pub name: &'static str,
@@ -28,19 +28,19 @@
 
 pub const SMALL: Model = Model { name: "small", time_factor: 0.3 };
 pub const LARGE: Model = Model { name: "large", time_factor: 3.0 };
-/// Part of the requests for which the smallest model's answer is good.
+/// Share of the requests for which the small model's answer is good.
 const SMALL_MODEL_SUFFICES_SHARE: f64 = 0.54;
 
-/// One request.
+/// A request that arrives from a caller.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub at: f64,
     pub class: usize,
-    /// Entry that the balancer sends it to.
+    /// Entry that the load balancer sends it to.
     pub entry: usize,
-    /// Whether the smallest model's answer is good.
+    /// Whether the small model's answer is good.
     pub small_model_suffices: bool,
-    /// What the smallest model thinks of its answer, 0 to 100.
+    /// The small model's confidence in its answer, 0 to 100.
     pub confidence: u8,
     pub parts: Vec<PromptPart>,
     pub unique_tokens: u64,
@@ -48,18 +48,18 @@
 }
 
 impl Arrival {
-    /// Parts of its prompt that others share, for a model.
+    /// Prefixes of the prompt that other requests may share, as a model caches them.
     pub fn prefixes(&self, model: &Model) -> Vec<PromptPrefix> {
         shared_prefixes(model.name, &self.parts)
     }
 
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub fn prompt_tokens(&self) -> u64 {
         self.parts.iter().map(|part| part.tokens).sum()
     }
 }
 
-/// Long summaries, drafts and short remarks, as many as twelve slow engines can serve.
+/// Long summaries, drafts and short remarks at the rate that twelve slow engines can serve.
 pub fn long_prompt_workload() -> Vec<RequestClass> {
     let class = |per_second, shared, unique_tokens, answer_tokens, first_token_objective, value| {
         RequestClass {
@@ -78,7 +78,7 @@
     ]
 }
 
-/// Long summaries, chats and short tags, as many as 160 fast engines can serve, or a part of them.
+/// Long summaries, chats and short tags at the given share of the rate that 160 fast engines can serve.
 pub fn short_prompt_workload(share: f64) -> Vec<RequestClass> {
     let class = |per_second: f64,
                  shared_prompts: f64,
@@ -101,13 +101,14 @@
     ]
 }
 
-/// The same without anything that prompts share.
+/// The long-prompt workload without shared prompts.
 pub fn unshared_workload() -> Vec<RequestClass> {
     let unshared = |class: RequestClass| RequestClass { shared: (1, 0), ..class };
     long_prompt_workload().into_iter().map(unshared).collect()
 }
 
-/// Arrivals of so many seconds, in their order; `rate` gives how many times the usual they come.
+/// Draws the arrivals of the given number of seconds, ordered by time. `rate` maps a time to the factor by which
+/// the classes' rates are multiplied.
 pub fn arrivals(
     classes: &[RequestClass],
     entries: usize,
