--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: each keeps a connection as long as it lasts and goes on with the next entry.
+//! Simulated callers. Each sends requests on one connection until it ends, then connects to another entry.
 
 use std::{
     net::SocketAddr,
@@ -24,20 +24,20 @@
 
 use crate::record::{Exchange, Outcome, Record, RequestKind, WITHDRAWN_KEY};
 
-/// Longest that a caller waits for an answer.
+/// Longest time that a caller waits for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause of a caller between two requests.
+/// Mean pause of a caller between two requests.
 const MEAN_PAUSE_MS: u64 = 20;
-/// Requests that a caller sends on one connection at most.
+/// Maximum number of requests that a caller sends on one connection.
 const MAX_REQUESTS_PER_CONNECTION: u64 = 12;
 
-/// Sessions that callers ask for; so many that an entry has not seen most of them lately.
+/// Number of sessions that callers use: so many that an entry has not seen most of them recently.
 const SESSION_COUNT: u32 = 400;
 
-/// Time between two tries of a caller that insists.
+/// Time between two sends of a repeated request.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(150);
 
-/// What is asked, and of whom.
+/// Parameters of a sent request that are recorded with its outcome.
 struct RequestInfo {
     id: String,
     kind: RequestKind,
@@ -45,19 +45,19 @@
     key: &'static str,
 }
 
-/// What callers share.
+/// State shared by all callers.
 pub struct Callers {
     pub record: Arc<Record>,
-    /// Where the entries take requests.
+    /// Addresses at which the entries accept requests.
     pub entries: Vec<SocketAddr>,
-    /// Which of them the balancer sends new connections to.
+    /// Whether the load balancer sends new connections to the entry, by entry.
     pub in_rotation: Vec<AtomicBool>,
     pub is_stopped: AtomicBool,
     pub next_id: AtomicU64,
 }
 
 impl Callers {
-    /// Asks for the same work over and over, at any entry, without waiting for answers.
+    /// Sends requests with the same body to random entries, without waiting for the answers.
     pub async fn repeat_request(self: &Arc<Self>, body: String, seed: u64, duration: Duration) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut sends = JoinSet::new();
@@ -74,7 +74,7 @@
         while sends.join_next().await.is_some() {}
     }
 
-    /// Sends a request on a connection of its own.
+    /// Sends a request on a new connection.
     async fn send_on_new_connection(&self, info: RequestInfo, req: Request<Full<Bytes>>) {
         let connecting = TcpStream::connect(self.entries[info.entry]);
         let Ok(Ok(stream)) = timeout(Duration::from_secs(1), connecting).await else {
@@ -83,13 +83,13 @@
         let Ok((mut sender, connection)) = handshake(TokioIo::new(stream)).await else {
             return;
         };
-        // What ends the connection shows in the exchange.
+        // Errors of the connection show in the exchange.
         let connection = tokio::spawn(async move { drop(connection.await) });
         self.send_recorded(&mut sender, info, req).await;
         connection.abort();
     }
 
-    /// One caller, until the soak is over.
+    /// Runs one caller until `is_stopped` is set.
     pub async fn run_caller(self: Arc<Self>, seed: u64) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         while !self.is_stopped.load(Ordering::SeqCst) {
@@ -104,7 +104,7 @@
             let Ok((mut sender, connection)) = handshake(TokioIo::new(stream)).await else {
                 continue;
             };
-            // What ends the connection shows in the exchange.
+            // Errors of the connection show in the exchange.
             let connection = tokio::spawn(async move { drop(connection.await) });
             for _ in 0..rng.random_range(1..=MAX_REQUESTS_PER_CONNECTION) {
                 if sender.ready().await.is_err() || self.is_stopped.load(Ordering::SeqCst) {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// An entry in rotation; any where there is none.
+    /// Draws an entry in rotation, or any entry if none is.
     fn choose_entry(&self, rng: &mut impl Rng) -> usize {
         let all: Vec<usize> = (0..self.entries.len()).collect();
         let ready: Vec<usize> = all
@@ -132,7 +132,7 @@
         from[rng.random_range(0..from.len())]
     }
 
-    /// Sends one request; whether the connection goes on.
+    /// Sends a random request; returns whether the connection stays open.
     async fn send_random_request(
         &self,
         sender: &mut SendRequest<Full<Bytes>>,
@@ -147,7 +147,7 @@
         self.send_recorded(sender, RequestInfo { id, kind, entry, key }, req).await
     }
 
-    /// Sends a request and records what became of it; whether the connection goes on.
+    /// Sends a request and records its outcome; returns whether the connection stays open.
     async fn send_recorded(
         &self,
         sender: &mut SendRequest<Full<Bytes>>,
@@ -158,7 +158,7 @@
         let (outcome, keeps_connection) =
             match timeout(ANSWER_TIMEOUT, send_request(sender, req)).await {
                 Ok(done) => done,
-                // The caller gives up; nothing is promised beyond its own deadline.
+                // Nothing is promised beyond the deadline of the request, which is shorter.
                 Err(_) => (Outcome::TimedOut, false),
             };
         let ended = Instant::now();
@@ -196,6 +196,7 @@
         .unwrap()
 }
 
+/// Sends a request and reads the whole answer; returns the outcome and whether the connection stays open.
 async fn send_request(
     sender: &mut SendRequest<Full<Bytes>>,
     req: Request<Full<Bytes>>,
@@ -203,7 +204,7 @@
     let mut res = match sender.try_send_request(req).await {
         Ok(res) => res,
         Err(mut e) => {
-            // A request that crossed the entry's close was never taken.
+            // A request that raced with the entry's close of the connection was never sent.
             let is_unsent = e.take_message().is_some();
             return (if is_unsent { Outcome::NotSent } else { Outcome::NoAnswer }, false);
         }
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! What is done to the processes, to the ways between them and to the store, in series and at once.
+//! Disruptions of the entries' processes, of their links, of the servers and of the store.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -20,7 +20,7 @@
     system::{OTHER_ZONE, System},
 };
 
-/// One thing that can be done.
+/// An operation or fault that the soak can apply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disruption {
     Stop,
@@ -28,7 +28,7 @@
     ChangeSettingsFile,
     ChangeConfiguration,
     Drain,
-    /// Nothing may be sent to half of the servers for a while.
+    /// Evacuates the zone of half of the servers for a while: no request may be sent to them.
     Evacuate,
     Kill,
     KillDuringStop,
@@ -36,18 +36,19 @@
     SuspendDuringStop,
     StoreFault(Fault),
     DropStoreHistory,
-    /// The store comes back from a copy; operator and servers write again what they had written since.
+    /// Restores the store from a copy; the operator and the servers write again what they had written since.
     RestoreStore,
     DegradeStoreLink(LinkCondition),
-    /// Another writer's row stands where a server's was.
+    /// Replaces a server's row by an unreadable one.
     CorruptRow,
     DegradeServerLink(LinkCondition),
     RestartServer,
-    /// A caller insists on a request that ends every server that runs it.
+    /// Repeats a request that crashes every server that runs it.
     RepeatCrashingRequest,
 }
 
-/// How much longer than other deeds a caller insists: the bound holds from 3 s after the third end on.
+/// Factor by which crashing requests are repeated for longer than other disruptions last: the bound on their sends
+/// applies only from 3 s after the third crash.
 const REPEAT_DURATION_FACTOR: u32 = 6;
 
 const PLANNED_DISRUPTIONS: [Disruption; 6] = [
@@ -84,8 +85,8 @@
 ];
 
 impl Disruption {
-    /// What may happen under a seed: a third of the seeds have planned work only, a third store
-    /// faults as well, and the rest everything, so that one kind does not hide another.
+    /// Returns the disruptions that may occur under a seed. A third of the seeds have planned work only, a third
+    /// have store faults as well, and the rest have everything, so that one kind does not hide another.
     pub fn for_seed(seed: u64) -> Vec<Self> {
         let mut disruptions = PLANNED_DISRUPTIONS.to_vec();
         let third = seed % 3;
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Does it and undoes it; notes in the record when.
+    /// Applies and reverts the disruption, and records when it began and ended.
     pub async fn run(self, system: Arc<System>, entry: usize, server: usize, duration: Duration) {
         let interrupts_process = matches!(
             self,
@@ -133,6 +134,7 @@
         system.record.end_disruption(number);
     }
 
+    /// Applies the disruption for the given duration and reverts it.
     async fn apply(self, system: &System, entry: usize, server: usize, duration: Duration) {
         match self {
             Self::ChangeConfiguration => change_configuration(system),
@@ -159,6 +161,7 @@
         }
     }
 
+    /// Applies a disruption of an entry's process and starts the process again if it has exited.
     async fn apply_to_process(self, system: &System, entry: usize, duration: Duration) {
         let mut process = system.entries[entry].lock().await;
         match self {
@@ -188,12 +191,14 @@
     }
 }
 
+/// Puts a link into the given condition for a while.
 async fn degrade(proxy: &crate::proxy::Proxy, condition: LinkCondition, duration: Duration) {
     proxy.set_condition(condition);
     sleep(duration).await;
     proxy.set_condition(LinkCondition::Clear);
 }
 
+/// Degrades the link to a server and records the span.
 async fn degrade_server_link(
     system: &System,
     server: usize,
@@ -206,7 +211,7 @@
     system.record.degraded_links.lock().unwrap().push(span);
 }
 
-/// Puts a newer configuration in the store; the second one takes a key away.
+/// Puts a newer configuration into the store. The second one withdraws a caller's key.
 fn change_configuration(system: &System) {
     let version = system.config_version.fetch_add(3, Ordering::SeqCst) + 3;
     if version >= KEY_WITHDRAWN_FROM {
@@ -216,7 +221,7 @@
     system.store.put("op", "config", &configuration_of(version));
 }
 
-/// Version of the configuration from which on the second key is gone.
+/// First version of the configuration without the second key.
 const KEY_WITHDRAWN_FROM: u64 = 5;
 
 fn configuration_of(version: u64) -> Value {
@@ -227,7 +232,7 @@
     changed
 }
 
-/// Lets the store come back from a copy. No server's row is in between two states meanwhile.
+/// Restores the store from a copy, with the servers' rows locked. Skipped if another disruption holds one of them.
 async fn restore_store(system: &System, duration: Duration) {
     let rows: Vec<_> = system.servers.iter().map(|server| server.row_lock.try_lock()).collect();
     if rows.iter().any(Result::is_err) {
@@ -243,7 +248,7 @@
     system.servers.iter().for_each(|server| server.list(&system.store, "ready"));
 }
 
-/// Orders a zone evacuated for a while.
+/// Evacuates a zone for a while.
 async fn evacuate(system: &System, duration: Duration) {
     let key = format!("evacuate/{OTHER_ZONE}");
     if system.store.read("op", &key).is_some() {
@@ -260,7 +265,7 @@
     system.store.remove("op", &key);
 }
 
-/// Lists a server as leaving for a while.
+/// Lists a server as draining for a while.
 async fn drain(system: &System, server: usize, duration: Duration) {
     let drained = &system.servers[server];
     let Ok(_lock) = drained.row_lock.try_lock() else {
@@ -275,7 +280,7 @@
     drained.list(&system.store, "ready");
 }
 
-/// Puts something that can't be read in place of a server's row for a while.
+/// Replaces a server's row by an unreadable one for a while.
 async fn corrupt_row(system: &System, server: usize, duration: Duration) {
     let corrupted = &system.servers[server];
     let Ok(_lock) = corrupted.row_lock.try_lock() else {
@@ -286,10 +291,10 @@
     corrupted.list(&system.store, "ready");
 }
 
-/// Lets a caller insist on a request that ends every server that runs it; each time another one.
+/// Repeats a request that crashes every server that runs it; each call uses a new request.
 async fn repeat_crashing_request(system: &System, duration: Duration) {
     let number = system.crashing_requests.fetch_add(1, Ordering::SeqCst);
-    let callers = system.callers.get().expect("callers come before deeds");
+    let callers = system.callers.get().expect("the callers are set before the disruptions start");
     callers
         .repeat_request(
             format!("{CRASHING_BODY_PREFIX} {number}"),
@@ -299,7 +304,7 @@
         .await;
 }
 
-/// Resets a server's connections, and lists it as started again under its id a while later.
+/// Resets a server's connections for a while, then lists it as restarted under the same id.
 async fn restart_server(system: &System, server: usize, duration: Duration) {
     let restarted = &system.servers[server];
     let Ok(_lock) = restarted.row_lock.try_lock() else {
@@ -309,7 +314,7 @@
     restarted.restart(&system.store);
 }
 
-/// Draws what is done next, and to whom.
+/// Draws the next disruption, the entry and the server that it may affect, and its duration.
 pub fn draw_disruption(
     rng: &mut impl Rng,
     disruptions: &[Disruption],
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,5 +1,5 @@
-//! A randomized soak: the real program as processes on loopback, faults from outside, and the
-//! promises of docs/PROMISES.md checked from what callers and servers see. docs/SOAK.md tells how to
+//! A randomized soak test. It runs the real program as processes on loopback, disrupts them from outside, and
+//! checks the promises of docs/PROMISES.md against what callers and servers observe. docs/SOAK.md describes how to
 //! run it by hand.
 
 mod callers;
@@ -21,24 +21,26 @@
 
 use std::time::Duration;
 
-/// Seeds of the run in CI: one of each third, see [`faults::Deed::all_of`].
+/// Seeds of the run in CI: one for each set of disruptions, see [`faults::Disruption::for_seed`].
 const CI_SEEDS: [u64; 3] = [3, 4, 5];
-/// Seeds that once failed; docs/SOAK.md has a line on the cause of each.
+/// Seeds that failed in the past; docs/SOAK.md lists the cause of each.
 const REGRESSION_SEEDS: [u64; 2] = [108, 402];
-/// Time in which things are done under one seed, seconds.
+/// Seconds for which disruptions are started under one seed.
 const DEFAULT_DURATION_S: u64 = 4;
-/// First and last seed of a run by hand, as `FIRST-LAST`.
+/// Environment variable with the first and last seed of a run by hand, as `FIRST-LAST`.
 const SEEDS_VARIABLE: &str = "MINTMOOR_SOAK_SEEDS";
+/// Environment variable that replaces [`DEFAULT_DURATION_S`].
 const DURATION_VARIABLE: &str = "MINTMOOR_SOAK_SECONDS";
 
-/// All soaks use the same addresses: they run one after the other.
+/// Held by each soak test: they use the same addresses and so run one after the other.
 static SOAK_LOCK: tokio::sync::Mutex<()> = tokio::sync::Mutex::const_new(());
 
+/// Returns the seeds to run with.
 fn seeds() -> Vec<u64> {
     let Ok(range) = std::env::var(SEEDS_VARIABLE) else {
         return [&CI_SEEDS[..], &REGRESSION_SEEDS].concat();
     };
-    let (first, last) = range.split_once('-').expect("FIRST-LAST");
+    let (first, last) = range.split_once('-').expect("the seeds must have the form FIRST-LAST");
     (first.parse().unwrap()..=last.parse().unwrap()).collect()
 }
 
@@ -61,8 +63,9 @@
     assert!(failed_seeds.is_empty(), "promises broken under seeds {failed_seeds:?}");
 }
 
-/// Two requests that end servers come at once, and the list alone tells of the ends, of several in one moment: one
-/// entry takes them for one event and sends on what the others refuse (4 sends late, 7 in all).
+/// Guards against an entry that keeps sending a crashing request which the others refuse (4 sends late, 7 in all).
+/// Two requests that crash servers arrive at the same time and the entry learns of the crashes only from the list of
+/// servers, several at once, so that it takes them for a single event.
 #[tokio::test(flavor = "multi_thread")]
 async fn two_that_end_servers_are_refused_by_all_under_seed_836() {
     let _lock = SOAK_LOCK.lock().await;
--- a/tests/soak/process.rs
+++ b/tests/soak/process.rs
@@ -1,4 +1,4 @@
-//! The real programs as processes on loopback, driven by signals.
+//! Entries as processes of the real program on loopback, controlled by signals.
 
 use std::{
     fs::{File, OpenOptions},
@@ -17,31 +17,32 @@
 
 use crate::proxy::Proxy;
 
-/// Ports of every entry, on a loopback address of its own.
+/// Port for callers. All entries use the same ports, each on a loopback address of its own.
 const CALLER_PORT: u16 = 7301;
 pub const READINESS_PORT: u16 = 7302;
 const PEER_PORT: u16 = 7303;
-/// Time from the request to stop until the process is killed, seconds.
+/// Seconds between the request to stop and the kill of the process.
 pub const GRACE_S: f64 = 3.0;
 
-/// One entry: its files, and its process while there is one.
+/// An entry: its files, and its process while it runs.
 pub struct Entry {
     pub name: String,
     pub host: IpAddr,
-    /// The way to the store.
+    /// Proxy between the entry and the store.
     pub store_proxy: Proxy,
     dir: PathBuf,
     child: Option<Child>,
 }
 
-/// Address of an entry; processes that soak at the same time differ in the middle.
+/// Returns the loopback address of an entry. The middle bytes come from the id of the test process, so that soaks of
+/// several processes can run at the same time.
 pub fn loopback_host(number: u8) -> IpAddr {
     let process = std::process::id().to_be_bytes();
     IpAddr::V4(Ipv4Addr::new(127, 1 + process[2] % 127, process[3], 10 + number))
 }
 
 impl Entry {
-    /// Writes the settings of an entry and starts it. The first two are seeds.
+    /// Writes the settings of an entry and starts it. The first two entries are the seeds that others connect to.
     pub fn start(number: u8, store_proxy: Proxy, dir: &Path) -> Self {
         let host = loopback_host(number);
         let name = format!("edge-{number}");
@@ -59,7 +60,7 @@
         self.dir.join(format!("{}.yaml", self.name))
     }
 
-    /// Its log, of all its lives.
+    /// Returns the path of the log, to which every process of the entry appends.
     pub fn log_path(&self) -> PathBuf {
         self.dir.join(format!("{}.log", self.name))
     }
@@ -75,7 +76,7 @@
         std::fs::write(self.settings_path(), text).unwrap();
     }
 
-    /// Starts its process.
+    /// Starts the process.
     pub fn spawn(&mut self) {
         let log: File = OpenOptions::new().create(true).append(true).open(self.log_path()).unwrap();
         let child = Command::new(env!("CARGO_BIN_EXE_mintmoor"))
@@ -90,8 +91,8 @@
         self.child = Some(child);
     }
 
-    /// Starts its process again and waits until it listens: a signal that comes before its handler
-    /// ends any process, and the platform would start it once more.
+    /// Starts the process again and waits until it listens: a signal that arrives before the handler is installed
+    /// ends the process, and the platform would restart it.
     pub async fn respawn(&mut self) {
         self.spawn();
         while TcpStream::connect(self.caller()).await.is_err() && !self.has_exited() {
@@ -99,29 +100,29 @@
         }
     }
 
-    /// Sends a signal to its process, and to no other.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         let id = self.child.as_ref().and_then(Child::id);
         if let Some(pid) = id.and_then(|id| Pid::from_raw(i32::try_from(id).unwrap())) {
-            // A process that has just ended is what some signals are for.
+            // The process may have exited already.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Waits until its process has ended.
+    /// Waits until the process has exited.
     pub async fn wait(&mut self) {
         if let Some(mut child) = self.child.take() {
             child.wait().await.unwrap();
         }
     }
 
-    /// Ends its process and waits for that: the next seed takes the same addresses.
+    /// Kills the process and waits until it has exited, because the next seed uses the same addresses.
     pub async fn kill(&mut self) {
         self.signal(Signal::KILL);
         self.wait().await;
     }
 
-    /// Whether its process ended by itself.
+    /// Returns whether the process has exited by itself.
     pub fn has_exited(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| child.try_wait().unwrap().is_some())
     }
--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that stands between a process and what it talks to, and spoils the way.
+//! A loopback TCP proxy that can delay, stall or reset the connections between a process and its peer.
 
 use std::{
     net::SocketAddr,
@@ -18,21 +18,22 @@
     time::sleep,
 };
 
-/// What happens on the way.
+/// Condition of the link that a proxy forwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkCondition {
-    /// Nothing.
+    /// Data is forwarded without delay.
     Clear,
-    /// Each piece is held back for a while.
+    /// Each chunk is delayed by [`SLOW_DELAY`].
     Slow,
-    /// Nothing arrives, in either direction; it does once the way is clear again.
+    /// No data is forwarded in either direction until the link is clear again.
     Stalled,
-    /// What is asked arrives, and no answer comes back.
+    /// Requests are forwarded, but no responses.
     RequestsOnly,
-    /// Connections, old and new, are reset.
+    /// Existing and new connections are reset.
     Reset,
 }
 
+/// All conditions, indexed by their discriminant.
 const CONDITIONS: [LinkCondition; 5] = [
     LinkCondition::Clear,
     LinkCondition::Slow,
@@ -40,12 +41,12 @@
     LinkCondition::RequestsOnly,
     LinkCondition::Reset,
 ];
-/// Time that a slow way adds to each piece.
+/// Delay of each chunk on a slow link.
 const SLOW_DELAY: Duration = Duration::from_millis(60);
-/// Time between looks at whether a held piece may go on.
+/// Time between checks of the link's condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The proxy; clones share it.
+/// A proxy in front of one upstream address. Clones share its state.
 #[derive(Clone, Debug)]
 pub struct Proxy {
     pub address: SocketAddr,
@@ -53,6 +54,7 @@
 }
 
 impl Proxy {
+    /// Starts forwarding connections from a free port to an upstream address.
     pub async fn start(upstream_address: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -75,8 +77,9 @@
         CONDITIONS[usize::from(self.condition.load(Ordering::SeqCst))]
     }
 
+    /// Forwards one connection until it ends or is reset.
     async fn forward(&self, downstream: TcpStream, upstream_address: SocketAddr) {
-        // Closing without a word is a reset, also for what is still to be read.
+        // With zero linger, dropping the socket sends a reset and discards unread data.
         let _ = downstream.set_zero_linger();
         while matches!(self.condition(), LinkCondition::Stalled) {
             sleep(POLL_INTERVAL).await;
@@ -108,7 +111,7 @@
         }
     }
 
-    /// Carries one direction until it ends, and its end.
+    /// Copies one direction until it ends, then closes the write half.
     async fn copy_direction(
         &self,
         mut from: OwnedReadHalf,
--- a/tests/soak/record.rs
+++ b/tests/soak/record.rs
@@ -1,4 +1,4 @@
-//! What callers and servers saw, and what of it breaks a promise.
+//! Records what callers and servers observe, and finds the observations that break a promise.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -11,22 +11,22 @@
     unavailable::{self, DrainSpan, Rejection},
 };
 
-/// What a caller got.
+/// Outcome of a request as its caller observed it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer.
+    /// A complete answer.
     Answered { status: u16, body: String, is_signed: bool },
-    /// An answer that broke off; what came of its body.
+    /// An answer that broke off, with the part of its body that arrived.
     Broken { body: String },
     /// The connection ended without an answer.
     NoAnswer,
     /// The request was never sent.
     NotSent,
-    /// The caller gave up on it.
+    /// The caller stopped waiting for the answer.
     TimedOut,
 }
 
-/// One request and what became of it.
+/// A request and its outcome.
 #[derive(Clone, Debug)]
 pub struct Exchange {
     pub id: String,
@@ -38,7 +38,7 @@
     pub outcome: Outcome,
 }
 
-/// Kinds of requests.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
     Idempotent,
@@ -52,65 +52,66 @@
     }
 }
 
-/// What was done.
+/// Kind of a disruption.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisruptionKind {
-    /// Planned work, which must cut nothing off.
+    /// Planned work, which must not cut off any answer.
     Planned,
-    /// Trouble with the store, which must cut nothing off either, but may delay changes.
+    /// Store faults, which must not cut off any answer either, but may delay changes.
     Store,
-    /// Processes and servers that fail.
+    /// Faults of processes, servers and their links.
     Fault,
 }
 
-/// A span in which something was done to an entry or to everything.
+/// A time span in which a disruption affected one entry or all of them.
 #[derive(Clone, Debug)]
 pub struct DisruptionSpan {
-    /// None: all entries.
+    /// The affected entry; `None` means all entries.
     pub entry: Option<usize>,
     pub kind: DisruptionKind,
-    /// Whether it stops, restarts or suspends the entry's process.
+    /// Whether the disruption stops, restarts or suspends the entry's process.
     pub interrupts_process: bool,
     pub from: Instant,
     pub to: Instant,
 }
 
-/// Time before and after a disturbance that it may still explain.
+/// Time before and after a disruption in which it may still explain a cut-off answer.
 const ATTRIBUTION_SLACK: Duration = Duration::from_millis(600);
-/// Events of every whole stream.
+/// Number of events in a complete stream.
 pub const EVENTS_PER_STREAM: u64 = 6;
-/// Time after a change in the store in which it must be in force, with the store at rest: 2 s, and
-/// a second for a machine that is busy.
+/// Time after a change in the store until it must be in force if there are no store faults: 2 s, plus 1 s for a
+/// busy machine.
 pub const CHANGE_PROPAGATION: Duration = Duration::from_secs(3);
 
-/// A run of a request at a server.
+/// An execution of a request by a server.
 #[derive(Clone, Debug)]
 pub struct Execution {
     pub id: String,
-    /// Session the request belongs to.
+    /// Session that the request belongs to.
     pub session: String,
     pub server: String,
     pub service: &'static str,
     pub version: &'static str,
     pub at: Instant,
-    /// Whether the server breaks its answer off.
+    /// Whether the server breaks off its answer.
     pub breaks_answer: bool,
-    /// The request that ends servers, if it is one.
+    /// Body of the request if it crashes servers.
     pub crashing_body: Option<String>,
 }
 
-/// Begin of the bodies that end servers.
+/// Prefix of the bodies of requests that crash servers.
 pub const CRASHING_BODY_PREFIX: &str = "ends whoever runs it";
-/// Time after the third end in which all entries have to know; the deployments' least.
+/// Time after the third crash until all entries must know the crashing request: the smallest value of the
+/// deployments.
 pub const CONTACT_BOUND: Duration = Duration::from_secs(3);
-/// Sends after that which are allowed.
+/// Number of later sends of a crashing request that are allowed.
 const MAX_LATE_SENDS: usize = 3;
 
-/// A span in which a server named a limit in its answers.
+/// A time span in which a server advertised a rate limit in its answers.
 #[derive(Clone, Debug)]
 pub struct RateLimitSpan {
     pub server: String,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
     pub from: Instant,
     pub to: Instant,
@@ -118,61 +119,61 @@
 
 /// Length of the windows in which arrivals at a rate-limited server are counted.
 const RATE_WINDOW: Duration = Duration::from_secs(4);
-/// Time for which a way that was spoiled may still deliver what it held up.
+/// Time after the end of a link's degradation in which delayed requests may still arrive.
 const DELAYED_DELIVERY: Duration = Duration::from_secs(1);
 
-/// A server that was listed as leaving.
+/// A time span in which a server was listed as draining or its zone was evacuated.
 #[derive(Clone, Debug)]
 pub struct ExclusionSpan {
     pub server: String,
-    /// When the store had acknowledged it.
+    /// When the store had acknowledged the change.
     pub acknowledged_at: Instant,
-    /// Until when it was so.
+    /// When the change was reverted.
     pub to: Instant,
 }
 
-/// The service that is rolled out, and its versions.
+/// Service for which a roll-out from the old to the new version is ordered.
 pub const ROLLED_OUT_SERVICE: &str = "app";
 pub const OLD_VERSION: &str = "v1";
 pub const NEW_VERSION: &str = "v2";
 
-/// A good roll-out that was ordered.
+/// An ordered roll-out to a version without faults.
 #[derive(Clone, Copy, Debug)]
 pub struct OrderedRollOut {
     pub at: Instant,
     pub within: Duration,
 }
 
-/// Time in which entries come to agree that a session is on the new version: the lines of a roll-out
-/// that an entry reads after a restart are up to 250 ms late, and a machine that is busy is later.
+/// Time until all entries agree that a session is on the new version: an entry that reads the rows of a roll-out
+/// after a restart is up to 250 ms late, and later on a busy machine.
 const SESSION_AGREEMENT: Duration = Duration::from_secs(1);
 
-/// Everything that was seen.
+/// All observations of a soak.
 #[derive(Debug, Default)]
 pub struct Record {
     pub exchanges: Mutex<Vec<Exchange>>,
     pub executions: Mutex<Vec<Execution>>,
     pub disruptions: Mutex<Vec<DisruptionSpan>>,
     pub exclusions: Mutex<Vec<ExclusionSpan>>,
-    /// What reached servers, whatever they did with it.
+    /// Server and time of all requests that reached servers, including the rejected ones.
     pub arrivals: Mutex<Vec<(String, Instant)>>,
     pub rate_limit_spans: Mutex<Vec<RateLimitSpan>>,
     pub drain_spans: Mutex<Vec<DrainSpan>>,
     pub rejections: Mutex<Vec<Rejection>>,
-    /// Servers whose way was spoiled, from when to when.
+    /// Servers whose link was degraded, with the begin and end.
     pub degraded_links: Mutex<Vec<(String, Instant, Instant)>>,
     pub roll_out: Mutex<Option<OrderedRollOut>>,
-    /// From when a withdrawn key must not be taken.
+    /// When the key was withdrawn.
     pub key_withdrawn: Mutex<Option<Instant>>,
 }
 
 impl Record {
-    /// What was asked and answered, in one line.
+    /// Returns the counts of requests, outcomes and disruptions in one line.
     pub fn summary(&self) -> String {
         let exchanges = self.exchanges.lock().unwrap();
         let count = |is: fn(&Outcome) -> bool| exchanges.iter().filter(|e| is(&e.outcome)).count();
         format!(
-            "{} requests, {} served, {} refused or failed, {} broken, {} unanswered, {} deeds",
+            "{} requests, {} served, {} refused or failed, {} broken, {} unanswered, {} disruptions",
             exchanges.len(),
             exchanges.iter().filter(|e| e.is_served()).count(),
             count(|o| matches!(o, Outcome::Answered { status, .. } if *status != 200)),
@@ -182,7 +183,7 @@
         )
     }
 
-    /// All broken promises, in words.
+    /// Describes all broken promises.
     pub fn violations(&self) -> Vec<String> {
         let exchanges = self.exchanges.lock().unwrap();
         let executions = self.executions.lock().unwrap().clone();
@@ -200,7 +201,7 @@
             violations.extend(self.check_withdrawn_key(exchange, execution_count));
         }
         for execution in executions.iter().filter(|execution| !asked.contains(&*execution.id)) {
-            violations.push(format!("{}: ran, but nobody asked for it", execution.id));
+            violations.push(format!("{}: ran, but no caller sent it", execution.id));
         }
         violations.extend(
             executions.iter().filter_map(|execution| self.check_excluded_server(execution)),
@@ -221,7 +222,7 @@
         violations
     }
 
-    /// In the first half of a roll-out no session is moved to the new version.
+    /// Checks that no session is moved to the new version in the first half of the roll-out.
     fn check_first_half_of_roll_out(&self, execution: &Execution) -> Option<String> {
         let roll_out = (*self.roll_out.lock().unwrap())?;
         let is_early =
@@ -230,7 +231,7 @@
             .then(|| format!("{}: ran on the new version in the first half", execution.id))
     }
 
-    /// A session that is on the new version stays there, whichever entry serves it.
+    /// Checks that a session on the new version stays there, whichever entry serves it.
     fn check_sessions_moved_back(&self, executions: &[Execution]) -> Vec<String> {
         let Some(roll_out) = *self.roll_out.lock().unwrap() else {
             return Vec::new();
@@ -251,7 +252,8 @@
         executions.iter().filter(is_back).map(describe).collect()
     }
 
-    /// A request under which three servers ended reaches three more at most, from entries at rest.
+    /// Checks that a request that has crashed three servers is sent at most three more times by entries that are in
+    /// contact with the others.
     fn check_crashing_requests(
         &self,
         executions: &[Execution],
@@ -280,8 +282,8 @@
         violations
     }
 
-    /// A rate-limited server gets no more than is allowed in any window, from all entries together, once all have had
-    /// time to know: those that were killed, paused or cut meanwhile as well.
+    /// Checks that all entries together keep a server's rate limit in every window once they have had time to learn
+    /// of it, including entries that were killed, suspended or disconnected meanwhile.
     fn check_rate_limit(&self, span: &RateLimitSpan) -> Option<String> {
         let arrivals = self.arrivals.lock().unwrap();
         let known = span.from + CONTACT_BOUND;
@@ -296,25 +298,26 @@
         let allowed = (1.5 * span.rate * RATE_WINDOW.as_secs_f64() + 5.0) as usize;
         let RateLimitSpan { server, rate, .. } = span;
         println!(
-            "{server} advertises {rate} a second: at most {max_in_window} in 4 s, {allowed} are allowed"
+            "{server} advertises {rate} requests/s: at most {max_in_window} in 4 s, {allowed} allowed"
         );
-        (max_in_window > allowed)
-            .then(|| format!("{server} advertises {rate} a second and got {max_in_window} in 4 s"))
+        (max_in_window > allowed).then(|| {
+            format!("{server} advertises {rate} requests/s and got {max_in_window} in 4 s")
+        })
     }
 
-    /// Whether what arrived at a server then may have been held up on its way.
+    /// Returns whether a request that arrived at a rate-limited server may have been delayed by its link.
     fn may_be_delayed(&self, span: &RateLimitSpan, at: Instant) -> bool {
         self.was_link_degraded(&span.server, at)
     }
 
-    /// Whether the way to a server was spoiled then or shortly before.
+    /// Returns whether the link to a server was degraded at a time or shortly before.
     pub fn was_link_degraded(&self, server: &str, at: Instant) -> bool {
         let degraded_links = self.degraded_links.lock().unwrap();
         let covers = |from: Instant, to: Instant| from <= at && at < to + DELAYED_DELIVERY;
         degraded_links.iter().any(|(degraded, from, to)| *degraded == server && covers(*from, *to))
     }
 
-    /// Whether an entry's process was stopped, restarted or suspended between two times.
+    /// Returns whether an entry's process was stopped, restarted or suspended between two times.
     pub fn was_interrupted(&self, entry: usize, from: Instant, to: Instant) -> bool {
         let disruptions = self.disruptions.lock().unwrap();
         disruptions
@@ -322,7 +325,7 @@
             .any(|d| d.interrupts_process && d.entry == Some(entry) && d.from < to && from < d.to)
     }
 
-    /// Whether nothing was done to an entry or the store for long enough before.
+    /// Returns whether neither the entry nor the store was disrupted for [`CONTACT_BOUND`] before a time.
     fn is_in_contact(&self, entry: usize, at: Instant) -> bool {
         let disruptions = self.disruptions.lock().unwrap();
         !disruptions.iter().any(|d| {
@@ -331,7 +334,7 @@
         })
     }
 
-    /// A server that leaves gets nothing once that must be known.
+    /// Checks that a draining or evacuated server receives no request once the entries must know of the change.
     fn check_excluded_server(&self, execution: &Execution) -> Option<String> {
         let exclusions = self.exclusions.lock().unwrap();
         let is_excluded = |span: &&ExclusionSpan| {
@@ -340,23 +343,27 @@
                 && execution.at < span.to
         };
         let exclusion = exclusions.iter().find(is_excluded)?;
-        self.had_only_planned_work(exclusion.acknowledged_at, execution.at)
-            .then(|| format!("{}: reached {} though it leaves", execution.id, execution.server))
+        self.had_only_planned_work(exclusion.acknowledged_at, execution.at).then(|| {
+            format!(
+                "{}: reached {}, which is draining or evacuated",
+                execution.id, execution.server
+            )
+        })
     }
 
-    /// Notes that something is done, from now on.
+    /// Records the begin of a disruption; returns its number.
     pub fn begin_disruption(&self, span: DisruptionSpan) -> usize {
         let mut disruptions = self.disruptions.lock().unwrap();
         disruptions.push(span);
         disruptions.len() - 1
     }
 
-    /// Notes that it is over.
+    /// Records the end of a disruption.
     pub fn end_disruption(&self, number: usize) {
         self.disruptions.lock().unwrap()[number].to = Instant::now();
     }
 
-    /// Whether nothing but planned work was done from shortly before one time to another.
+    /// Returns whether only planned work was done between two times and for [`CHANGE_PROPAGATION`] before.
     fn had_only_planned_work(&self, from: Instant, to: Instant) -> bool {
         let disruptions = self.disruptions.lock().unwrap();
         !disruptions.iter().any(|d| {
@@ -364,9 +371,9 @@
         })
     }
 
-    /// A planned stop, reload or change cuts off nothing.
+    /// Checks that an answer was cut off only by a server or near a fault, not by planned work or a store fault.
     fn check_cut_answers(&self, exchange: &Exchange, executions: &[&Execution]) -> Option<String> {
-        // A request that crosses the end of its connection and reaches nobody may be lost.
+        // A request that races with the close of its connection and reaches no server may be lost.
         let is_cut = match exchange.outcome {
             Outcome::Broken { .. } => true,
             Outcome::NoAnswer => !executions.is_empty(),
@@ -387,13 +394,13 @@
         let is_explained = overlapping.any(|d| d.kind == DisruptionKind::Fault);
         (!is_explained).then(|| {
             format!(
-                "{}: {:?} at entry {} without a fault",
+                "{}: cut off without a fault: {:?} at entry {}",
                 exchange.id, exchange.outcome, exchange.entry
             )
         })
     }
 
-    /// A key that was withdrawn opens nothing.
+    /// Checks that no request runs with a withdrawn key.
     fn check_withdrawn_key(&self, exchange: &Exchange, execution_count: usize) -> Option<String> {
         let withdrawn = (*self.key_withdrawn.lock().unwrap())?;
         let is_late =
@@ -404,9 +411,10 @@
     }
 }
 
-/// The key that is withdrawn midway.
+/// The key that is withdrawn during the soak.
 pub const WITHDRAWN_KEY: &str = "key-2";
 
+/// Checks an answer against what the servers ran.
 fn check_answer(exchange: &Exchange, execution_count: usize) -> Vec<String> {
     let id = &exchange.id;
     let mut violations = Vec::new();
@@ -416,26 +424,26 @@
     match &exchange.outcome {
         Outcome::Answered { status: 200, body, is_signed } => {
             if !is_signed || execution_count == 0 {
-                violations.push(format!("{id}: a success that no server gave"));
+                violations.push(format!("{id}: answered with a success that no server sent"));
             }
             let wanted = match exchange.kind {
                 RequestKind::Stream => events(EVENTS_PER_STREAM),
                 _ => id.clone(),
             };
             if *body != wanted {
-                violations.push(format!("{id}: got {body:?}"));
+                violations.push(format!("{id}: wrong body {body:?}"));
             }
         }
         Outcome::Answered { status: 408 | 421 | 429 | 503, .. }
             if exchange.kind == RequestKind::NonIdempotent && execution_count > 0 =>
         {
-            violations.push(format!("{id}: answered as not run, and it ran"));
+            violations.push(format!("{id}: answered as not run although it ran"));
         }
         Outcome::Broken { body }
             if exchange.kind == RequestKind::Stream
                 && !events(EVENTS_PER_STREAM).starts_with(body.as_str()) =>
         {
-            violations.push(format!("{id}: got {body:?} of a broken stream"));
+            violations.push(format!("{id}: wrong body {body:?} in a broken stream"));
         }
         _ => {}
     }
--- a/tests/soak/system.rs
+++ b/tests/soak/system.rs
@@ -1,4 +1,4 @@
-//! All that a soak runs: entries as processes, and store and servers as stand-ins.
+//! Runs a soak: entries as processes, and stand-ins for the store and the servers.
 
 use std::{
     path::PathBuf,
@@ -35,45 +35,50 @@
     unavailable::{RETRY_AFTER, Rejection, run_unavailability},
 };
 
-/// Entries where nothing else is asked for; a run at the limits has up to 200.
+/// Default number of entries; a run by hand at the machine's limits has up to 200.
 const ENTRIES: u8 = 4;
+/// Environment variable that replaces [`ENTRIES`].
 const ENTRIES_VARIABLE: &str = "MINTMOOR_SOAK_ENTRIES";
+/// Servers of each service with the old version.
 const SERVERS_PER_SERVICE: usize = 4;
-/// Servers of the version that is rolled out; nothing else is done to them.
+/// Servers of the new version of the roll-out; no disruption affects them.
 const NEW_VERSION_SERVERS: usize = 3;
 const CALLERS_PER_ENTRY: u64 = 3;
-/// Deeds under way at once.
+/// Maximum number of disruptions at the same time.
 const MAX_CONCURRENT_DISRUPTIONS: usize = 3;
-/// Time after the last fault in which all must be served again, as the first sites allow.
+/// Time after the last fault until all entries must be ready again: the bound of the first sites.
 const RECOVERY_BOUND: Duration = Duration::from_secs(12);
-/// Time from a server's end to its next life.
+/// Time from a server's crash until it starts again.
 const RESTART_DELAY: Duration = Duration::from_secs(1);
-/// Time the balancer takes between two questions, and those it misses before it turns away.
+/// Interval and timeout of the load balancer's health checks, and the number of failed checks in a row after which
+/// it takes an entry out of rotation.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 const MAX_FAILED_HEALTH_CHECKS: u32 = 2;
 
-/// AvailabilityZone of every second server, which no entry stands in.
+/// AvailabilityZone of every second server; no entry is in it.
 pub const OTHER_ZONE: &str = "zone-b";
 
-/// A server behind its way.
+/// A server behind a proxy.
 pub struct Backend {
+    /// The server at the address of the proxy, as it is listed in the store.
     listed: Server,
-    /// The same at the address where it listens itself.
+    /// The same server at its own address.
     server: Server,
     service: &'static str,
     version: &'static str,
-    /// Among those of its service and version.
+    /// Number among the servers of its service and version.
     number: usize,
+    /// Proxy between the entries and the server.
     pub link: Proxy,
-    /// Start of its present life.
+    /// Start time in its row, which identifies the server's current incarnation.
     born: AtomicU64,
-    /// Whether it names a limit.
+    /// Whether the server advertises a rate limit.
     is_rate_limited: AtomicBool,
-    /// Whether it rejects everything and asks for a pause.
+    /// Whether the server rejects all requests and asks for a pause.
     pub is_rejecting: Arc<AtomicBool>,
-    /// When its present life began.
+    /// When the current incarnation started.
     started_at: std::sync::Mutex<Instant>,
-    /// Held while its row is not as it would be at rest.
+    /// Held while a disruption changes the server's row.
     pub row_lock: Mutex<()>,
 }
 
@@ -82,11 +87,12 @@
         &self.listed.id
     }
 
-    /// Every second server stands in another zone than the entries.
+    /// Returns the zone; every second server is in another zone than the entries.
     pub fn zone(&self) -> &'static str {
         if self.number.is_multiple_of(2) { "zone-a" } else { OTHER_ZONE }
     }
 
+    /// Writes the server's row with the given state.
     pub fn list(&self, store: &Store, state: &str) {
         let mut row = server_row(self.listed.address, self.service, self.version, state);
         row["zone"] = json!(self.zone());
@@ -94,7 +100,7 @@
         store.put("servers", self.id(), &row);
     }
 
-    /// Starts again a while after each end, for ever.
+    /// Restarts the server after each crash, without end.
     async fn restart_after_crashes(&self, store: &Store) {
         let mut life = 0;
         loop {
@@ -102,13 +108,13 @@
             self.stop_rate_limit();
             sleep(RESTART_DELAY).await;
             life = self.server.start_again();
-            // Whatever else is done to its row comes after.
+            // Disruptions of the row wait until the server is listed again.
             let _lock = self.row_lock.lock().await;
             self.restart(store);
         }
     }
 
-    /// Advertises a limit for a while, or until its life ends.
+    /// Advertises a rate limit for the given duration or until the server crashes.
     async fn advertise_rate_limit(&self, rate: &str, duration: Duration) {
         self.server.advertise_limit(&[rate]);
         self.is_rate_limited.store(true, Ordering::SeqCst);
@@ -124,22 +130,23 @@
         self.is_rate_limited.store(false, Ordering::SeqCst);
     }
 
-    /// Announces in its answers that it is draining.
+    /// Announces in the answers that the server is draining.
     pub fn announce_drain(&self) {
         self.server.drain();
     }
 
-    /// Ends its life after it has drained.
+    /// Ends the server after it has drained.
     pub fn exit(&self) {
         self.server.crash();
     }
 
-    /// Whether its present life began after a time.
+    /// Returns whether the current incarnation started after a time.
     pub fn has_started_since(&self, at: Instant) -> bool {
         *self.started_at.lock().unwrap() > at
     }
 
-    /// Starts again under its id: what it ran is lost, and it neither advertises a limit nor drains.
+    /// Lists a new incarnation under the same id. Requests of the old one are lost; the new one neither advertises a
+    /// rate limit nor drains.
     pub fn restart(&self, store: &Store) {
         self.stop_rate_limit();
         self.server.announce(&[]);
@@ -149,25 +156,25 @@
     }
 }
 
-/// Everything.
+/// The store, servers, entries and callers of a soak, and the record of what they observe.
 pub struct System {
     pub store: Store,
     pub entries: Vec<Mutex<Entry>>,
     pub servers: Vec<Backend>,
-    /// Those of the version that is rolled out.
+    /// Servers of the new version.
     new_servers: Vec<Backend>,
     pub record: Arc<Record>,
-    /// Callers, once there are any.
+    /// The callers, set once they have been created.
     pub callers: OnceLock<Arc<Callers>>,
-    /// Requests that end servers so far.
+    /// Number of distinct crashing requests so far.
     pub crashing_requests: AtomicU64,
-    /// Newest version of the configuration.
+    /// Latest version of the configuration.
     pub config_version: AtomicU64,
     dir: PathBuf,
 }
 
 impl System {
-    /// Starts all and waits until every entry takes requests.
+    /// Starts the store, the servers and the entries.
     async fn start(seed: u64) -> Self {
         let dir = std::env::temp_dir().join(format!("mintmoor-soak-{}-{seed}", std::process::id()));
         std::fs::create_dir_all(&dir).unwrap();
@@ -207,7 +214,7 @@
         }
     }
 
-    /// Orders a good roll-out and lists the servers of its version.
+    /// Orders the roll-out and lists the servers of the new version.
     fn order_roll_out(&self, within: Duration) {
         let roll_out = OrderedRollOut { at: Instant::now(), within };
         *self.record.roll_out.lock().unwrap() = Some(roll_out);
@@ -216,7 +223,7 @@
         self.new_servers.iter().for_each(|server| server.list(&self.store, "ready"));
     }
 
-    /// Asks whether an entry takes requests, as the balancer does.
+    /// Returns whether an entry answers the load balancer's health check.
     async fn is_ready(&self, number: usize) -> bool {
         let check = async {
             let address = std::net::SocketAddr::new(
@@ -233,6 +240,7 @@
         matches!(timeout(HEALTH_CHECK_INTERVAL, check).await, Ok(Some(())))
     }
 
+    /// Waits until all entries are ready; returns whether they are within [`RECOVERY_BOUND`].
     async fn wait_until_ready(&self) -> bool {
         let all = async {
             for entry in 0..self.entries.len() {
@@ -245,6 +253,8 @@
     }
 }
 
+/// Starts a server that records its requests and answers them as [`draw_act`] says, unless they crash it, it rejects
+/// requests or it has the new version.
 async fn start_server(
     record: &Arc<Record>,
     service: &'static str,
@@ -312,11 +322,11 @@
     }
 }
 
-/// Time that a server of the version that is rolled out takes. It never fails: three of its first eighteen answers
-/// failed by draw, as the old version's do, and it was taken back as a bad one, as it should have been.
+/// Time that a server of the new version takes for a request. The new version never fails: with randomly failing
+/// answers as in the old version, three of its first eighteen failed, and the roll-out was rightly rolled back.
 const NEW_VERSION_DELAY: Duration = Duration::from_millis(20);
 
-/// What a server does with a request: mostly what it should.
+/// Draws what a server of the old version does with a request; in most cases it answers correctly.
 fn draw_act(rng: &mut ChaCha8Rng, service: &str) -> Act {
     let draw = rng.random_range(0..100);
     if draw < 3 {
@@ -331,10 +341,10 @@
     }
 }
 
-/// Soaks with one seed; what was found, and where the logs are.
+/// Runs the soak under one seed; returns the broken promises and the directory of the logs.
 pub async fn run_soak(seed: u64, duration: Duration) -> (Vec<String>, PathBuf) {
     let system = Arc::new(System::start(seed).await);
-    assert!(system.wait_until_ready().await, "the entries never started");
+    assert!(system.wait_until_ready().await, "the entries were not ready in time");
     let mut addresses = Vec::new();
     for entry in &system.entries {
         addresses.push(entry.lock().await.caller());
@@ -373,7 +383,7 @@
     for (number, entry) in system.entries.iter().enumerate() {
         let mut entry = entry.lock().await;
         if entry.has_exited() {
-            violations.push(format!("entry {number} ended by itself"));
+            violations.push(format!("entry {number} exited by itself"));
         }
         entry.kill().await;
     }
@@ -382,6 +392,7 @@
     (violations, system.dir.clone())
 }
 
+/// Takes entries that fail the health check out of rotation, as a load balancer does, until it is aborted.
 async fn run_health_checks(system: Arc<System>, callers: Arc<Callers>) {
     let mut failed_checks = vec![0; system.entries.len()];
     loop {
@@ -394,7 +405,7 @@
     }
 }
 
-/// Does one thing after the other, some at once, and waits until all is undone.
+/// Runs random disruptions, some of them concurrently, and waits until all have been reverted.
 async fn run_disruptions(system: &Arc<System>, seed: u64, duration: Duration) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let disruptions = Disruption::for_seed(seed);
@@ -411,14 +422,15 @@
     while running.join_next().await.is_some() {}
 }
 
-/// Servers that are rate-limited under a seed.
+/// Number of servers that are rate-limited under a seed.
 const RATE_LIMITED_SERVERS: usize = 2;
-/// What they name, requests a second.
+/// Rate limits that they advertise, in requests per second.
 const RATES: [&str; 4] = ["0.5", "1.9", "2.4", "6"];
-/// Time for which they are rate-limited: a window beyond the time in which all entries have to know.
+/// Time for which they are rate-limited: longer than a window plus the time until all entries must know the limit.
 const RATE_LIMIT_DURATION: Duration = Duration::from_secs(8);
 
-/// Lets some servers name a limit for a while, drawn apart from the deeds, so that these stay what they are.
+/// Makes some servers advertise a rate limit for a while. Draws from a generator of its own, so that the disruptions
+/// under a seed stay the same.
 async fn run_rate_limits(system: &System, seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(!seed);
     let first = rng.random_range(0..system.servers.len());
@@ -431,7 +443,7 @@
     futures_util::future::join_all(limits.collect::<Vec<_>>()).await;
 }
 
-/// Lets a server advertise a limit, which ends with its life.
+/// Makes a server advertise a rate limit after a delay and records the span.
 async fn run_rate_limit(system: &System, server: &Backend, rate: &str, delay: Duration) {
     sleep(delay).await;
     let from = Instant::now();
@@ -441,10 +453,10 @@
     system.record.rate_limit_spans.lock().unwrap().push(span);
 }
 
-/// Time for which each request that ended servers comes again once all is calm.
+/// Time for which each crashing request is repeated after the last disruption.
 const FINAL_REPEAT_DURATION: Duration = Duration::from_secs(1);
 
-/// What was found to end servers stays known, whatever was done meanwhile.
+/// Repeats all crashing requests: entries must still refuse them after the disruptions.
 async fn repeat_crashing_requests(system: &System, callers: &Arc<Callers>) {
     sleep(CONTACT_BOUND).await;
     let crashing_requests = system.crashing_requests.load(Ordering::SeqCst);
@@ -458,7 +470,7 @@
     futures_util::future::join_all(again).await;
 }
 
-/// After the last fault every entry answers every kind of request again.
+/// Checks that every entry is ready and serves at least half of its requests again after the last fault.
 async fn check_recovery(system: &System, callers: &Callers) -> Vec<String> {
     if !system.wait_until_ready().await {
         return vec!["an entry was not ready again in time".into()];
--- a/tests/soak/unavailable.rs
+++ b/tests/soak/unavailable.rs
@@ -1,4 +1,4 @@
-//! Servers that drain or ask for pauses in their answers, and what may reach them.
+//! Servers that announce draining or ask for pauses in their answers, and checks of the requests that reach them.
 
 use std::{
     collections::HashMap,
@@ -15,21 +15,21 @@
     system::{Backend, System},
 };
 
-/// Time for which a draining server serves on, the default of the entries' settings.
+/// Time for which a draining server continues to serve requests, as the entries' settings have by default.
 const DRAIN_TIME: Duration = Duration::from_secs(2);
-/// Time from the first drain notice in an answer to the exit.
+/// Time from the first drain announcement until the server exits.
 const EXIT_AFTER: Duration = Duration::from_secs(6);
-/// Pause that a server asks for, and the number of seconds that it writes.
+/// Pause that a server asks for; [`RETRY_AFTER`] is the same in seconds, as the server sends it.
 const PAUSE: Duration = Duration::from_secs(2);
 pub const RETRY_AFTER: &str = "2";
-/// Time for which a server rejects everything.
+/// Time for which a server rejects all requests.
 const REJECTION_DURATION: Duration = Duration::from_millis(2_500);
-/// Time after a rejection in which requests may arrive that were on their way.
+/// Time after a rejection in which requests that were already in transit may still arrive.
 const IN_TRANSIT: Duration = Duration::from_millis(500);
-/// Arrivals within one pause that the platform tolerates.
+/// Number of requests within one pause that the platform tolerates.
 const MAX_REQUESTS_PER_PAUSE: usize = 2;
 
-/// A request that was rejected with a pause.
+/// A request that a server rejected while it asked for a pause.
 #[derive(Clone, Debug)]
 pub struct Rejection {
     pub server: String,
@@ -37,7 +37,7 @@
     pub at: Instant,
 }
 
-/// A span in which a server announced in its answers that it is draining.
+/// A time span in which a server announced draining in its answers.
 #[derive(Clone, Debug)]
 pub struct DrainSpan {
     pub server: String,
@@ -45,7 +45,8 @@
     pub to: Instant,
 }
 
-/// Lets one server drain by its answers alone and exit, and two ask for pauses, drawn apart from the deeds.
+/// Makes one server announce draining in its answers only and exit, and two servers ask for pauses. Draws from a
+/// generator of its own, so that the disruptions under a seed stay the same.
 pub async fn run_unavailability(system: &System, seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed.rotate_left(32));
     let first = rng.random_range(0..system.servers.len());
@@ -55,6 +56,7 @@
     tokio::join!(drain(system, server(0), one), reject(server(1), two), reject(server(2), three));
 }
 
+/// Makes a server announce draining after a delay, and exit unless it has restarted in between.
 async fn drain(system: &System, server: &Backend, delay: Duration) {
     sleep(delay).await;
     server.announce_drain();
@@ -70,6 +72,7 @@
     }
 }
 
+/// Makes a server reject all requests for a while after a delay.
 async fn reject(server: &Backend, delay: Duration) {
     sleep(delay).await;
     server.is_rejecting.store(true, Ordering::SeqCst);
@@ -77,7 +80,7 @@
     server.is_rejecting.store(false, Ordering::SeqCst);
 }
 
-/// What reached a server and should not have.
+/// Describes the requests that should not have reached a server.
 pub fn violations(record: &Record, exchanges: &[Exchange]) -> Vec<String> {
     let by_id: HashMap<&str, &Exchange> = exchanges.iter().map(|e| (&*e.id, e)).collect();
     let drain_spans = record.drain_spans.lock().unwrap();
@@ -87,7 +90,8 @@
     violations
 }
 
-/// Requests that reached a draining server and were sent too long after their entry had passed on a notice.
+/// Describes the requests that reached a draining server although they were sent more than [`DRAIN_TIME`] after
+/// their entry had received the first answer with an announcement.
 fn late_requests(
     record: &Record,
     by_id: &HashMap<&str, &Exchange>,
@@ -113,14 +117,14 @@
                 && !record.was_interrupted(exchange.entry, *known, *at)
         })
     };
-    println!("{} drains: {} reached it", span.server, reached.len());
+    println!("{} is draining: {} requests reached it", span.server, reached.len());
     let describe = |(exchange, _): &(&Exchange, Instant)| {
         format!("{}: reached {}, which had announced draining", exchange.id, span.server)
     };
     reached.iter().filter(is_late).map(describe).collect()
 }
 
-/// Pauses in which more requests reached their server from the entry that it had rejected than are tolerated.
+/// Describes the pauses in which a server received too many requests from the entry that it had asked to pause.
 fn check_pauses(record: &Record, by_id: &HashMap<&str, &Exchange>) -> Vec<String> {
     let rejections = record.rejections.lock().unwrap();
     let entry_of = |rejection: &Rejection| by_id.get(&*rejection.id).map(|e| e.entry);
@@ -141,13 +145,13 @@
         max_in_pause = max_in_pause.max(within);
         if within > MAX_REQUESTS_PER_PAUSE {
             violations.push(format!(
-                "{}: asked entry {entry} for a pause and got {within} requests",
+                "{}: asked entry {entry} for a pause and received {within} requests",
                 first.server
             ));
         }
     }
     println!(
-        "{} rejections with a pause: at most {max_in_pause} requests in one",
+        "{} rejections with a pause: at most {max_in_pause} requests in one pause",
         rejections.len()
     );
     violations
