--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures: a system of real processes, and small helpers.
+//! Test fixtures: a cluster of real processes, and helpers.
 
 #![allow(dead_code)]
 
@@ -26,18 +26,19 @@
 use tempfile::TempDir;
 
 pub const ROOT_KEY: &str = "root-key-of-the-tests-0001";
+/// Time limit for conditions and HTTP calls.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until a condition holds; the condition decides, not the clock.
+/// Waits until a condition holds; panics after [`TIMEOUT`].
 pub async fn wait_until<F: Future<Output = bool>>(what: &str, condition: impl Fn() -> F) {
     let deadline = tokio::time::Instant::now() + TIMEOUT;
     while !condition().await {
-        assert!(tokio::time::Instant::now() < deadline, "never happened: {what}");
+        assert!(tokio::time::Instant::now() < deadline, "timed out waiting for: {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// A chat call of an organisation of the preset.
+/// Returns a chat call of one of the preset organisations.
 pub fn chat(organisation: &str, model: &str, user: &str) -> ChatCall {
     ChatCall {
         key: caller_key(organisation),
@@ -49,13 +50,16 @@
     }
 }
 
-/// A child process that is killed when the test ends.
+/// A child process that is killed when dropped.
 pub struct Process {
     child: Child,
+    /// Listening addresses by name, as the process prints them at startup.
     pub addresses: Value,
 }
 
 impl Process {
+    /// Starts a command of the program with the given settings and waits until it has printed its addresses. The
+    /// settings and the log are written to `dir` under `name`.
     pub fn start(dir: &Path, command: &str, settings: &str, name: &str) -> Process {
         let file = dir.join(format!("{name}.toml"));
         std::fs::write(&file, settings).unwrap();
@@ -72,15 +76,17 @@
         Process { child, addresses }
     }
 
+    /// Returns the URL of a listener.
     pub fn url(&self, name: &str) -> String {
         format!("http://{}", self.addresses[name].as_str().unwrap())
     }
 
+    /// Returns the address of a listener.
     pub fn address(&self, name: &str) -> SocketAddr {
         self.addresses[name].as_str().unwrap().parse().unwrap()
     }
 
-    /// Ends the process at once.
+    /// Kills the process and waits for its exit.
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
@@ -93,12 +99,13 @@
         assert!(status.success());
     }
 
-    /// Asks for a planned stop and waits for its end.
+    /// Requests a graceful stop and waits for the exit.
     pub async fn stop(&mut self) -> ExitStatus {
         self.signal("TERM");
         self.wait().await
     }
 
+    /// Waits until the process has exited.
     pub async fn wait(&mut self) -> ExitStatus {
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
@@ -116,7 +123,7 @@
     }
 }
 
-/// Entries and agents as separate processes; the platform and the engines in the test's own.
+/// Entries and agents as separate processes, with the platform, the engines and the service in the test process.
 pub struct Cluster {
     pub dir: TempDir,
     pub platform: Platform,
@@ -125,16 +132,17 @@
     pub entries: Vec<Process>,
     pub agents: Vec<Process>,
     pub http: HttpClient,
+    /// Kept so that the backends run until the cluster is dropped.
     _backends: Vec<(Served, Option<Stepping>)>,
 }
 
 impl Cluster {
-    /// Two entries and three agents: two engines with `swift@1` and `swift@2`, one service.
+    /// Starts two entries and three agents: two for engines with `swift@1` and `swift@2`, one for a service.
     pub async fn start() -> Cluster {
         Cluster::start_with_entry_settings("").await
     }
 
-    /// The same with more lines in the entries' settings.
+    /// Starts the same cluster with additional lines in the entries' settings.
     pub async fn start_with_entry_settings(entry_lines: &str) -> Cluster {
         let platform = Platform::start(7).await.unwrap();
         let dir = tempfile::tempdir().unwrap();
@@ -166,10 +174,12 @@
         cluster
     }
 
+    /// Returns the directory of the settings, keys and logs.
     pub fn path(&self) -> &Path {
         self.dir.path()
     }
 
+    /// Starts the engines and the service, an agent for each, and lists the agents' hosts in the platform.
     async fn start_backends(&mut self) {
         for i in 0..2 {
             let engine = EngineStandin::new(engine_settings(i));
@@ -213,6 +223,7 @@
         )
     }
 
+    /// Returns the settings file of an entry, ending with the lines in `more`.
     pub fn entry_settings(&self, i: usize, more: &str) -> String {
         let key_file = |name: &str| self.path().join(format!("{name}.key"));
         format!(
@@ -225,6 +236,7 @@
         )
     }
 
+    /// Creates the standard objects through the operator API.
     async fn create_objects(&self) {
         let versions: Vec<Box<str>> = vec!["ricarica/swift@1".into(), "ricarica/swift@2".into()];
         let servers = [
@@ -244,7 +256,7 @@
         }
     }
 
-    /// Calls an entry's operator API.
+    /// Calls the operator API of an entry; returns the status and the body.
     pub async fn call_operator_api(
         &self,
         method: &str,
@@ -262,6 +274,7 @@
         (reply.status.as_u16(), serde_json::from_slice(&reply.body).unwrap_or_default())
     }
 
+    /// Returns the state dump of a process, or null if the call fails.
     pub async fn state_dump(&self, process: &Process) -> Value {
         let uri = format!("{}/debug/state", process.url("admin"));
         let headers = http::HeaderMap::new();
@@ -270,8 +283,9 @@
         reply.map(|reply| serde_json::from_slice(&reply.body).unwrap()).unwrap_or_default()
     }
 
+    /// Waits until both entries are ready and linked to three agents with the current configuration.
     async fn wait_until_linked(&self) {
-        wait_until("entries linked to all agents that are up to date", || async {
+        wait_until("all entries linked to all agents with the current configuration", || async {
             for entry in &self.entries {
                 let state = self.state_dump(entry).await;
                 let servers = &state["servers_by_version"]["ricarica/swift@2"];
@@ -290,17 +304,19 @@
         .await;
     }
 
+    /// Returns a client of an entry's caller API.
     pub fn client(&self, entry: usize) -> Client {
         Client::new(&self.entries[entry].url("caller"))
     }
 
-    /// What a process has logged so far.
+    /// Returns the log of a process so far.
     pub fn read_log(&self, name: &str) -> String {
         let file: PathBuf = self.path().join(format!("{name}.log"));
         std::fs::read_to_string(file).unwrap_or_default()
     }
 }
 
+/// Returns the host record of an agent.
 fn host(server: &str, address: SocketAddr) -> Host {
     Host {
         name: format!("host-{server}").into(),
@@ -312,7 +328,7 @@
     }
 }
 
-/// A slow engine, so that faults meet requests in flight.
+/// Returns the settings of an engine that is slow enough for faults to hit requests in flight.
 pub fn engine_settings(seed: u64) -> EngineSettings {
     EngineSettings {
         model: EngineModel { step_base: Duration::from_millis(25), ..EngineModel::default() },
