--- a/tests/play/fleet.rs
+++ b/tests/play/fleet.rs
@@ -5,7 +5,7 @@
 use crate::{
     engine::EngineProfile,
     simulator::{CacheKnowledge, EscalationRule, Outcome, Scenario, simulate},
-    workload::{arrivals, short_prompt_workload},
+    workload::{arrivals, mixed_workload},
 };
 
 /// Engines of the largest pool; smaller pools have proportionally fewer engines and less load.
@@ -14,7 +14,7 @@
 /// Simulates a pool under `load_factor` times its nominal load, with `choices` engines weighed per request.
 fn simulate_pool(entries: usize, engines: usize, load_factor: f64, choices: usize) -> Outcome {
     let scenario = Scenario {
-        classes: short_prompt_workload(engines as f64 / ENGINES as f64),
+        classes: mixed_workload(engines as f64 / ENGINES as f64),
         engine_profiles: vec![EngineProfile::fast(); engines],
         entries,
         zones: 5.min(entries),
--- a/tests/play/simulator.rs
+++ b/tests/play/simulator.rs
@@ -234,7 +234,7 @@
     fn is_lost(&self, engine: usize, now: f64) -> bool {
         self.scenario
             .engine_loss
-            .is_some_and(|(engine_loss, at)| engine_loss == engine && now >= at)
+            .is_some_and(|(lost_engine, at)| lost_engine == engine && now >= at)
     }
 
     fn is_same_zone_as_entry(&self, engine: usize, entry: usize) -> bool {
--- a/tests/play/workload.rs
+++ b/tests/play/workload.rs
@@ -79,7 +79,7 @@
 }
 
 /// Long summaries, chats and short tags at the given share of the rate that 160 fast engines can serve.
-pub fn short_prompt_workload(share: f64) -> Vec<RequestClass> {
+pub fn mixed_workload(share: f64) -> Vec<RequestClass> {
     let class = |per_second: f64,
                  shared_prompts: f64,
                  tokens,
--- a/tests/soak/record.rs
+++ b/tests/soak/record.rs
@@ -192,7 +192,7 @@
             .iter()
             .for_each(|execution| by_id.entry(&execution.id).or_default().push(execution));
         let mut violations = Vec::new();
-        let asked: HashSet<&str> = exchanges.iter().map(|e| &*e.id).collect();
+        let sent_ids: HashSet<&str> = exchanges.iter().map(|e| &*e.id).collect();
         for exchange in exchanges.iter() {
             let executions = by_id.get(&*exchange.id).map_or(&[][..], Vec::as_slice);
             let execution_count = executions.len();
@@ -200,7 +200,7 @@
             violations.extend(self.check_cut_answers(exchange, executions));
             violations.extend(self.check_withdrawn_key(exchange, execution_count));
         }
-        for execution in executions.iter().filter(|execution| !asked.contains(&*execution.id)) {
+        for execution in executions.iter().filter(|execution| !sent_ids.contains(&*execution.id)) {
             violations.push(format!("{}: ran, but no caller sent it", execution.id));
         }
         violations.extend(
@@ -286,9 +286,9 @@
     /// of it, including entries that were killed, suspended or disconnected meanwhile.
     fn check_rate_limit(&self, span: &RateLimitSpan) -> Option<String> {
         let arrivals = self.arrivals.lock().unwrap();
-        let known = span.from + CONTACT_BOUND;
+        let known_from = span.from + CONTACT_BOUND;
         let counted =
-            |at: &Instant| known <= *at && *at < span.to && !self.may_be_delayed(span, *at);
+            |at: &Instant| known_from <= *at && *at < span.to && !self.may_be_delayed(span, *at);
         let of_server = arrivals.iter().filter(|(server, _)| *server == span.server);
         let at: Vec<Instant> = of_server.map(|(_, at)| *at).filter(counted).collect();
         let within = |from: &Instant| {
--- a/tests/soak/system.rs
+++ b/tests/soak/system.rs
@@ -102,12 +102,12 @@
 
     /// Restarts the server after each crash, without end.
     async fn restart_after_crashes(&self, store: &Store) {
-        let mut life = 0;
+        let mut incarnation = 0;
         loop {
-            self.server.until_ended(life).await;
+            self.server.until_ended(incarnation).await;
             self.stop_rate_limit();
             sleep(RESTART_DELAY).await;
-            life = self.server.start_again();
+            incarnation = self.server.start_again();
             // Disruptions of the row wait until the server is listed again.
             let _lock = self.row_lock.lock().await;
             self.restart(store);
--- a/tests/soak/unavailable.rs
+++ b/tests/soak/unavailable.rs
@@ -61,13 +61,13 @@
     sleep(delay).await;
     server.announce_drain();
     let from = Instant::now();
-    let has_exited = || server.has_started_since(from);
-    while from.elapsed() < EXIT_AFTER && !has_exited() {
+    let has_restarted = || server.has_started_since(from);
+    while from.elapsed() < EXIT_AFTER && !has_restarted() {
         sleep(Duration::from_millis(20)).await;
     }
     let span = DrainSpan { server: server.id().into(), from, to: Instant::now() };
     system.record.drain_spans.lock().unwrap().push(span);
-    if !has_exited() {
+    if !has_restarted() {
         server.exit();
     }
 }
@@ -105,16 +105,16 @@
     let reached: Vec<(&Exchange, Instant)> = executions
         .filter_map(|execution| Some((*by_id.get(&*execution.id)?, execution.at)))
         .collect();
-    let mut known: HashMap<usize, Instant> = HashMap::new();
+    let mut known_since: HashMap<usize, Instant> = HashMap::new();
     for (exchange, _) in reached.iter().filter(|(exchange, _)| exchange.is_served()) {
-        let ended = known.entry(exchange.entry).or_insert(exchange.ended);
+        let ended = known_since.entry(exchange.entry).or_insert(exchange.ended);
         *ended = exchange.ended.min(*ended);
     }
     let is_late = |(exchange, at): &&(&Exchange, Instant)| {
-        let known = known.get(&exchange.entry);
-        known.is_some_and(|known| {
-            exchange.sent > *known + DRAIN_TIME
-                && !record.was_interrupted(exchange.entry, *known, *at)
+        let known_since = known_since.get(&exchange.entry);
+        known_since.is_some_and(|known_since| {
+            exchange.sent > *known_since + DRAIN_TIME
+                && !record.was_interrupted(exchange.entry, *known_since, *at)
         })
     };
     println!("{} is draining: {} requests reached it", span.server, reached.len());
