--- a/tests/play/quarantine.rs
+++ b/tests/play/quarantine.rs
@@ -9,6 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+/// The request that crashes servers.
 const CRASHING: Fingerprint = Fingerprint(0);
 /// Time step of the simulation.
 const STEP_MS: u64 = 10;
@@ -34,8 +35,10 @@
     sends: u32,
 }
 
+/// A server of the pool.
 struct Server {
     incarnation: u64,
+    /// When it is up again after a crash.
     up_at: u64,
 }
 
@@ -55,6 +58,7 @@
     }
 }
 
+/// State of a simulation run.
 struct Pool {
     servers: Vec<Server>,
     running: Vec<RunningRequest>,
@@ -66,6 +70,7 @@
     rng: ChaCha8Rng,
 }
 
+/// Time of the production code for a time of the simulation.
 fn at(ms: u64) -> Duration {
     Duration::from_millis(1_000_000 + ms)
 }
@@ -105,6 +110,7 @@
         });
     }
 
+    /// Crashes a server: reports its requests to the quarantine and sends them again.
     fn crash(&mut self, server: usize, now: u64) {
         self.outcome.crashes += 1;
         let incarnation = self.servers[server].incarnation;
@@ -122,6 +128,7 @@
         }
     }
 
+    /// Delivers due reports, crashes servers that run the crashing request, and completes requests.
     fn step(&mut self, now: u64) {
         let (due, later) =
             std::mem::take(&mut self.reports).into_iter().partition(|report| report.0 <= now);
@@ -140,6 +147,7 @@
     }
 }
 
+/// Simulates a pool under one seed, with or without the quarantine.
 fn simulate(servers: usize, has_quarantine: bool, seed: u64) -> Outcome {
     let mut pool = Pool {
         servers: (0..servers).map(|i| Server { incarnation: i as u64, up_at: 0 }).collect(),
--- a/tests/play/simulator.rs
+++ b/tests/play/simulator.rs
@@ -139,6 +139,7 @@
         view
     }
 
+    /// Expected time to read the prompts that this entry has waiting at the engine.
     fn own_backlog(&self) -> Duration {
         Duration::from_secs_f64(self.backlog.max(0.0))
     }
@@ -241,6 +242,7 @@
         engine % self.scenario.zones == entry % self.scenario.zones
     }
 
+    /// Runs the engines until the given time, handles their events and delivers the reports that are due.
     fn advance_to(&mut self, now: f64, arrivals: &[Arrival]) {
         for engine in 0..self.engines.len() {
             let mut events = Vec::new();
@@ -278,6 +280,7 @@
         }
     }
 
+    /// Records a report at all entries except the one that sent it.
     fn deliver_report(&mut self, report: &PrefixReport) {
         for entry in (0..self.scenario.entries).filter(|entry| *entry != report.from) {
             self.views[entry][report.engine]
@@ -293,6 +296,7 @@
         }
     }
 
+    /// Escalates a request of the small model if its answer is not good enough.
     fn handle_first_token(&mut self, id: usize, at: f64, arrivals: &[Arrival]) {
         self.attempts[id].first_token_at = Some(at);
         let Attempt { arrival: i, model, engine, sent_at, prefill_time, .. } = self.attempts[id];
@@ -308,6 +312,7 @@
         }
     }
 
+    /// Counts the answer, unless the request was escalated.
     fn handle_end(&mut self, id: usize, arrivals: &[Arrival]) {
         let attempt = &self.attempts[id];
         let arrival = &arrivals[attempt.arrival];
@@ -364,6 +369,7 @@
         model.time_factor / self.scenario.engine_profiles[0].prefill_rate
     }
 
+    /// Chooses an engine for a request and sends it there.
     fn place(&mut self, i: usize, arrival: &Arrival, model: Model, now: f64) {
         let (engine, unread_tokens) = self.choose_engine(arrival, &model, now);
         let prefill_time = unread_tokens as f64 * self.prefill_token_time(&model);
@@ -416,6 +422,7 @@
         (engine, arrival.prompt_tokens() - known_cached_tokens(&views[engine]))
     }
 
+    /// Starts an attempt at its engine and updates the entry's view of it.
     fn send(&mut self, arrival: &Arrival, attempt: Attempt, unread_tokens: u64) {
         let Attempt { engine, model, sent_at: now, .. } = attempt;
         let prefixes = arrival.prefixes(&model);
--- a/tests/play/workload.rs
+++ b/tests/play/workload.rs
@@ -5,13 +5,16 @@
 };
 use rand::{Rng, RngExt, SeedableRng, rngs::StdRng};
 
-/// A class of requests with the same size, objective and value.
+/// A class of requests with similar sizes and the same objective and value.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestClass {
+    /// Mean arrival rate.
     pub per_second: f64,
     /// Number of distinct shared prompts, and the tokens of each.
     pub shared: (u64, u64),
+    /// Mean number of prompt tokens that no other request shares.
     pub unique_tokens: u64,
+    /// Mean number of tokens in the answer.
     pub answer_tokens: u64,
     /// Longest time to the first token in seconds for an answer to be on time.
     pub first_token_objective: f64,
--- a/tests/soak/record.rs
+++ b/tests/soak/record.rs
@@ -47,6 +47,7 @@
 }
 
 impl Exchange {
+    /// Returns whether the caller got a complete answer with status 200.
     pub fn is_served(&self) -> bool {
         matches!(self.outcome, Outcome::Answered { status: 200, .. })
     }
--- a/tests/soak/system.rs
+++ b/tests/soak/system.rs
@@ -43,6 +43,7 @@
 const SERVERS_PER_SERVICE: usize = 4;
 /// Servers of the new version of the roll-out; no disruption affects them.
 const NEW_VERSION_SERVERS: usize = 3;
+/// Callers for each entry; a caller may use any entry.
 const CALLERS_PER_ENTRY: u64 = 3;
 /// Maximum number of disruptions at the same time.
 const MAX_CONCURRENT_DISRUPTIONS: usize = 3;
