--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures: a system of real processes, and small helpers.
+//! Test fixtures: a cluster of real processes, and helpers.
 
 #![allow(dead_code)]
 
@@ -26,18 +26,19 @@
 use tempfile::TempDir;
 
 pub const ROOT_KEY: &str = "root-key-of-the-tests-0001";
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Time limit for conditions and HTTP calls.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until a condition holds; the condition decides, not the clock.
+/// Waits until a condition holds; panics after [`TIMEOUT`].
 pub async fn wait_until<F: Future<Output = bool>>(what: &str, condition: impl Fn() -> F) {
-    let until = tokio::time::Instant::now() + PATIENCE;
+    let deadline = tokio::time::Instant::now() + TIMEOUT;
     while !condition().await {
-        assert!(tokio::time::Instant::now() < until, "never happened: {what}");
+        assert!(tokio::time::Instant::now() < deadline, "timed out waiting for: {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// A chat call of an organisation of the preset.
+/// Returns a chat call of one of the preset organisations.
 pub fn chat(organisation: &str, model: &str, user: &str) -> ChatCall {
     ChatCall {
         key: caller_key(organisation),
@@ -49,13 +50,16 @@
     }
 }
 
-/// A child process that is killed when the test ends.
+/// A child process that is killed when dropped.
 pub struct Process {
     child: Child,
+    /// Listening addresses by name, as the process prints them at startup.
     pub addresses: Value,
 }
 
 impl Process {
+    /// Starts a command of the program with the given settings and waits until it has printed its addresses. The
+    /// settings and the log are written to `dir` under `name`.
     pub fn start(dir: &Path, command: &str, settings: &str, name: &str) -> Process {
         let file = dir.join(format!("{name}.toml"));
         std::fs::write(&file, settings).unwrap();
@@ -72,15 +76,17 @@
         Process { child, addresses }
     }
 
+    /// Returns the URL of a listener.
     pub fn url(&self, name: &str) -> String {
         format!("http://{}", self.addresses[name].as_str().unwrap())
     }
 
+    /// Returns the address of a listener.
     pub fn address(&self, name: &str) -> SocketAddr {
         self.addresses[name].as_str().unwrap().parse().unwrap()
     }
 
-    /// Ends the process at once.
+    /// Kills the process and waits for its exit.
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
@@ -93,12 +99,13 @@
         assert!(status.success());
     }
 
-    /// Asks for a planned stop and waits for its end.
+    /// Requests a graceful stop and waits for the exit.
     pub async fn stop(&mut self) -> ExitStatus {
         self.signal("TERM");
         self.wait().await
     }
 
+    /// Waits until the process has exited.
     pub async fn wait(&mut self) -> ExitStatus {
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
@@ -116,7 +123,7 @@
     }
 }
 
-/// Entries and agents as separate processes; the platform and the engines in the test's own.
+/// Entries and agents as separate processes, with the platform, the engines and the service in the test process.
 pub struct Cluster {
     pub dir: TempDir,
     pub platform: Platform,
@@ -125,17 +132,18 @@
     pub entries: Vec<Process>,
     pub agents: Vec<Process>,
     pub http: HttpClient,
-    _served: Vec<(Served, Option<Stepping>)>,
+    /// Kept so that the backends run until the cluster is dropped.
+    _backends: Vec<(Served, Option<Stepping>)>,
 }
 
 impl Cluster {
-    /// Two entries and three agents: two engines with `swift@1` and `swift@2`, one service.
+    /// Starts two entries and three agents: two for engines with `swift@1` and `swift@2`, one for a service.
     pub async fn start() -> Cluster {
-        Cluster::start_with("").await
+        Cluster::start_with_entry_settings("").await
     }
 
-    /// The same with more lines in the entries' settings.
-    pub async fn start_with(entry_lines: &str) -> Cluster {
+    /// Starts the same cluster with additional lines in the entries' settings.
+    pub async fn start_with_entry_settings(entry_lines: &str) -> Cluster {
         let platform = Platform::start(7).await.unwrap();
         let dir = tempfile::tempdir().unwrap();
         for (name, key) in [
@@ -153,7 +161,7 @@
             entries: Vec::new(),
             agents: Vec::new(),
             http: HttpClient::default(),
-            _served: Vec::new(),
+            _backends: Vec::new(),
         };
         cluster.start_backends().await;
         for i in 0..2 {
@@ -161,15 +169,17 @@
             let entry = Process::start(cluster.path(), "entry", &settings, &format!("entry-{i}"));
             cluster.entries.push(entry);
         }
-        cluster.declare().await;
+        cluster.create_objects().await;
         cluster.wait_until_linked().await;
         cluster
     }
 
+    /// Returns the directory of the settings, keys and logs.
     pub fn path(&self) -> &Path {
         self.dir.path()
     }
 
+    /// Starts the engines and the service, an agent for each, and lists the agents' hosts in the platform.
     async fn start_backends(&mut self) {
         for i in 0..2 {
             let engine = EngineStandin::new(engine_settings(i));
@@ -177,11 +187,11 @@
             let served = serve(engine.router()).await.unwrap();
             self.start_agent(&format!("engine-{}", i + 1), &served.url());
             self.engines.push(engine);
-            self._served.push((served, Some(stepping)));
+            self._backends.push((served, Some(stepping)));
         }
         let served = serve(self.service.router()).await.unwrap();
         self.start_agent("confirm", &served.url());
-        self._served.push((served, None));
+        self._backends.push((served, None));
         let hosts = self.agents.iter().zip(["engine-1", "engine-2", "confirm"]);
         let hosts = hosts.map(|(agent, name)| host(name, agent.address("link"))).collect();
         self.platform.hosts.set(hosts);
@@ -199,33 +209,35 @@
     }
 
     fn common_settings(&self, host: &str) -> String {
-        let at = self.platform.settings();
-        let key = |name: &str| self.path().join(format!("{name}.key"));
+        let platform = self.platform.settings();
+        let key_file = |name: &str| self.path().join(format!("{name}.key"));
         format!(
             "[process]\nhost = \"{host}\"\nregion = \"sicily\"\nzone = \"sicily-1\"\n\
              [platform]\ntable = \"{}\"\nobjects = \"{}\"\nhosts = \"{}\"\nratings = \"{}\"\n\
              [log]\nformat = \"json\"\n[keys]\nlink_file = {:?}\n",
-            at.table,
-            at.objects,
-            at.hosts,
-            at.ratings,
-            key("link")
+            platform.table,
+            platform.objects,
+            platform.hosts,
+            platform.ratings,
+            key_file("link")
         )
     }
 
+    /// Returns the settings file of an entry, ending with the lines in `more`.
     pub fn entry_settings(&self, i: usize, more: &str) -> String {
-        let key = |name: &str| self.path().join(format!("{name}.key"));
+        let key_file = |name: &str| self.path().join(format!("{name}.key"));
         format!(
             "{}session_file = {:?}\nroot_file = {:?}\n[listen]\ncaller = \"127.0.0.1:0\"\n\
              operator = \"127.0.0.1:0\"\n[control]\nheartbeat_ms = 200\npoll_ms = 200\n\
              [stop]\ngrace_ms = 15000\n{more}\n",
             self.common_settings(&format!("entry-{i}")),
-            key("session"),
-            key("root"),
+            key_file("session"),
+            key_file("root"),
         )
     }
 
-    async fn declare(&self) {
+    /// Creates the standard objects through the operator API.
+    async fn create_objects(&self) {
         let versions: Vec<Box<str>> = vec!["ricarica/swift@1".into(), "ricarica/swift@2".into()];
         let servers = [
             ("ricarica/engine-1".into(), versions.clone(), false),
@@ -239,13 +251,13 @@
                 _ => operator_key(partner),
             };
             let path = format!("{}/{name}", kind.as_str());
-            let (status, body) = self.operator("PUT", 0, &path, &key, &spec).await;
+            let (status, body) = self.call_operator_api("PUT", 0, &path, &key, &spec).await;
             assert_eq!(status, 200, "{path}: {body}");
         }
     }
 
-    /// Calls an entry's operator API.
-    pub async fn operator(
+    /// Calls the operator API of an entry; returns the status and the body.
+    pub async fn call_operator_api(
         &self,
         method: &str,
         entry: usize,
@@ -258,30 +270,32 @@
         headers.insert("authorization", format!("Bearer {key}").parse().unwrap());
         let body = body.to_string().into();
         let method = method.parse().unwrap();
-        let reply = self.http.call(method, &uri, headers, body, PATIENCE).await.unwrap();
+        let reply = self.http.call(method, &uri, headers, body, TIMEOUT).await.unwrap();
         (reply.status.as_u16(), serde_json::from_slice(&reply.body).unwrap_or_default())
     }
 
-    pub async fn dump(&self, process: &Process) -> Value {
+    /// Returns the state dump of a process, or null if the call fails.
+    pub async fn state_dump(&self, process: &Process) -> Value {
         let uri = format!("{}/debug/state", process.url("admin"));
         let headers = http::HeaderMap::new();
         let reply =
-            self.http.call(http::Method::GET, &uri, headers, bytes::Bytes::new(), PATIENCE).await;
+            self.http.call(http::Method::GET, &uri, headers, bytes::Bytes::new(), TIMEOUT).await;
         reply.map(|reply| serde_json::from_slice(&reply.body).unwrap()).unwrap_or_default()
     }
 
+    /// Waits until both entries are ready and linked to three agents with the current configuration.
     async fn wait_until_linked(&self) {
-        wait_until("entries linked to all agents that are up to date", || async {
+        wait_until("all entries linked to all agents with the current configuration", || async {
             for entry in &self.entries {
-                let state = self.dump(entry).await;
+                let state = self.state_dump(entry).await;
                 let servers = &state["servers_by_version"]["ricarica/swift@2"];
-                let links = state["links"].as_array().map_or(0, Vec::len);
-                if state["ready"] != true || links < 3 || servers != 2 {
+                let link_count = state["links"].as_array().map_or(0, Vec::len);
+                if state["ready"] != true || link_count < 3 || servers != 2 {
                     return false;
                 }
-                let agents = state["links"].as_array().unwrap();
-                let newest = &state["config_revision"];
-                if agents.iter().any(|link| &link["heartbeat"]["c"] != newest) {
+                let links = state["links"].as_array().unwrap();
+                let newest_revision = &state["config_revision"];
+                if links.iter().any(|link| &link["heartbeat"]["c"] != newest_revision) {
                     return false;
                 }
             }
@@ -290,17 +304,19 @@
         .await;
     }
 
+    /// Returns a client of an entry's caller API.
     pub fn client(&self, entry: usize) -> Client {
         Client::new(&self.entries[entry].url("caller"))
     }
 
-    /// What a process has logged so far.
-    pub fn log_of(&self, name: &str) -> String {
+    /// Returns the log of a process so far.
+    pub fn read_log(&self, name: &str) -> String {
         let file: PathBuf = self.path().join(format!("{name}.log"));
         std::fs::read_to_string(file).unwrap_or_default()
     }
 }
 
+/// Returns the host record of an agent.
 fn host(server: &str, address: SocketAddr) -> Host {
     Host {
         name: format!("host-{server}").into(),
@@ -312,7 +328,7 @@
     }
 }
 
-/// A slow engine, so that faults meet requests in flight.
+/// Returns the settings of an engine that is slow enough for faults to hit requests in flight.
 pub fn engine_settings(seed: u64) -> EngineSettings {
     EngineSettings {
         model: EngineModel { step_base: Duration::from_millis(25), ..EngineModel::default() },
