--- a/tests/soak/system.rs
+++ b/tests/soak/system.rs
@@ -339,7 +339,9 @@
         _ if draw < 6 => {
             Action::Stream { last_event: EVENTS_PER_STREAM / 2, is_complete: false, confidence: 90 }
         }
-        _ if draw < 20 => Action::Stream { last_event: EVENTS_PER_STREAM, is_complete: true, confidence: 10 },
+        _ if draw < 20 => {
+            Action::Stream { last_event: EVENTS_PER_STREAM, is_complete: true, confidence: 10 }
+        }
         _ => Action::Stream { last_event: EVENTS_PER_STREAM, is_complete: true, confidence: 90 },
     }
 }
