--- a/tests/platform/cold.rs
+++ b/tests/platform/cold.rs
@@ -24,20 +24,20 @@
     changed
 }
 
-fn list_cold(store: &Store, server: &Server, service: &str, cold_ms: u64) {
+fn list_cold_server(store: &Store, server: &Server, service: &str, cold_ms: u64) {
     let mut row = server_row(server.address, service, "v1", "ready");
     row["cold-remaining-ms"] = json!(cold_ms);
     store.put("servers", &server.id, &row);
 }
 
-async fn store_of_cold(servers: &[&Server]) -> Store {
+async fn store_with_cold_servers(servers: &[&Server]) -> Store {
     let store = Store::start().await;
     store.put("op", "config", &cold_configuration(1));
-    servers.iter().for_each(|server| list_cold(&store, server, "app", 60_000));
+    servers.iter().for_each(|server| list_cold_server(&store, server, "app", 60_000));
     store
 }
 
-async fn ask_often(site: &Site, path: &str) -> Vec<u16> {
+async fn send_20_requests(site: &Site, path: &str) -> Vec<u16> {
     let mut statuses = Vec::new();
     for number in 0..20 {
         statuses.push(site.request("GET", &format!("{path}{number}"), "").await.status);
@@ -53,23 +53,23 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cold_server_gets_what_it_bears_and_the_warm_ones_the_rest() {
+async fn a_cold_server_stays_within_its_rate_and_warm_servers_get_the_rest() {
     let (cold, warm) = (start_server("i-cold", GOOD).await, start_server("i-warm", GOOD).await);
-    let store = store_of_cold(&[&cold]).await;
+    let store = store_with_cold_servers(&[&cold]).await;
     list_server(&store, &warm, "app", "v1", "ready");
     let site = Site::start_with_store(store).await;
     site.wait_for_servers(2).await;
 
-    let statuses = ask_often(&site, "/safe/").await;
+    let statuses = send_20_requests(&site, "/safe/").await;
 
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
     assert!(cold.requests().len() <= 1, "{} reached it", cold.requests().len());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_cold_servers_do_not_bear_is_refused_at_once() {
+async fn requests_beyond_the_rate_of_cold_servers_are_refused_at_once() {
     let cold = start_server("i-cold", GOOD).await;
-    let site = Site::start_with_store(store_of_cold(&[&cold]).await).await;
+    let site = Site::start_with_store(store_with_cold_servers(&[&cold]).await).await;
     site.wait_for_servers(1).await;
 
     assert_eq!(site.request("GET", "/safe/first", "").await.status, 200);
@@ -80,27 +80,27 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn its_row_tells_when_it_is_warm_and_when_it_is_cold_again() {
+async fn a_server_is_warm_or_cold_as_its_row_says() {
     let server = start_server("i-1", GOOD).await;
-    let site = Site::start_with_store(store_of_cold(&[&server]).await).await;
+    let site = Site::start_with_store(store_with_cold_servers(&[&server]).await).await;
     site.wait_for_servers(1).await;
-    ask_often(&site, "/safe/cold").await;
+    send_20_requests(&site, "/safe/cold").await;
     assert_eq!(server.requests().len(), 1);
 
-    list_cold(&site.store, &server, "app", 0);
+    list_cold_server(&site.store, &server, "app", 0);
     wait_until("it is warm", || !is_cold(&site, "i-1")).await;
-    ask_often(&site, "/safe/warm").await;
+    send_20_requests(&site, "/safe/warm").await;
     assert_eq!(server.requests().len(), 21);
 
-    list_cold(&site.store, &server, "app", 60_000);
+    list_cold_server(&site.store, &server, "app", 60_000);
     wait_until("it is cold", || is_cold(&site, "i-1")).await;
-    ask_often(&site, "/safe/again").await;
+    send_20_requests(&site, "/safe/again").await;
     assert_eq!(server.requests().len(), 21, "the one send in 100 s was made before");
 }
 
 /// Rows tell a heartbeat later that a zone came back cold.
 #[tokio::test(flavor = "multi_thread")]
-async fn servers_of_a_zone_that_is_taken_back_are_taken_as_cold() {
+async fn servers_are_cold_after_the_evacuation_of_their_zone_ends() {
     let server = start_server("i-1", GOOD).await;
     let store = Store::start().await;
     store.put("op", "config", &cold_configuration(1));
@@ -111,14 +111,14 @@
 
     site.store.remove("op", "evacuate/zone-a");
     wait_until("it is taken back", || site.entry.router.dump()["evacuated"] == json!([])).await;
-    ask_often(&site, "/safe/").await;
+    send_20_requests(&site, "/safe/").await;
 
     assert_eq!(server.requests().len(), 1);
 }
 
 /// Nobody answered for a server, and it is there again before its row tells of its start.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_was_gone_is_taken_as_cold_once_it_answers() {
+async fn a_server_is_cold_after_it_was_unreachable() {
     let server = start_server("i-1", Action::Crash { after_head: false }).await;
     let store = Store::start().await;
     store.put("op", "config", &cold_configuration(1));
@@ -139,9 +139,9 @@
 
 /// Each knows its place once it has heard of the others for some seconds.
 #[tokio::test(flavor = "multi_thread")]
-async fn entries_share_what_a_cold_server_bears() {
+async fn entries_share_the_rate_of_a_cold_server() {
     let (cold, warm) = (start_server("i-cold", GOOD).await, start_server("i-warm", GOOD).await);
-    let store = store_of_cold(&[]).await;
+    let store = store_with_cold_servers(&[]).await;
     list_server(&store, &warm, "app", "v1", "ready");
     let seeds = [free_address(), free_address()];
     let mut sites = Vec::new();
@@ -157,12 +157,12 @@
         wait_until("it knows its place", || !site.entry.router.dump()["place"].is_null()).await;
     }
 
-    list_cold(&store, &cold, "app", 60_000);
+    list_cold_server(&store, &cold, "app", 60_000);
     for site in &sites {
         site.wait_for_servers(2).await;
     }
     for site in sites.iter().cycle().take(12) {
-        ask_often(site, "/safe/").await;
+        send_20_requests(site, "/safe/").await;
     }
 
     assert_eq!(cold.requests().len(), 1, "one entry's one send");
--- a/tests/platform/crashes.rs
+++ b/tests/platform/crashes.rs
@@ -22,43 +22,46 @@
 };
 
 /// Time that the news of a server's end may take to all entries, a busy machine included.
-const NEWS: Duration = Duration::from_millis(1_000);
+const PROPAGATION_TIME: Duration = Duration::from_millis(1_000);
 /// Sends after the third end that are allowed over all entries, beside those that cross the news.
-const BORNE: usize = 3;
+const MAX_LATE_ARRIVALS: usize = 3;
 
 /// Three servers ended, and hardly anything was sent after all had to know of it.
-fn assert_sends_are_borne(pool: &Pool) {
+fn assert_few_late_arrivals(pool: &Pool) {
     assert!(pool.crash_record.crash_count() >= 3, "it ended servers");
-    let late = pool.crash_record.arrivals_after_third_crash(NEWS);
+    let late = pool.crash_record.arrivals_after_third_crash(PROPAGATION_TIME);
     let (ends, tries) = (pool.crash_record.crash_count(), pool.crash_record.distinct_requests());
     println!("{late} arrivals late, {ends} ends in all, in {tries} tries");
-    assert!(late <= BORNE, "{late} arrivals late, {ends} ends in all, in {tries} tries");
+    assert!(
+        late <= MAX_LATE_ARRIVALS,
+        "{late} arrivals late, {ends} ends in all, in {tries} tries"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_ended_three_servers_reaches_no_more_of_them() {
+async fn a_request_that_ended_three_servers_is_sent_to_no_more_servers() {
     let pool = Pool::start("llm", 6, true).await;
     let sites = pool.start_entries(4).await;
 
     send_crashing_requests(&sites, "/chat/a", Duration::from_secs(6)).await;
 
-    assert_sends_are_borne(&pool);
+    assert_few_late_arrivals(&pool);
 }
 
 /// A server may end before it has answered anything.
 #[tokio::test(flavor = "multi_thread")]
-async fn nor_does_one_whose_answer_never_began() {
+async fn requests_that_end_servers_before_any_answer_are_sent_to_no_more_servers() {
     let pool = Pool::start("app", 6, false).await;
     let sites = pool.start_entries(4).await;
 
     send_crashing_requests(&sites, "/safe/a", Duration::from_secs(6)).await;
 
-    assert_sends_are_borne(&pool);
+    assert_few_late_arrivals(&pool);
 }
 
 /// Nine in ten of what is served without such a request.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_requests_beside_it_are_served() {
+async fn the_other_requests_are_served_while_one_request_ends_servers() {
     let pool = Pool::start("llm", 6, true).await;
     let sites = pool.start_entries(4).await;
     let lasts = Duration::from_secs(8);
@@ -92,7 +95,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn its_caller_is_told_at_once_and_truly() {
+async fn quarantined_requests_are_refused_with_retry_after_and_not_run() {
     let pool = Pool::start("llm", 6, true).await;
     let sites = pool.start_entries(2).await;
     until_refused(&sites[0], "/chat/a").await;
@@ -111,7 +114,7 @@
 
 /// Whoever sends the same bytes with another Organisation's key, or on another path, is served.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_others_send_is_not_taken_for_it() {
+async fn the_same_body_on_another_path_and_another_body_are_not_refused() {
     let pool = Pool::start("llm", 10, true).await;
     let sites = pool.start_entries(2).await;
     until_refused(&sites[0], "/chat/a").await;
@@ -125,7 +128,7 @@
 
 /// All entries are killed at once, and the caller goes on asking.
 #[tokio::test(flavor = "multi_thread")]
-async fn entries_that_all_start_again_still_refuse_it() {
+async fn entries_that_all_restart_still_refuse_a_quarantined_request() {
     let pool = Pool::start("llm", 6, true).await;
     let sites = pool.start_entries(3).await;
     until_refused(&sites[0], "/chat/a").await;
@@ -144,7 +147,7 @@
 
 /// The entries know each other by no seed that lives: the store is all that they share.
 #[tokio::test(flavor = "multi_thread")]
-async fn entries_without_a_seed_learn_it_from_the_store() {
+async fn entries_without_a_seed_learn_of_a_quarantine_from_the_store() {
     let pool = Pool::start("llm", 6, true).await;
     let sites = pool.start_isolated_entries(3).await;
 
@@ -158,7 +161,7 @@
 
 /// The three ends are seen by an entry each, none of which hears from the others.
 #[tokio::test(flavor = "multi_thread")]
-async fn ends_that_were_seen_apart_are_put_together_in_the_store() {
+async fn ends_that_separate_entries_saw_are_combined_in_the_store() {
     let pool = Pool::start("app", 6, false).await;
     let sites = pool.start_isolated_entries(3).await;
     let in_store = || {
@@ -180,7 +183,7 @@
 
 /// The same of one server, which is back each time before the list tells of its next life.
 #[tokio::test(flavor = "multi_thread")]
-async fn so_are_ends_of_lives_that_the_list_tells_nothing_of() {
+async fn server_ends_that_the_server_list_does_not_show_are_combined_in_the_store() {
     let server = start_server("i-1", Action::Crash { after_head: false }).await;
     let store = store_with_servers(&[]).await;
     list_server_with_start_time(&store, &server, "app", 1_000);
@@ -202,7 +205,7 @@
 /// Servers that hide their ends behind something that takes connections, so that the list alone tells of
 /// them, of all in one moment.
 #[tokio::test(flavor = "multi_thread")]
-async fn ends_that_the_list_tells_of_at_once_count_each() {
+async fn ends_of_servers_shown_at_once_by_the_server_list_count_separately() {
     let servers = [
         start_server("i-1", Action::CloseConnection).await,
         start_server("i-2", Action::CloseConnection).await,
@@ -243,7 +246,7 @@
 
 /// The store is away while servers end: entries tell each other, and the store hears of it later.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_store_is_told_when_it_is_back() {
+async fn the_quarantine_is_written_once_the_store_is_back() {
     let pool = Pool::start("llm", 6, true).await;
     let sites = pool.start_entries(3).await;
     pool.store.set_fault(Fault::Down);
@@ -260,7 +263,7 @@
 
 /// The store comes back from a copy that lacks it: who knows it writes it again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_that_comes_back_without_it_is_told_again() {
+async fn a_store_restored_without_a_quarantine_gets_it_again() {
     let pool = Pool::start("llm", 6, true).await;
     let sites = pool.start_entries(2).await;
     let snapshot = pool.store.snapshot();
@@ -275,7 +278,7 @@
 
 /// A seed hears of the ends and is killed; others have heard of them as well.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_seed_that_is_killed_takes_no_end_with_it() {
+async fn a_seed_that_is_killed_loses_no_server_end() {
     let pool = Pool::start("llm", 6, true).await;
     let mut sites = pool.start_entries(4).await;
     let last = sites.pop().unwrap();
@@ -293,7 +296,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_operator_lets_it_go_on_all_entries() {
+async fn an_operators_release_applies_to_all_entries() {
     let pool = Pool::start("llm", 6, true).await;
     let sites = pool.start_entries(2).await;
     until_refused(&sites[0], "/chat/a").await;
@@ -313,7 +316,7 @@
 
 /// Many callers send it, so it is wherever the guilty one is. A trial tells them apart a second later.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_popular_request_beside_it_is_served_again_soon() {
+async fn a_popular_request_that_ran_beside_the_crashing_one_is_served_again_soon() {
     let pool = Pool::start("llm", 3, true).await;
     let sites = pool.start_entries(2).await;
     let lasts = Duration::from_secs(3);
@@ -348,7 +351,7 @@
 
 /// A server that breaks connections and lives on proves nothing.
 #[tokio::test(flavor = "multi_thread")]
-async fn broken_answers_of_servers_that_live_speak_against_nothing() {
+async fn broken_answers_of_running_servers_quarantine_nothing() {
     let servers = [
         start_server("i-1", Action::CloseConnection).await,
         start_server("i-2", Action::Truncated).await,
@@ -365,7 +368,7 @@
 
 /// A request that ran beside the guilty one is cleared by its first whole answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_whole_answer_clears_what_ran_beside_it() {
+async fn a_suspected_request_is_cleared_by_a_complete_answer() {
     let slow =
         Action::PacedStream { last_event: EVENT_COUNT, interval: Duration::from_millis(200) };
     let (dies, serves) = (start_server("i-1", Action::Hang).await, start_server("i-2", slow).await);
@@ -386,7 +389,7 @@
 
 /// It comes back before its row tells of its next life, and meets the request again.
 #[tokio::test(flavor = "multi_thread")]
-async fn each_end_of_a_server_counts_though_the_list_is_behind() {
+async fn each_end_of_a_server_counts_while_its_row_is_out_of_date() {
     let server = start_server("i-1", Action::Crash { after_head: false }).await;
     let site = Arc::new(Site::start(&[(&server, "app", "v1")]).await);
     let ends = || site.entry.router.dump()["quarantine"][0]["ends"].as_u64().unwrap_or(0);
@@ -411,7 +414,7 @@
 /// Two entries lose their connections to one end of a server at different times, and the list tells each of it later:
 /// it is one end, though the second entry's own date for it is more than half a second later.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_end_that_the_list_tells_of_is_one_whoever_saw_it_when() {
+async fn an_end_of_a_server_seen_by_two_entries_at_different_times_counts_once() {
     let server = start_server("i-1", Action::CloseConnection).await;
     let seeds = [free_address(), free_address()];
     let mut sites = Vec::new();
--- a/tests/platform/evacuations.rs
+++ b/tests/platform/evacuations.rs
@@ -12,7 +12,7 @@
 const CHAT: &str = "X-Model: small\r\n";
 
 /// The row of a server in another zone than the entry's.
-fn row_in(zone: &str, server: &Server, service: &str) -> Value {
+fn server_row_in_zone(zone: &str, server: &Server, service: &str) -> Value {
     let mut row = server_row(server.address, service, "v1", "ready");
     row["zone"] = json!(zone);
     row
@@ -22,7 +22,7 @@
     store.put("op", &format!("evacuate/{zone}"), &json!({}));
 }
 
-fn zones(site: &Site) -> usize {
+fn evacuated_zones(site: &Site) -> usize {
     site.entry.router.dump()["evacuated"].as_array().unwrap().len()
 }
 
@@ -32,25 +32,25 @@
     let store = Store::start().await;
     store.put("op", "config", &configuration(1));
     list_server(&store, &here, service, "v1", "ready");
-    store.put("servers", "i-there", &row_in("zone-b", &there, service));
+    store.put("servers", "i-there", &server_row_in_zone("zone-b", &there, service));
     let site = Site::start_with_store(store).await;
     site.wait_for_servers(2).await;
     (site, here, there)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_evacuated_zone_gets_nothing_until_it_is_taken_back() {
+async fn an_evacuated_zone_gets_no_requests_until_the_evacuation_ends() {
     let (site, here, there) = site_in_two_zones("app", GOOD, GOOD).await;
 
     evacuate(&site.store, "zone-a");
-    wait_until("it is in force", || zones(&site) == 1).await;
+    wait_until("it is in force", || evacuated_zones(&site) == 1).await;
     for number in 0..20 {
         assert_eq!(site.request("GET", &format!("/safe/{number}"), "").await.status, 200);
     }
     assert_eq!((here.requests().len(), there.requests().len()), (0, 20));
 
     site.store.remove("op", "evacuate/zone-a");
-    wait_until("it is taken back", || zones(&site) == 0).await;
+    wait_until("it is taken back", || evacuated_zones(&site) == 0).await;
     for number in 0..20 {
         site.request("GET", &format!("/safe/b{number}"), "").await;
     }
@@ -62,7 +62,7 @@
 async fn no_retry_goes_to_an_evacuated_zone() {
     let (site, here, _there) = site_in_two_zones("app", GOOD, Action::CloseConnection).await;
     evacuate(&site.store, "zone-a");
-    wait_until("it is in force", || zones(&site) == 1).await;
+    wait_until("it is in force", || evacuated_zones(&site) == 1).await;
 
     for number in 0..5 {
         assert_eq!(site.request("GET", &format!("/safe/{number}"), "").await.status, 502);
@@ -80,7 +80,7 @@
         let good = Action::Stream { last_event: 6, is_complete: true, confidence: 90 };
         let (site, here, there) = site_in_two_zones("llm", good, act).await;
         evacuate(&site.store, "zone-a");
-        wait_until("it is in force", || zones(&site) == 1).await;
+        wait_until("it is in force", || evacuated_zones(&site) == 1).await;
 
         let answer = site.request("POST", "/chat/a", "").await;
 
@@ -90,11 +90,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_only_evacuated_servers_could_run_is_refused_at_once() {
+async fn a_request_that_only_evacuated_servers_could_run_is_refused_at_once() {
     let (site, here, there) = site_in_two_zones("llm", GOOD, GOOD).await;
     evacuate(&site.store, "zone-a");
     evacuate(&site.store, "zone-b");
-    wait_until("both are in force", || zones(&site) == 2).await;
+    wait_until("both are in force", || evacuated_zones(&site) == 2).await;
 
     let answer = site.request("POST", "/chat/a", CHAT).await;
 
@@ -105,7 +105,7 @@
 
 /// The order stands when the process starts, and rows are read in the order of their keys.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_process_that_starts_knows_it_before_it_takes_requests() {
+async fn a_new_entry_applies_an_evacuation_before_it_takes_requests() {
     for _ in 0..5 {
         let (here, there) =
             (start_server("i-here", GOOD).await, start_server("i-there", GOOD).await);
@@ -113,7 +113,7 @@
         store.put("op", "config", &configuration(1));
         evacuate(&store, "zone-a");
         list_server(&store, &here, "app", "v1", "ready");
-        store.put("servers", "i-there", &row_in("zone-b", &there, "app"));
+        store.put("servers", "i-there", &server_row_in_zone("zone-b", &there, "app"));
         let site = Site::start_with_store(store).await;
 
         assert_eq!(site.request("GET", "/safe/a", "").await.status, 200);
@@ -125,7 +125,7 @@
 
 /// It hears of the order and of its end from an entry that the store answers.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_the_store_refuses_hears_of_it_from_another() {
+async fn an_entry_that_the_store_refuses_learns_of_an_evacuation_from_another() {
     let (first, _here, _there) = site_in_two_zones("app", GOOD, GOOD).await;
     let refusing = Store::start().await;
     refusing.set_fault(Fault::Down);
@@ -133,22 +133,22 @@
     cut_off.wait_for_servers(2).await;
 
     evacuate(&first.store, "zone-a");
-    wait_until("it knows", || zones(&cut_off) == 1).await;
+    wait_until("it knows", || evacuated_zones(&cut_off) == 1).await;
     first.store.remove("op", "evacuate/zone-a");
-    wait_until("it knows of the end", || zones(&cut_off) == 0).await;
+    wait_until("it knows of the end", || evacuated_zones(&cut_off) == 0).await;
 }
 
 /// The history between is gone, so the order's end shows in the whole table alone.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_end_that_only_the_whole_table_shows_is_seen() {
+async fn an_evacuation_that_ended_in_a_gap_of_the_feed_is_ended() {
     let (site, _here, _there) = site_in_two_zones("app", GOOD, GOOD).await;
     evacuate(&site.store, "zone-b");
-    wait_until("it is in force", || zones(&site) == 1).await;
+    wait_until("it is in force", || evacuated_zones(&site) == 1).await;
 
     site.store.set_fault(Fault::Down);
     site.store.remove("op", "evacuate/zone-b");
     site.store.drop_history();
     site.store.set_fault(Fault::None);
 
-    wait_until("it is taken back", || zones(&site) == 0).await;
+    wait_until("it is taken back", || evacuated_zones(&site) == 0).await;
 }
--- a/tests/platform/news.rs
+++ b/tests/platform/news.rs
@@ -17,39 +17,41 @@
 type Socket = WebSocketStream<TcpStream>;
 
 /// What a seed that is not well leaves out of what it tells.
-const URGENT: [&str; 2] = ["ends", "limits"];
+const OMITTED_FIELDS: [&str; 2] = ["ends", "limits"];
 
-fn read(message: &Message) -> Option<Value> {
+fn decode(message: &Message) -> Option<Value> {
     let Message::Binary(data) = message else {
         return None;
     };
     ciborium::from_reader(&data[..]).ok()
 }
 
-fn write(value: &Value) -> Message {
+fn encode(value: &Value) -> Message {
     let mut bytes = Vec::new();
     ciborium::into_writer(value, &mut bytes).unwrap();
     Message::binary(bytes)
 }
 
 /// Takes these fields out of a message, however deep they stand.
-fn strip(value: &mut Value) {
+fn remove_omitted_fields(value: &mut Value) {
     match value {
         Value::Map(fields) => {
-            fields.retain(|(name, _)| !name.as_text().is_some_and(|name| URGENT.contains(&name)));
-            fields.iter_mut().for_each(|(_, field)| strip(field));
+            fields.retain(|(name, _)| {
+                !name.as_text().is_some_and(|name| OMITTED_FIELDS.contains(&name))
+            });
+            fields.iter_mut().for_each(|(_, field)| remove_omitted_fields(field));
         }
-        Value::Array(all) => all.iter_mut().for_each(strip),
+        Value::Array(all) => all.iter_mut().for_each(remove_omitted_fields),
         _ => {}
     }
 }
 
 /// Serves one link: what a follower receives comes from the healthy seed, without urgent news; reports are taken and
 /// lost.
-async fn mute(mut socket: Socket, healthy: SocketAddr) -> Option<()> {
+async fn serve_filtered_link(mut socket: Socket, healthy: SocketAddr) -> Option<()> {
     let asked = loop {
         let message = socket.next().await?.ok()?;
-        if let Some(asked) = read(&message) {
+        if let Some(asked) = decode(&message) {
             break asked;
         }
     };
@@ -60,23 +62,23 @@
     }
     let stream = TcpStream::connect(healthy).await.ok()?;
     let (mut seed, _) = client_async(format!("ws://{healthy}/"), stream).await.ok()?;
-    seed.send(write(&asked)).await.ok()?;
+    seed.send(encode(&asked)).await.ok()?;
     loop {
-        let mut told = read(&seed.next().await?.ok()?)?;
-        strip(&mut told);
-        socket.send(write(&told)).await.ok()?;
+        let mut update = decode(&seed.next().await?.ok()?)?;
+        remove_omitted_fields(&mut update);
+        socket.send(encode(&update)).await.ok()?;
     }
 }
 
 /// A seed that passes on everything but urgent news; its address.
-async fn muted_seed(healthy: SocketAddr) -> SocketAddr {
+async fn start_filtering_seed(healthy: SocketAddr) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             tokio::spawn(async move {
                 if let Ok(socket) = accept_async(stream).await {
-                    mute(socket, healthy).await;
+                    serve_filtered_link(socket, healthy).await;
                 }
             });
         }
@@ -85,12 +87,12 @@
 }
 
 /// A healthy seed, and an entry that follows a muted one and reports to both.
-async fn beside_a_muted_seed(pool: &Pool) -> [Arc<Site>; 2] {
+async fn start_with_filtering_seed(pool: &Pool) -> [Arc<Site>; 2] {
     let healthy = Site::start_seed(pool.store.clone(), None).await;
     healthy.wait_for_servers(pool.servers.len()).await;
-    let sound_peer = healthy.entry.addresses.peer.unwrap();
-    let muted = muted_seed(sound_peer).await;
-    let entry = pool.start_entry(&[muted, sound_peer], None).await;
+    let healthy_peer = healthy.entry.addresses.peer.unwrap();
+    let filtering_peer = start_filtering_seed(healthy_peer).await;
+    let entry = pool.start_entry(&[filtering_peer, healthy_peer], None).await;
     entry.wait_for_servers(pool.servers.len()).await;
     let follows = || entry.entry.router.dump()["follows_another_entry"] == true;
     wait_until("it follows", follows).await;
@@ -99,10 +101,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_limit_is_heard_though_the_seed_that_is_followed_does_not_tell_it() {
+async fn a_rate_limit_reaches_an_entry_whose_followed_seed_omits_it() {
     let limited = healthy_server("i-limited").await;
     let pool = start_pool(&[&limited]).await;
-    let [seed, entry] = beside_a_muted_seed(&pool).await;
+    let [seed, entry] = start_with_filtering_seed(&pool).await;
 
     limited.advertise_limit(&["1.9"]);
     run_load(std::slice::from_ref(&seed), Duration::from_millis(100)).await;
@@ -113,9 +115,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn so_is_a_request_under_which_servers_ended() {
+async fn a_quarantine_reaches_an_entry_whose_followed_seed_omits_it() {
     let pool = Pool::start("app", 6, false).await;
-    let [seed, entry] = beside_a_muted_seed(&pool).await;
+    let [seed, entry] = start_with_filtering_seed(&pool).await;
 
     for _ in 0..3 {
         // One send a try.
--- a/tests/platform/peers.rs
+++ b/tests/platform/peers.rs
@@ -30,7 +30,7 @@
 }
 
 /// A store whose rows are newer than those of one that has seen fewer changes.
-async fn store_after(changes: usize) -> Store {
+async fn store_after_changes(changes: usize) -> Store {
     let store = Store::start().await;
     for _ in 0..changes {
         store.put("op", "config", &configuration(1));
@@ -39,23 +39,23 @@
 }
 
 /// An entry that is followed, and one that follows it; the first one's store is ahead.
-async fn linked() -> (Site, Site) {
-    let first = Site::start_seed(store_after(20).await, None).await;
+async fn start_seed_and_follower() -> (Site, Site) {
+    let first = Site::start_seed(store_after_changes(20).await, None).await;
     wait_until("the first is ready", || first.entry.router.is_ready()).await;
-    let second = Site::start_follower(store_after(1).await, &first).await;
+    let second = Site::start_follower(store_after_changes(1).await, &first).await;
     wait_until("the second follows", || follows(&second)).await;
     (first, second)
 }
 
 /// Puts a configuration into a store so often that its rows are newer than another's.
-fn overtake(store: &Store, version: u64) {
+fn write_newer_rows(store: &Store, version: u64) {
     for _ in 0..60 {
         store.put("op", "config", &configuration(version));
     }
 }
 
 /// Waits until an entry has ended the calls to its store that were under way.
-async fn until_silent(store: &Store) -> usize {
+async fn wait_for_idle_store(store: &Store) -> usize {
     loop {
         let calls = store.calls();
         tokio::time::sleep(std::time::Duration::from_millis(3_300)).await;
@@ -66,10 +66,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_follows_another_leaves_the_store_alone() {
+async fn a_follower_makes_no_store_calls() {
     let server = start_server("i-1", GOOD).await;
-    let (first, second) = linked().await;
-    let calls = until_silent(&second.store).await;
+    let (first, second) = start_seed_and_follower().await;
+    let calls = wait_for_idle_store(&second.store).await;
 
     list_server(&first.store, &server, "app", "v1", "ready");
     first.store.put("op", "config", &configuration(5));
@@ -84,7 +84,7 @@
 
 /// A hundred entries that start at once would ask the store for everything a hundred times.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_starts_beside_a_running_seed_asks_the_store_for_nothing() {
+async fn an_entry_that_starts_with_a_running_seed_makes_no_store_calls() {
     let server = start_server("i-1", GOOD).await;
     let first = Site::start_seed(store_with_servers(&[(&server, "app", "v1")]).await, None).await;
     first.wait_for_servers(1).await;
@@ -97,7 +97,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_starts_where_no_seed_answers_asks_the_store() {
+async fn an_entry_reads_the_store_when_no_seed_answers() {
     let server = start_server("i-1", GOOD).await;
     let nobody = "127.0.0.1:1".parse().unwrap();
     let store = store_with_servers(&[(&server, "app", "v1")]).await;
@@ -109,23 +109,23 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_store_is_asked_again_when_the_entry_that_is_followed_is_gone() {
-    let (first, second) = linked().await;
+async fn a_follower_returns_to_the_store_when_its_seed_stops() {
+    let (first, second) = start_seed_and_follower().await;
 
     drop(first.entry);
     wait_until("the link is gone", || !follows(&second)).await;
-    overtake(&second.store, 9);
+    write_newer_rows(&second.store, 9);
 
     wait_until("the store is followed", || version(&second) == 9).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_store_is_asked_again_when_it_does_not_answer_the_entry_that_is_followed() {
-    let (first, second) = linked().await;
+async fn a_follower_returns_to_the_store_while_its_seed_cannot_reach_its_own() {
+    let (first, second) = start_seed_and_follower().await;
 
     first.store.set_fault(Fault::Down);
     wait_until("the link does not stand in", || !follows(&second)).await;
-    overtake(&second.store, 9);
+    write_newer_rows(&second.store, 9);
     wait_until("the store is followed", || version(&second) == 9).await;
 
     first.store.set_fault(Fault::None);
@@ -135,11 +135,11 @@
 /// Both seeds are asked for their zone first; one that is gone must not keep an entry from the other.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_follows_a_seed_of_another_zone_when_the_others_are_gone() {
-    let far = Site::start_seed(store_after(20).await, None).await;
+    let far = Site::start_seed(store_after_changes(20).await, None).await;
     wait_until("it is ready", || far.entry.router.is_ready()).await;
     let seeds = vec!["127.0.0.1:1".parse().unwrap(), far.entry.addresses.peer.unwrap()];
 
-    let entry = Site::start_with_settings(store_after(1).await, |host| {
+    let entry = Site::start_with_settings(store_after_changes(1).await, |host| {
         host.zone = "zone-b".into();
         host.seed_peers = seeds;
     })
@@ -149,11 +149,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn another_seed_is_followed_when_the_store_does_not_answer_the_first() {
+async fn another_seed_is_followed_when_the_first_cannot_reach_its_store() {
     for lost in 0..2 {
         let seeds = [
-            Site::start_seed(store_after(20).await, None).await,
-            Site::start_seed(store_after(20).await, None).await,
+            Site::start_seed(store_after_changes(20).await, None).await,
+            Site::start_seed(store_after_changes(20).await, None).await,
         ];
         wait_until("both are ready", || seeds.iter().all(|seed| seed.entry.router.is_ready()))
             .await;
@@ -164,7 +164,7 @@
         wait_until("it follows", || follows(&entry)).await;
 
         seeds[lost].store.set_fault(Fault::Down);
-        overtake(&seeds[1 - lost].store, 5);
+        write_newer_rows(&seeds[1 - lost].store, 5);
 
         wait_until("the other one's word is taken", || version(&entry) == 5 && follows(&entry))
             .await;
@@ -173,10 +173,10 @@
 
 /// A third of the entries may be refused for seconds; each call is paid for.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_the_store_refuses_asks_it_no_more_once_a_seed_is_followed() {
-    let first = Site::start_seed(store_after(20).await, None).await;
+async fn an_entry_stops_calling_a_failing_store_once_it_follows_a_seed() {
+    let first = Site::start_seed(store_after_changes(20).await, None).await;
     wait_until("the first is ready", || first.entry.router.is_ready()).await;
-    let refusing = store_after(1).await;
+    let refusing = store_after_changes(1).await;
     let second = Site::start_follower(refusing, &first).await;
     wait_until("the second follows", || follows(&second)).await;
     second.store.set_fault(Fault::Down);
@@ -186,7 +186,7 @@
 
     first.store.set_fault(Fault::None);
     wait_until("it follows again", || follows(&second)).await;
-    let calls = until_silent(&second.store).await;
+    let calls = wait_for_idle_store(&second.store).await;
     first.store.put("op", "config", &configuration(5));
     wait_until("the change is in force", || version(&second) == 5).await;
 
@@ -194,9 +194,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_roll_out_is_followed_over_the_link() {
-    let (first, second) = linked().await;
-    let calls = until_silent(&second.store).await;
+async fn a_follower_learns_of_a_roll_out_over_the_link() {
+    let (first, second) = start_seed_and_follower().await;
+    let calls = wait_for_idle_store(&second.store).await;
     let roll_out = || second.entry.router.dump()["roll_outs"][0].clone();
 
     let order = json!({"service": "app", "to": "v2", "duration-s": 600.0});
@@ -209,14 +209,14 @@
 }
 
 /// Load that an entry believes to be at the only server in its view.
-fn believed_load(site: &Site) -> f64 {
+fn known_load(site: &Site) -> f64 {
     site.entry.router.dump()["servers"][0]["load"].as_f64().unwrap_or_default()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn entries_know_what_others_have_at_a_server() {
+async fn entries_know_the_load_that_others_put_on_a_server() {
     let server = start_server("i-1", Action::EndlessStream).await;
-    let (first, second) = linked().await;
+    let (first, second) = start_seed_and_follower().await;
     list_server(&first.store, &server, "llm", "v1", "ready");
     wait_until("both see the server", || {
         [&first, &second].iter().all(|site| site.entry.router.fleet.load().len() == 1)
@@ -224,18 +224,18 @@
     .await;
 
     for (asking, other) in [(&first, &second), (&second, &first)] {
-        wait_until("nothing runs", || believed_load(other) < 0.1).await;
+        wait_until("nothing runs", || known_load(other) < 0.1).await;
         let mut stream = TcpStream::connect(asking.caller).await.unwrap();
         let asked = request_bytes("POST", "/chat/a", "X-Model: *\r\n", "");
         stream.write_all(asked.as_bytes()).await.unwrap();
-        wait_until("the other one knows", || believed_load(other) > 0.6).await;
+        wait_until("the other one knows", || known_load(other) > 0.6).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn all_entries_know_how_many_they_are() {
-    let (first, second) = linked().await;
-    let third = Site::start_follower(store_after(1).await, &first).await;
+async fn all_entries_know_the_number_of_entries() {
+    let (first, second) = start_seed_and_follower().await;
+    let third = Site::start_follower(store_after_changes(1).await, &first).await;
 
     for site in [&first, &second, &third] {
         wait_until("it knows of three", || site.entry.router.dump()["entries"] == 3).await;
@@ -255,8 +255,8 @@
 /// Each of the 360 entries that the system is designed for reports to every seed, and all follow one
 /// of them when the others are away.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_seed_has_room_for_the_links_of_all_entries() {
-    let seed = Site::start_seed(store_after(20).await, None).await;
+async fn a_seed_accepts_the_links_of_all_entries() {
+    let seed = Site::start_seed(store_after_changes(20).await, None).await;
     wait_until("it is ready", || seed.entry.router.is_ready()).await;
     let peer = seed.entry.addresses.peer.unwrap();
     let follow = json!({"Follow": {"version": 0}});
@@ -268,16 +268,16 @@
         links.push(open_link(peer, &report).await);
     }
 
-    let last = Site::start_follower(store_after(1).await, &seed).await;
+    let last = Site::start_follower(store_after_changes(1).await, &seed).await;
 
     wait_until("the last one follows", || follows(&last)).await;
     assert_eq!(links.len(), 2 * 358);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_an_entry_sees_of_a_version_counts_at_the_seed() {
+async fn a_followers_evidence_on_a_version_counts_at_the_seed() {
     let (old, new) = (start_server("i-1", GOOD).await, start_server("i-2", GOOD).await);
-    let (first, second) = linked().await;
+    let (first, second) = start_seed_and_follower().await;
     list_server(&first.store, &old, "app", "v1", "ready");
     list_server(&first.store, &new, "app", "v2", "ready");
     let order = json!({"service": "app", "to": "v2", "duration-s": 600.0});
@@ -300,7 +300,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_good_version_is_completed_on_the_answers_of_all_entries() {
+async fn a_roll_out_completes_on_the_combined_answers_of_all_entries() {
     let (old, new) = (start_server("i-1", GOOD).await, start_server("i-2", GOOD).await);
     let store = store_with_servers(&[(&old, "app", "v1"), (&new, "app", "v2")]).await;
     let first = Site::start_seed(store.clone(), None).await;
@@ -324,7 +324,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_learns_what_another_sent_a_server_and_so_does_one_that_starts() {
+async fn cached_tokens_of_a_server_are_known_to_other_entries_and_to_a_new_one() {
     let stream = Action::Stream { last_event: 4, is_complete: true, confidence: 90 };
     let server = start_server("i-1", stream).await;
     let store = store_with_servers(&[(&server, "llm", "v1")]).await;
--- a/tests/platform/restores.rs
+++ b/tests/platform/restores.rs
@@ -22,29 +22,29 @@
     site.entry.router.table.load().as_ref().as_ref().map_or(0, |table| table.version)
 }
 
-fn in_view(site: &Site, id: &str) -> bool {
+fn has_server(site: &Site, id: &str) -> bool {
     let servers = site.entry.router.dump()["servers"].clone();
     servers.as_array().unwrap().iter().any(|row| row["id"] == id)
 }
 
-fn is_leaving(site: &Site, id: &str) -> bool {
+fn is_draining(site: &Site, id: &str) -> bool {
     let servers = site.entry.router.dump()["servers"].clone();
     servers.as_array().unwrap().iter().any(|row| row["id"] == id && row["draining_row"] == true)
 }
 
-fn zones(site: &Site) -> usize {
+fn evacuated_zones(site: &Site) -> usize {
     site.entry.router.dump()["evacuated"].as_array().unwrap().len()
 }
 
 /// A server's row that it wrote as its `sequence`th.
-fn list_as(store: &Store, server: &Server, state: &str, sequence: u64) {
+fn list_with_sequence(store: &Store, server: &Server, state: &str, sequence: u64) {
     let mut row = server_row(server.address, "app", "v1", state);
     row["sequence"] = json!(sequence);
     store.put("servers", &server.id, &row);
 }
 
 /// A configuration that allows the second key alone.
-fn without_first_key(version: u64) -> Value {
+fn configuration_without_first_key(version: u64) -> Value {
     let mut changed = configuration(version);
     changed["tenants"] = json!([{"name": "org", "api-keys": ["key-2"]}]);
     changed
@@ -52,13 +52,13 @@
 
 /// Others have written past what the entry knows, so no feed of it is refused: the header alone tells.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_table_is_read_anew_though_its_versions_were_given_out_again() {
+async fn a_table_is_reread_after_a_restore_that_reuses_versions() {
     let (lost, new) = (start_server("i-lost", GOOD).await, start_server("i-new", GOOD).await);
     let stays = start_server("i-stays", GOOD).await;
     let site = Site::start(&[(&stays, "app", "v1")]).await;
     let snapshot = site.store.snapshot();
     list_server(&site.store, &lost, "app", "v1", "ready");
-    wait_until("it is in view", || in_view(&site, "i-lost")).await;
+    wait_until("it is in view", || has_server(&site, "i-lost")).await;
 
     site.store.restore(&snapshot);
     for number in 0..5 {
@@ -66,13 +66,13 @@
     }
     list_server(&site.store, &new, "app", "v1", "ready");
 
-    wait_until("what came since is in view", || in_view(&site, "i-new")).await;
-    wait_until("what was not written again is gone", || !in_view(&site, "i-lost")).await;
-    assert!(in_view(&site, "i-stays"));
+    wait_until("what came since is in view", || has_server(&site, "i-new")).await;
+    wait_until("what was not written again is gone", || !has_server(&site, "i-lost")).await;
+    assert!(has_server(&site, "i-stays"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn it_may_come_back_twice_in_a_row() {
+async fn two_restores_in_a_row_are_followed() {
     let (stays, new) = (start_server("i-stays", GOOD).await, start_server("i-new", GOOD).await);
     let site = Site::start(&[(&stays, "app", "v1")]).await;
     let snapshot = site.store.snapshot();
@@ -84,18 +84,18 @@
     list_server(&site.store, &new, "app", "v1", "ready");
 
     wait_until("the newest is in force", || version(&site) == 5).await;
-    wait_until("the new one is in view", || in_view(&site, "i-new")).await;
+    wait_until("the new one is in view", || has_server(&site, "i-new")).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_that_was_taken_away_stays_so_also_for_an_entry_that_starts() {
+async fn a_revoked_key_stays_revoked_after_a_restore_also_at_a_new_entry() {
     let server = start_server("i-1", GOOD).await;
     let first =
         Site::start_seed(crate::site::store_with_servers(&[(&server, "app", "v1")]).await, None)
             .await;
     first.wait_for_servers(1).await;
     let snapshot = first.store.snapshot();
-    first.store.put("op", "config", &without_first_key(4));
+    first.store.put("op", "config", &configuration_without_first_key(4));
     wait_until("the key is gone", || version(&first) == 4).await;
 
     first.store.restore(&snapshot);
@@ -111,37 +111,37 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_leaves_is_not_taken_back() {
+async fn a_draining_server_stays_draining_after_a_restore() {
     let (stays, leaves) =
         (start_server("i-stays", GOOD).await, start_server("i-leaves", GOOD).await);
     let site = Site::start(&[(&stays, "app", "v1")]).await;
-    list_as(&site.store, &leaves, "ready", 5);
-    wait_until("it is in view", || in_view(&site, "i-leaves")).await;
+    list_with_sequence(&site.store, &leaves, "ready", 5);
+    wait_until("it is in view", || has_server(&site, "i-leaves")).await;
     let snapshot = site.store.snapshot();
-    list_as(&site.store, &leaves, "draining", 6);
-    wait_until("it leaves", || is_leaving(&site, "i-leaves")).await;
+    list_with_sequence(&site.store, &leaves, "draining", 6);
+    wait_until("it leaves", || is_draining(&site, "i-leaves")).await;
 
     site.store.restore(&snapshot);
     wait_until("it noticed", || site.entry.router.dump()["era"] == 1).await;
 
-    assert!(is_leaving(&site, "i-leaves"));
-    list_as(&site.store, &leaves, "draining", 7);
+    assert!(is_draining(&site, "i-leaves"));
+    list_with_sequence(&site.store, &leaves, "draining", 7);
     site.store.remove("servers", "i-leaves");
-    wait_until("it is gone", || !in_view(&site, "i-leaves")).await;
+    wait_until("it is gone", || !has_server(&site, "i-leaves")).await;
 }
 
 /// Its row is back for a while, until the store drops it once more.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_is_gone_is_not_used_because_its_row_is_back() {
+async fn a_removed_server_is_not_used_while_a_restore_brings_its_row_back() {
     let (stays, gone) = (start_server("i-stays", GOOD).await, start_server("i-gone", GOOD).await);
     let site = Site::start(&[(&stays, "app", "v1"), (&gone, "app", "v1")]).await;
     let snapshot = site.store.snapshot();
     site.store.remove("servers", "i-gone");
-    wait_until("it is gone", || !in_view(&site, "i-gone")).await;
+    wait_until("it is gone", || !has_server(&site, "i-gone")).await;
 
     site.store.restore(&snapshot);
     wait_until("it noticed", || site.entry.router.dump()["era"] == 1).await;
-    let was_back = in_view(&site, "i-gone");
+    let was_listed = has_server(&site, "i-gone");
     site.store.remove("servers", "i-gone");
     list_server(&site.store, &stays, "app", "v2", "ready");
     wait_until("the feed went on", || {
@@ -149,39 +149,39 @@
     })
     .await;
 
-    assert!(!was_back && !in_view(&site, "i-gone"));
+    assert!(!was_listed && !has_server(&site, "i-gone"));
 }
 
 /// It had only lapsed, and lives: its row stays.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_whose_row_stays_is_used_again() {
+async fn a_removed_server_is_used_again_if_its_restored_row_stays() {
     let server = start_server("i-1", GOOD).await;
     let site = Site::start(&[(&server, "app", "v1")]).await;
     let snapshot = site.store.snapshot();
     site.store.remove("servers", "i-1");
-    wait_until("it is gone", || !in_view(&site, "i-1")).await;
+    wait_until("it is gone", || !has_server(&site, "i-1")).await;
 
     site.store.restore(&snapshot);
 
-    wait_until("it is back", || in_view(&site, "i-1")).await;
+    wait_until("it is back", || has_server(&site, "i-1")).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_evacuated_zone_stays_so_until_the_operator_takes_it_back() {
+async fn a_zone_stays_evacuated_after_a_restore_until_the_operator_ends_it() {
     let server = start_server("i-1", GOOD).await;
     let site = Site::start(&[(&server, "app", "v1")]).await;
     let snapshot = site.store.snapshot();
     site.store.put("op", "evacuate/zone-a", &json!({}));
-    wait_until("it is in force", || zones(&site) == 1).await;
+    wait_until("it is in force", || evacuated_zones(&site) == 1).await;
 
     site.store.restore(&snapshot);
     wait_until("it noticed", || site.entry.router.dump()["era"] == 1).await;
 
-    assert_eq!(zones(&site), 1);
+    assert_eq!(evacuated_zones(&site), 1);
     assert_eq!(site.request("GET", "/safe/a", "").await.status, 503);
     site.store.put("op", "evacuate/zone-a", &json!({}));
     site.store.remove("op", "evacuate/zone-a");
-    wait_until("it is taken back", || zones(&site) == 0).await;
+    wait_until("it is taken back", || evacuated_zones(&site) == 0).await;
 }
 
 fn state(site: &Site) -> String {
@@ -207,7 +207,7 @@
 /// The verdict is lost, and so are the order and what was written of its begin. The operator writes the order
 /// again under a version that was given out before.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_version_that_was_rolled_back_stays_so_and_the_store_is_told_again() {
+async fn a_version_stays_rolled_back_after_a_restore_and_the_verdict_is_rewritten() {
     let (old, new) = (start_server("i-1", GOOD).await, start_server("i-2", FAILS).await);
     let site = Site::start(&[(&old, "app", "v1"), (&new, "app", "v2")]).await;
     let snapshot = site.store.snapshot();
@@ -226,7 +226,7 @@
 
 /// What was to be told again meets what somebody else wrote meanwhile.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_store_is_told_again_of_an_end_though_another_write_came_first() {
+async fn a_verdict_is_rewritten_after_a_restore_despite_a_write_conflict() {
     let (old, new) = (start_server("i-1", GOOD).await, start_server("i-2", FAILS).await);
     let site = Site::start(&[(&old, "app", "v1"), (&new, "app", "v2")]).await;
     let snapshot = site.store.snapshot();
@@ -244,7 +244,7 @@
 
 /// Another order, under a version that is no greater than the one of the lost order.
 #[tokio::test(flavor = "multi_thread")]
-async fn another_order_is_followed_though_its_version_was_given_out_before() {
+async fn a_new_order_with_a_reused_version_is_followed_after_a_restore() {
     let old = start_server("i-1", GOOD).await;
     let site = Site::start(&[(&old, "app", "v1")]).await;
     let snapshot = site.store.snapshot();
@@ -263,7 +263,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_write_that_crosses_it_is_known_to_prove_nothing() {
+async fn a_write_across_a_restore_is_an_era_mismatch() {
     let store = Store::start().await;
     let client = StoreClient::new(HttpClient::default(), &store.address.to_string());
     let put = |expected: u64, text: &str| Put {
@@ -286,13 +286,13 @@
 
 /// An entry that starts while the store comes back hears the same as the others.
 #[tokio::test(flavor = "multi_thread")]
-async fn entries_that_start_meanwhile_agree_with_the_others() {
+async fn an_entry_that_starts_during_a_restore_agrees_with_the_others() {
     let (one, two) = (start_server("i-1", GOOD).await, start_server("i-2", GOOD).await);
     let store = crate::site::store_with_servers(&[(&one, "app", "v1")]).await;
     let first = Site::start_seed(store, None).await;
     first.wait_for_servers(1).await;
     let snapshot = first.store.snapshot();
-    first.store.put("op", "config", &without_first_key(7));
+    first.store.put("op", "config", &configuration_without_first_key(7));
     wait_until("it is in force", || version(&first) == 7).await;
 
     let starting = Site::start_follower(first.store.clone(), &first);
@@ -304,7 +304,7 @@
     let (second, ()) = tokio::join!(starting, restoring);
 
     for site in [&first, &second] {
-        wait_until("the new server is in view", || in_view(site, "i-2")).await;
+        wait_until("the new server is in view", || has_server(site, "i-2")).await;
         wait_until("the newest is in force", || version(site) == 7).await;
     }
 }
--- a/tests/platform/roll_outs.rs
+++ b/tests/platform/roll_outs.rs
@@ -24,27 +24,27 @@
 
 /// Asks until the store tells this state of the roll-out; requests without a session are on trial
 /// from its begin on, drawn by their ids.
-pub async fn request_until_state(site: &Site, wanted: &str) -> usize {
-    ask_each_until(site, wanted, |i| (format!("/safe/{i}"), String::new())).await
+pub async fn send_until_state(site: &Site, wanted: &str) -> usize {
+    send_each_until_state(site, wanted, |i| (format!("/safe/{i}"), String::new())).await
 }
 
 /// Asks with the path and headers of each number until the store tells this state of the roll-out.
-async fn ask_each_until(
+async fn send_each_until_state(
     site: &Site,
     wanted: &str,
     request: impl Fn(usize) -> (String, String),
 ) -> usize {
-    let mut asked = 0;
+    let mut sent = 0;
     while state(site) != wanted {
-        asked += 1;
-        assert!(asked < 20_000, "never {wanted}, but {}", site.entry.router.dump()["roll_outs"]);
-        let (path, headers) = request(asked);
+        sent += 1;
+        assert!(sent < 20_000, "never {wanted}, but {}", site.entry.router.dump()["roll_outs"]);
+        let (path, headers) = request(sent);
         site.request("GET", &path, &headers).await;
     }
-    asked
+    sent
 }
 
-async fn two_versions(new: Action) -> (Server, Server, Site) {
+async fn start_with_two_versions(new: Action) -> (Server, Server, Site) {
     let (old, new) = (start_server("i-1", GOOD).await, start_server("i-2", new).await);
     let site = Site::start(&[(&old, "app", "v1"), (&new, "app", "v2")]).await;
     (old, new, site)
@@ -52,15 +52,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_version_that_fails_is_rolled_back_after_few_requests() {
-    let (_old, new, site) = two_versions(FAILS).await;
+    let (_old, new, site) = start_with_two_versions(FAILS).await;
     site.store.put("op", "rollout/app", &order("v2", 600.0));
     wait_until("it is under way", || state(&site) == "in_progress").await;
     let before = new.requests().len();
 
-    let asked = request_until_state(&site, "rolled_back").await;
+    let sent = send_until_state(&site, "rolled_back").await;
 
     let exposed = new.requests().len() - before;
-    assert!(exposed < 30, "{exposed} of {asked} requests reached the bad version");
+    assert!(exposed < 30, "{exposed} of {sent} requests reached the bad version");
     let after = new.requests().len();
     for i in 0..40 {
         let answer = site.request("GET", "/safe/a", &format!("Session: t-{i}\r\n")).await;
@@ -70,45 +70,45 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_version_that_fails_is_rolled_back_where_all_requests_are_of_sessions() {
-    let (_old, new, site) = two_versions(FAILS).await;
+async fn a_version_that_fails_is_rolled_back_when_all_requests_have_sessions() {
+    let (_old, new, site) = start_with_two_versions(FAILS).await;
     site.store.put("op", "rollout/app", &order("v2", 3.0));
     wait_until("it is under way", || state(&site) == "in_progress").await;
 
     let of_session = |i| ("/safe/a".into(), format!("Session: s-{i}\r\n"));
-    let asked = ask_each_until(&site, "rolled_back", of_session).await;
+    let sent = send_each_until_state(&site, "rolled_back", of_session).await;
 
     let exposed = new.requests().len();
-    assert!(exposed < 30, "{exposed} of {asked} requests reached the bad version");
+    assert!(exposed < 30, "{exposed} of {sent} requests reached the bad version");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_version_whose_answers_break_off_is_rolled_back() {
-    let (_old, new, site) = two_versions(Action::Truncated).await;
+    let (_old, new, site) = start_with_two_versions(Action::Truncated).await;
     site.store.put("op", "rollout/app", &order("v2", 600.0));
     wait_until("it is under way", || state(&site) == "in_progress").await;
 
-    let asked = request_until_state(&site, "rolled_back").await;
+    let sent = send_until_state(&site, "rolled_back").await;
 
     let exposed = new.requests().len();
-    assert!(exposed < 30, "{exposed} of {asked} requests reached the bad version");
+    assert!(exposed < 30, "{exposed} of {sent} requests reached the bad version");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_version_that_answers_slowly_is_rolled_back() {
     let slow = Action::RespondAfter { body: "good", delay: Duration::from_millis(150) };
-    let (_old, new, site) = two_versions(slow).await;
+    let (_old, new, site) = start_with_two_versions(slow).await;
     site.store.put("op", "rollout/app", &order("v2", 600.0));
     wait_until("it is under way", || state(&site) == "in_progress").await;
 
-    let asked = request_until_state(&site, "rolled_back").await;
+    let sent = send_until_state(&site, "rolled_back").await;
 
     let exposed = new.requests().len();
-    assert!(exposed < 60, "{exposed} of {asked} requests reached the slow version");
+    assert!(exposed < 60, "{exposed} of {sent} requests reached the slow version");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_version_whose_streams_trickle_is_rolled_back() {
+async fn a_version_whose_streams_are_slow_is_rolled_back() {
     let fast = Action::Stream { last_event: 8, is_complete: true, confidence: 90 };
     let slow = Action::PacedStream { last_event: 8, interval: Duration::from_millis(120) };
     let (old, new) = (start_server("i-1", fast).await, start_server("i-2", slow).await);
@@ -118,20 +118,20 @@
     let state = || site.store.read("status", "rollout/llm").map(|s| s["state"].clone());
     wait_until("it is under way", || state().is_some()).await;
 
-    let mut asked = 0;
+    let mut sent = 0;
     while state() != Some(json!("rolled_back")) {
-        asked += 1;
-        assert!(asked < 1_000, "never, but {}", site.entry.router.dump()["roll_outs"]);
-        site.request("POST", &format!("/chat/{asked}"), "X-Model: *\r\n").await;
+        sent += 1;
+        assert!(sent < 1_000, "never, but {}", site.entry.router.dump()["roll_outs"]);
+        site.request("POST", &format!("/chat/{sent}"), "X-Model: *\r\n").await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_good_version_is_completed_and_gets_everything() {
-    let (old, _new, site) = two_versions(GOOD).await;
+async fn a_good_version_is_completed_and_gets_all_requests() {
+    let (old, _new, site) = start_with_two_versions(GOOD).await;
     site.store.put("op", "rollout/app", &order("v2", 3.0));
 
-    request_until_state(&site, "completed").await;
+    send_until_state(&site, "completed").await;
 
     let before = old.requests().len();
     for i in 0..20 {
@@ -142,7 +142,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_session_stays_on_the_old_version_in_the_first_half() {
-    let (_old, new, site) = two_versions(GOOD).await;
+    let (_old, new, site) = start_with_two_versions(GOOD).await;
     let sessions: Vec<String> = (0..40).map(|i| format!("Session: s-{i}\r\n")).collect();
     for session in &sessions {
         site.request("GET", "/safe/a", session).await;
@@ -160,8 +160,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_learns_the_verdict_of_another() {
-    let (_old, new, site) = two_versions(GOOD).await;
+async fn an_entry_learns_the_verdict_of_another_entry() {
+    let (_old, new, site) = start_with_two_versions(GOOD).await;
     site.store.put("op", "rollout/app", &order("v2", 600.0));
     wait_until("it is under way", || state(&site) == "in_progress").await;
 
@@ -180,10 +180,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_restarted_entry_does_not_begin_a_roll_out_again() {
-    let (_old, new, site) = two_versions(FAILS).await;
+    let (_old, new, site) = start_with_two_versions(FAILS).await;
     site.store.put("op", "rollout/app", &order("v2", 600.0));
     wait_until("it is under way", || state(&site) == "in_progress").await;
-    request_until_state(&site, "rolled_back").await;
+    send_until_state(&site, "rolled_back").await;
 
     let next = Site::start_with_store(site.store.clone()).await;
     wait_until("it is ready", || next.entry.router.is_ready()).await;
@@ -200,8 +200,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_starts_during_a_roll_out_takes_it_up_where_it_stands() {
-    let (_old, new, site) = two_versions(GOOD).await;
+async fn an_entry_that_starts_during_a_roll_out_joins_it_at_its_current_share() {
+    let (_old, new, site) = start_with_two_versions(GOOD).await;
     site.store.put("op", "rollout/app", &order("v2", 1.0));
     wait_until("it is under way", || state(&site) == "in_progress").await;
     // Past its end, and not completed for want of answers.
@@ -219,8 +219,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_bad_version_is_kept_from_requests_while_the_store_is_away() {
-    let (_old, new, site) = two_versions(FAILS).await;
+async fn a_bad_version_gets_few_requests_while_the_store_is_unreachable() {
+    let (_old, new, site) = start_with_two_versions(FAILS).await;
     site.store.put("op", "rollout/app", &order("v2", 600.0));
     wait_until("it is under way", || state(&site) == "in_progress").await;
 
@@ -236,13 +236,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_verdict_whose_reply_was_lost_is_given_once() {
-    let (_old, _new, site) = two_versions(FAILS).await;
+async fn an_entry_knows_its_verdict_though_the_reply_to_its_write_was_lost() {
+    let (_old, _new, site) = start_with_two_versions(FAILS).await;
     site.store.put("op", "rollout/app", &order("v2", 600.0));
     wait_until("it is under way", || state(&site) == "in_progress").await;
 
     site.store.set_fault(Fault::RepliesLost);
-    request_until_state(&site, "rolled_back").await;
+    send_until_state(&site, "rolled_back").await;
     site.store.set_fault(Fault::None);
 
     wait_until("the entry knows", || {
--- a/tests/platform/rows.rs
+++ b/tests/platform/rows.rs
@@ -22,14 +22,14 @@
     ["service", "address", "zone", "version", "slots", "state", "cold-remaining-ms", "sequence"];
 
 /// A whole row of a server that tells its start and its models.
-fn whole_row() -> Value {
+fn complete_row() -> Value {
     let mut row = server_row("127.0.0.1:9".parse().unwrap(), "llm", "v1", "ready");
     row["born"] = json!(1_764_720_000_000_u64);
     row["models"] = json!([{"name": "small", "version": 1, "adapters": []}]);
     row
 }
 
-fn read(document: &Value) -> mintmoor::platform::Result<mintmoor::routing::BackendServer> {
+fn parse(document: &Value) -> mintmoor::platform::Result<mintmoor::routing::BackendServer> {
     let value = serde_json::to_vec(document).unwrap();
     let key = "i-1".into();
     parse_server_row(&Row {
@@ -43,7 +43,7 @@
 }
 
 /// Documents that no server writes, with what is wrong about each.
-fn foreign_documents(server: &Server) -> Vec<(&'static str, Value)> {
+fn invalid_rows(server: &Server) -> Vec<(&'static str, Value)> {
     let good = server_row(server.address, "app", "v1", "ready");
     let with = |field: &str, value: Value| {
         let mut row = good.clone();
@@ -69,8 +69,8 @@
 }
 
 #[test]
-fn a_whole_row_is_read() {
-    let server = read(&whole_row()).unwrap();
+fn a_complete_row_is_parsed() {
+    let server = parse(&complete_row()).unwrap();
 
     assert_eq!((&*server.service, server.slots, server.is_draining), ("llm", 8, false));
     assert_eq!(server.started_at, Some(1_764_720_000_000));
@@ -80,35 +80,35 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(256) })]
 
     #[test]
-    fn a_row_without_a_field_names_no_server(field in select(&FIELDS[..])) {
-        let mut row = whole_row();
+    fn a_row_without_a_field_is_rejected(field in select(&FIELDS[..])) {
+        let mut row = complete_row();
         row.as_object_mut().unwrap().remove(field);
-        prop_assert!(read(&row).is_err());
+        prop_assert!(parse(&row).is_err());
     }
 
     #[test]
-    fn a_row_with_a_field_of_another_type_names_no_server(
+    fn a_row_with_a_field_of_another_type_is_rejected(
         field in select([&FIELDS[..], &["born", "models"]].concat()), kind in 0usize..4, text in "[a-z]{0,8}",
     ) {
         let other = [json!(null), json!(true), json!({"a": 1}), json!([text])];
-        let mut row = whole_row();
+        let mut row = complete_row();
         row[field] = other[kind].clone();
-        prop_assert!(read(&row).is_err(), "{row}");
+        prop_assert!(parse(&row).is_err(), "{row}");
     }
 
     #[test]
-    fn any_bytes_are_a_server_or_an_error(value in proptest::collection::vec(any::<u8>(), 0..512)) {
+    fn any_bytes_parse_to_a_server_or_an_error(value in proptest::collection::vec(any::<u8>(), 0..512)) {
         let key = "i-1".into();
         let _ = parse_server_row(&Row { table: Table::Servers, key, value, version: 1, era: 0, is_removed: false });
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_foreign_row_takes_its_server_out_and_leaves_the_others() {
+async fn an_invalid_row_removes_its_server_and_no_other() {
     let (stays, spoiled) = (start_server("i-1", GOOD).await, start_server("i-2", GOOD).await);
     let site = Site::start(&[(&stays, "app", "v1"), (&spoiled, "app", "v1")]).await;
 
-    for (what, document) in foreign_documents(&spoiled) {
+    for (what, document) in invalid_rows(&spoiled) {
         site.store.put("servers", "i-2", &document);
         wait_until(what, || servers(&site) == 1).await;
         assert_eq!(site.request("GET", "/safe/a", "").await.status, 200, "{what}");
@@ -119,7 +119,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bytes_that_can_not_be_decoded_stop_neither_a_whole_read_nor_a_feed() {
+async fn values_that_cannot_be_decoded_stop_neither_a_full_read_nor_a_feed() {
     let (stays, spoiled) = (start_server("i-1", GOOD).await, start_server("i-2", GOOD).await);
     let store = Store::start().await;
     store.put("op", "config", &configuration(1));
@@ -138,7 +138,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_foreign_row_names_no_server_to_an_entry_that_follows_another() {
+async fn an_invalid_row_removes_its_server_at_a_follower() {
     let (stays, spoiled) = (start_server("i-1", GOOD).await, start_server("i-2", GOOD).await);
     let store = Store::start().await;
     store.put("op", "config", &configuration(1));
@@ -155,7 +155,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_row_that_does_not_tell_its_start_is_foreign_where_the_others_do() {
+async fn a_row_without_a_start_time_is_invalid_when_other_rows_have_one() {
     let (stays, spoiled, foreign) = (
         start_server("i-1", GOOD).await,
         start_server("i-2", GOOD).await,
@@ -178,12 +178,12 @@
 
 /// Whatever another writer left there as the time for which a server is cold.
 #[test]
-fn a_cold_time_without_bounds_ends_nothing() {
+fn a_cold_time_out_of_range_is_bounded() {
     for ms in [1e300, -1e300, f64::MAX, 0.5] {
-        let mut row = whole_row();
+        let mut row = complete_row();
         row["cold-remaining-ms"] = json!(ms);
 
-        let server = read(&row).unwrap();
+        let server = parse(&row).unwrap();
 
         assert!(server.remaining_cold_time <= std::time::Duration::from_secs(3_600));
     }
--- a/tests/platform/sessions.rs
+++ b/tests/platform/sessions.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 use crate::{
-    roll_outs::request_until_state,
+    roll_outs::send_until_state,
     server::Action,
     site::{Site, list_server, start_server, store_with_servers, wait_until},
 };
@@ -66,7 +66,7 @@
     let first = Site::start(&[(&old, "app", "v1"), (&new, "app", "v2")]).await;
     let order = json!({"service": "app", "to": "v2", "duration-s": 1.0});
     first.store.put("op", "rollout/app", &order);
-    request_until_state(&first, "completed").await;
+    send_until_state(&first, "completed").await;
     let before = old.requests().len();
 
     let next = Site::start_follower(first.store.clone(), &first).await;
--- a/tests/platform/streams.rs
+++ b/tests/platform/streams.rs
@@ -9,21 +9,21 @@
 
 const WHOLE: Action = Action::Stream { last_event: 5, is_complete: true, confidence: 90 };
 
-async fn site_of(servers: &[&Server]) -> Site {
+async fn start_with_servers(servers: &[&Server]) -> Site {
     let listed: Vec<_> = servers.iter().map(|s| (*s, "llm", "v1")).collect();
     Site::start(&listed).await
 }
 
-fn prompt() -> &'static str {
+fn prompt_headers() -> &'static str {
     "X-Model: *\r\nX-Token-Usage: 100,50\r\nX-Prefix-Hash: aa:80,bb:20\r\n"
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_is_passed_on_event_by_event() {
     let server = start_server("i-1", WHOLE).await;
-    let site = site_of(&[&server]).await;
+    let site = start_with_servers(&[&server]).await;
 
-    let answer = site.request("POST", "/chat/a", prompt()).await;
+    let answer = site.request("POST", "/chat/a", prompt_headers()).await;
 
     assert_eq!((answer.status, answer.is_whole), (200, true));
     assert_eq!(answer.body, events(5));
@@ -31,15 +31,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_broken_stream_goes_on_at_another_server_without_loss_or_repeat() {
+async fn a_broken_stream_resumes_at_another_server_without_loss_or_repeat() {
     let breaks = Action::Stream { last_event: 3, is_complete: false, confidence: 90 };
     let (one, two) = (
         start_server_with_first_act("i-1", breaks.clone(), WHOLE).await,
         start_server_with_first_act("i-2", breaks, WHOLE).await,
     );
-    let site = site_of(&[&one, &two]).await;
+    let site = start_with_servers(&[&one, &two]).await;
 
-    let answer = site.request("POST", "/chat/a", prompt()).await;
+    let answer = site.request("POST", "/chat/a", prompt_headers()).await;
 
     assert_eq!((answer.status, answer.is_whole), (200, true));
     assert_eq!(answer.body, events(5));
@@ -48,11 +48,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_broken_stream_that_may_not_be_resumed_does_not_look_whole() {
+async fn a_broken_stream_that_may_not_be_resumed_ends_incomplete() {
     let server =
         start_server("i-1", Action::Stream { last_event: 3, is_complete: false, confidence: 90 })
             .await;
-    let site = site_of(&[&server]).await;
+    let site = start_with_servers(&[&server]).await;
 
     let answer = site.request("POST", "/plain/a", "X-Model: small\r\n").await;
 
@@ -65,34 +65,34 @@
 async fn a_stream_is_not_resumed_beyond_the_allowed_attempts() {
     let breaks = |last_event| Action::Stream { last_event, is_complete: false, confidence: 90 };
     let (one, two) = (start_server("i-1", breaks(1)).await, start_server("i-2", breaks(1)).await);
-    let site = site_of(&[&one, &two]).await;
+    let site = start_with_servers(&[&one, &two]).await;
 
-    let answer = site.request("POST", "/chat/a", prompt()).await;
+    let answer = site.request("POST", "/chat/a", prompt_headers()).await;
 
     assert!(!answer.is_whole);
     assert_eq!(one.requests().len() + two.requests().len(), 3);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_slow_server_is_not_left_when_nothing_more_may_be_sent() {
+async fn a_slow_stream_is_kept_when_no_retry_is_allowed() {
     let slow = Action::PacedStream { last_event: 2, interval: Duration::from_millis(2_000) };
     let (one, two) = (start_server("i-1", slow.clone()).await, start_server("i-2", slow).await);
     let site = Site::start_without_retries(&[(&one, "llm", "v1"), (&two, "llm", "v1")]).await;
 
-    let answer = site.request("POST", "/chat/a", prompt()).await;
+    let answer = site.request("POST", "/chat/a", prompt_headers()).await;
 
     assert_eq!((answer.status, answer.is_whole), (200, true));
     assert_eq!(answer.body, events(2));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_event_that_is_missing_breaks_the_stream() {
+async fn a_stream_resumed_at_the_wrong_event_is_broken_off() {
     // The second server goes on at event 5 though event 3 is due.
     let breaks = Action::Stream { last_event: 2, is_complete: false, confidence: 90 };
     let server = start_server_with_first_act("i-1", breaks, Action::EndlessStream).await;
-    let site = site_of(&[&server]).await;
+    let site = start_with_servers(&[&server]).await;
 
-    let answer = site.request("POST", "/chat/a", prompt()).await;
+    let answer = site.request("POST", "/chat/a", prompt_headers()).await;
 
     // `Endless` begins at 1 again: nothing of it may be passed on.
     assert!(!answer.is_whole);
@@ -100,15 +100,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_unsure_answer_is_asked_again_of_the_largest_model() {
+async fn an_answer_of_low_confidence_is_repeated_with_the_largest_model() {
     let server = Server::start("i-1", |request: &ReceivedRequest| {
         let confidence = if request.header("x-model") == "small" { 10 } else { 95 };
         Action::Stream { last_event: 2, is_complete: true, confidence }
     })
     .await;
-    let site = site_of(&[&server]).await;
+    let site = start_with_servers(&[&server]).await;
 
-    let answer = site.request("POST", "/chat/a", prompt()).await;
+    let answer = site.request("POST", "/chat/a", prompt_headers()).await;
 
     assert_eq!((answer.status, answer.is_whole), (200, true));
     assert!(answer.head.contains("x-confidence: 95"));
@@ -118,7 +118,7 @@
 }
 
 /// A server whose small model is unsure; the large one does this.
-async fn unsure_then(large: Action) -> Server {
+async fn start_server_with_large_model_act(large: Action) -> Server {
     Server::start("i-1", move |request: &ReceivedRequest| match request.header("x-model") {
         "small" => Action::Stream { last_event: 4, is_complete: true, confidence: 10 },
         _ => large.clone(),
@@ -127,7 +127,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_in_hand_reaches_its_caller_when_the_largest_model_gives_none() {
+async fn the_smaller_models_answer_is_sent_when_the_largest_model_fails() {
     let nothing = [
         Action::Hang,
         Action::NotExecuted,
@@ -135,10 +135,10 @@
         Action::Respond { status: 500, body: "no" },
     ];
     for large in nothing {
-        let server = unsure_then(large.clone()).await;
-        let site = site_of(&[&server]).await;
+        let server = start_server_with_large_model_act(large.clone()).await;
+        let site = start_with_servers(&[&server]).await;
 
-        let answer = site.request("POST", "/chat/a", prompt()).await;
+        let answer = site.request("POST", "/chat/a", prompt_headers()).await;
 
         assert_eq!((answer.status, answer.is_whole), (200, true), "{large:?}");
         assert_eq!(answer.body, events(4), "{large:?}");
@@ -148,16 +148,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_servers_work_on_an_answer_in_hand_ends_when_the_larger_model_has_begun() {
+async fn the_smaller_models_stream_is_cancelled_once_the_larger_model_has_begun() {
     let server =
         Server::start("i-1", |request: &ReceivedRequest| match request.header("x-model") {
             "small" => Action::EndlessStreamWithConfidence { confidence: 10 },
             _ => Action::PacedStream { last_event: 8, interval: Duration::from_millis(400) },
         })
         .await;
-    let site = site_of(&[&server]).await;
+    let site = start_with_servers(&[&server]).await;
 
-    let (answer, ()) = tokio::join!(site.request("POST", "/chat/a", prompt()), async {
+    let (answer, ()) = tokio::join!(site.request("POST", "/chat/a", prompt_headers()), async {
         wait_until("both run", || server.active_requests() == 2).await;
         wait_until("the larger one alone", || server.active_requests() == 1).await;
     });
@@ -166,11 +166,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_model_the_caller_names_is_left_alone() {
+async fn a_model_named_by_the_caller_is_not_replaced_by_a_larger_one() {
     let server =
         start_server("i-1", Action::Stream { last_event: 2, is_complete: true, confidence: 10 })
             .await;
-    let site = site_of(&[&server]).await;
+    let site = start_with_servers(&[&server]).await;
 
     let answer = site.request("POST", "/chat/a", "X-Model: small\r\n").await;
 
@@ -180,12 +180,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_stops_when_the_caller_of_its_stream_leaves() {
+async fn a_stream_is_cancelled_at_the_server_when_the_caller_disconnects() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let server = start_server("i-1", Action::EndlessStream).await;
-    let site = site_of(&[&server]).await;
+    let site = start_with_servers(&[&server]).await;
     let mut stream = tokio::net::TcpStream::connect(site.caller).await.unwrap();
-    stream.write_all(request_bytes("POST", "/chat/a", prompt(), "").as_bytes()).await.unwrap();
+    stream
+        .write_all(request_bytes("POST", "/chat/a", prompt_headers(), "").as_bytes())
+        .await
+        .unwrap();
     let mut some = [0; 64];
     stream.read_exact(&mut some).await.unwrap();
 
