--- a/tests/platform/cold.rs
+++ b/tests/platform/cold.rs
@@ -1,5 +1,5 @@
-//! Servers that have just started get no more than they take, from all entries together. The one here takes a
-//! request in 100 s, so that no test depends on the pace of its machine.
+//! Servers that have just started (cold servers) get requests at a limited rate, which all entries share. The rate
+//! here is one request in 100 s, so that no test depends on the speed of its machine.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 
 const GOOD: Action = Action::Respond { status: 200, body: "good" };
 
-/// A configuration under which servers of both services are cold for a minute.
+/// A configuration under which servers of both services are cold for a minute and take 0.01 requests per second.
 fn cold_configuration(version: u64) -> Value {
     let mut changed = configuration(version);
     for service in changed["services"].as_array_mut().unwrap() {
@@ -24,6 +24,7 @@
     changed
 }
 
+/// Writes the row of a ready server that stays cold for this time.
 fn list_cold_server(store: &Store, server: &Server, service: &str, cold_ms: u64) {
     let mut row = server_row(server.address, service, "v1", "ready");
     row["cold-remaining-ms"] = json!(cold_ms);
@@ -45,7 +46,7 @@
     statuses
 }
 
-/// Whether the entry takes a server to be cold, as its row says.
+/// Whether the entry treats a server as cold.
 fn is_cold(site: &Site, id: &str) -> bool {
     let servers = site.entry.router.dump()["servers"].clone();
     let row = servers.as_array().unwrap().iter().find(|row| row["id"] == id);
@@ -63,7 +64,7 @@
     let statuses = send_20_requests(&site, "/safe/").await;
 
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
-    assert!(cold.requests().len() <= 1, "{} reached it", cold.requests().len());
+    assert!(cold.requests().len() <= 1, "{} requests reached the cold server", cold.requests().len());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -88,17 +89,17 @@
     assert_eq!(server.requests().len(), 1);
 
     list_cold_server(&site.store, &server, "app", 0);
-    wait_until("it is warm", || !is_cold(&site, "i-1")).await;
+    wait_until("the server is warm", || !is_cold(&site, "i-1")).await;
     send_20_requests(&site, "/safe/warm").await;
     assert_eq!(server.requests().len(), 21);
 
     list_cold_server(&site.store, &server, "app", 60_000);
-    wait_until("it is cold", || is_cold(&site, "i-1")).await;
+    wait_until("the server is cold", || is_cold(&site, "i-1")).await;
     send_20_requests(&site, "/safe/again").await;
-    assert_eq!(server.requests().len(), 21, "the one send in 100 s was made before");
+    assert_eq!(server.requests().len(), 21, "the cold server got a second request within 100 s");
 }
 
-/// Rows tell a heartbeat later that a zone came back cold.
+/// The rows of a zone's servers report only a heartbeat after the end of its evacuation that the servers are cold.
 #[tokio::test(flavor = "multi_thread")]
 async fn servers_are_cold_after_the_evacuation_of_their_zone_ends() {
     let server = start_server("i-1", GOOD).await;
@@ -110,13 +111,14 @@
     site.wait_for_servers(1).await;
 
     site.store.remove("op", "evacuate/zone-a");
-    wait_until("it is taken back", || site.entry.router.dump()["evacuated"] == json!([])).await;
+    wait_until("the evacuation has ended", || site.entry.router.dump()["evacuated"] == json!([]))
+        .await;
     send_20_requests(&site, "/safe/").await;
 
     assert_eq!(server.requests().len(), 1);
 }
 
-/// Nobody answered for a server, and it is there again before its row tells of its start.
+/// A crashed server accepts connections again before its row reports the new start.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_is_cold_after_it_was_unreachable() {
     let server = start_server("i-1", Action::Crash { after_head: false }).await;
@@ -134,10 +136,10 @@
         site.request("GET", &format!("/safe/c{number}"), "").await;
     }
 
-    assert!(server.requests().len() <= 3, "{} reached it", server.requests().len());
+    assert!(server.requests().len() <= 3, "{} requests reached the server", server.requests().len());
 }
 
-/// Each knows its place once it has heard of the others for some seconds.
+/// Each entry computes its share from its place among all entries, which it knows some seconds after it hears of them.
 #[tokio::test(flavor = "multi_thread")]
 async fn entries_share_the_rate_of_a_cold_server() {
     let (cold, warm) = (start_server("i-cold", GOOD).await, start_server("i-warm", GOOD).await);
@@ -153,8 +155,12 @@
         sites.push(Arc::new(site.await));
     }
     for site in &sites {
-        wait_until("all report", || site.entry.router.dump()["entries"] == 4).await;
-        wait_until("it knows its place", || !site.entry.router.dump()["place"].is_null()).await;
+        wait_until("all entries report to each other", || site.entry.router.dump()["entries"] == 4)
+            .await;
+        wait_until("the entry knows its place among all", || {
+            !site.entry.router.dump()["place"].is_null()
+        })
+        .await;
     }
 
     list_cold_server(&store, &cold, "app", 60_000);
@@ -165,5 +171,5 @@
         send_20_requests(site, "/safe/").await;
     }
 
-    assert_eq!(cold.requests().len(), 1, "one entry's one send");
+    assert_eq!(cold.requests().len(), 1, "all entries together may send one request");
 }
--- a/tests/platform/crashes.rs
+++ b/tests/platform/crashes.rs
@@ -1,4 +1,4 @@
-//! A request that crashes every server that begins to run it (docs/incidents/0011).
+//! Quarantine of a request that crashes every server that begins to run it (docs/incidents/0011).
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,20 +21,21 @@
     store::Fault,
 };
 
-/// Time that the news of a server's end may take to all entries, a busy machine included.
+/// Time in which all entries have to know of a server's end, with a margin for a busy machine.
 const PROPAGATION_TIME: Duration = Duration::from_millis(1_000);
-/// Sends after the third end that are allowed over all entries, beside those that cross the news.
+/// Sends of the crashing request, over all entries, that are allowed later than [`PROPAGATION_TIME`] after the third
+/// server's end.
 const MAX_LATE_ARRIVALS: usize = 3;
 
-/// Three servers ended, and hardly anything was sent after all had to know of it.
+/// Asserts that three servers ended and that hardly any sends followed once all entries had to know of it.
 fn assert_few_late_arrivals(pool: &Pool) {
-    assert!(pool.crash_record.crash_count() >= 3, "it ended servers");
+    assert!(pool.crash_record.crash_count() >= 3, "fewer than three servers ended");
     let late = pool.crash_record.arrivals_after_third_crash(PROPAGATION_TIME);
     let (ends, tries) = (pool.crash_record.crash_count(), pool.crash_record.distinct_requests());
-    println!("{late} arrivals late, {ends} ends in all, in {tries} tries");
+    println!("{late} late arrivals, {ends} server ends in total, {tries} requests");
     assert!(
         late <= MAX_LATE_ARRIVALS,
-        "{late} arrivals late, {ends} ends in all, in {tries} tries"
+        "{late} late arrivals, {ends} server ends in total, {tries} requests"
     );
 }
 
@@ -48,7 +49,7 @@
     assert_few_late_arrivals(&pool);
 }
 
-/// A server may end before it has answered anything.
+/// The servers end before they have sent any part of an answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_that_end_servers_before_any_answer_are_sent_to_no_more_servers() {
     let pool = Pool::start("app", 6, false).await;
@@ -59,7 +60,7 @@
     assert_few_late_arrivals(&pool);
 }
 
-/// Nine in ten of what is served without such a request.
+/// At least nine tenths of the share that is served without a crashing request.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_other_requests_are_served_while_one_request_ends_servers() {
     let pool = Pool::start("llm", 6, true).await;
@@ -72,13 +73,19 @@
         send_other_requests(&sites, lasts)
     );
 
-    assert!(pool.crash_record.crash_count() >= 3, "it ended servers");
+    assert!(pool.crash_record.crash_count() >= 3, "fewer than three servers ended");
     let (calm, beside) = (calm_served as f64 / calm_asked as f64, served as f64 / asked as f64);
-    println!("beside it {served} of {asked} served, {} ends", pool.crash_record.crash_count());
-    assert!(beside >= 0.9 * calm, "{served} of {asked}, without it {calm_served} of {calm_asked}");
+    println!(
+        "beside the crashing request {served} of {asked} served, {} server ends",
+        pool.crash_record.crash_count()
+    );
+    assert!(
+        beside >= 0.9 * calm,
+        "served {served} of {asked}, without a crashing request {calm_served} of {calm_asked}"
+    );
 }
 
-/// Sends the crashing request until it is refused at an entry.
+/// Sends the crashing request to an entry until it refuses the request as quarantined.
 async fn until_refused(site: &Arc<Site>, path: &str) -> Answer {
     for _ in 0..100 {
         let answer = post(site, path, CRASHING_BODY).await;
@@ -86,7 +93,7 @@
             return answer;
         }
     }
-    panic!("it is never refused");
+    panic!("the request was not refused in 100 tries");
 }
 
 fn is_quarantined(site: &Site) -> bool {
@@ -99,7 +106,7 @@
     let pool = Pool::start("llm", 6, true).await;
     let sites = pool.start_entries(2).await;
     until_refused(&sites[0], "/chat/a").await;
-    wait_until("the other one knows", || is_quarantined(&sites[1])).await;
+    wait_until("the other entry knows of the quarantine", || is_quarantined(&sites[1])).await;
     let arrivals = || pool.crash_record.arrivals.lock().unwrap().len();
     let before = arrivals();
 
@@ -107,12 +114,13 @@
         let answer = post(site, "/chat/a", CRASHING_BODY).await;
 
         assert_eq!(answer.status, 503);
-        assert!(answer.head.contains("retry-after: 2"), "nearly five minutes: {}", answer.head);
+        assert!(answer.head.contains("retry-after: 2"), "not nearly five minutes: {}", answer.head);
     }
-    assert_eq!(arrivals(), before, "what is said not to have run has not");
+    assert_eq!(arrivals(), before, "a refused request reached a server");
 }
 
-/// Whoever sends the same bytes with another Organisation's key, or on another path, is served.
+/// A quarantine covers one body on one path: the same body on another path is sent to a server, and another body on
+/// the same path is served.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_same_body_on_another_path_and_another_body_are_not_refused() {
     let pool = Pool::start("llm", 10, true).await;
@@ -126,13 +134,16 @@
     assert_eq!(post(&sites[0], "/chat/a", "something else").await.status, 200);
 }
 
-/// All entries are killed at once, and the caller goes on asking.
+/// All entries stop at once, and the caller goes on sending the request.
 #[tokio::test(flavor = "multi_thread")]
 async fn entries_that_all_restart_still_refuse_a_quarantined_request() {
     let pool = Pool::start("llm", 6, true).await;
     let sites = pool.start_entries(3).await;
     until_refused(&sites[0], "/chat/a").await;
-    wait_until("the store keeps it", || pool.store.read("mintmoor", "quarantine").is_some()).await;
+    wait_until("the quarantine is in the store", || {
+        pool.store.read("mintmoor", "quarantine").is_some()
+    })
+    .await;
     let arrivals = || pool.crash_record.arrivals.lock().unwrap().len();
     let before = arrivals();
     drop(sites);
@@ -145,7 +156,7 @@
     assert_eq!(arrivals(), before);
 }
 
-/// The entries know each other by no seed that lives: the store is all that they share.
+/// No seed is running, so the entries share nothing but the store.
 #[tokio::test(flavor = "multi_thread")]
 async fn entries_without_a_seed_learn_of_a_quarantine_from_the_store() {
     let pool = Pool::start("llm", 6, true).await;
@@ -153,13 +164,13 @@
 
     until_refused(&sites[0], "/chat/a").await;
     for site in &sites {
-        wait_until("it knows", || is_quarantined(site)).await;
+        wait_until("the entry knows of the quarantine", || is_quarantined(site)).await;
     }
 
     assert_eq!(pool.crash_record.crash_count(), 3);
 }
 
-/// The three ends are seen by an entry each, none of which hears from the others.
+/// Three entries without links between them each see another server end.
 #[tokio::test(flavor = "multi_thread")]
 async fn ends_that_separate_entries_saw_are_combined_in_the_store() {
     let pool = Pool::start("app", 6, false).await;
@@ -170,18 +181,18 @@
     };
 
     for (i, site) in sites.iter().enumerate() {
-        // One send a try.
+        // The route allows one attempt for each request.
         let _ = post(site, "/once/a", CRASHING_BODY).await;
-        wait_until("it is in the store", || in_store() == i + 1).await;
+        wait_until("the server end is in the store", || in_store() == i + 1).await;
     }
 
     for site in &sites {
-        wait_until("it knows", || is_quarantined(site)).await;
+        wait_until("the entry knows of the quarantine", || is_quarantined(site)).await;
     }
     assert_eq!(pool.crash_record.crash_count(), 3);
 }
 
-/// The same of one server, which is back each time before the list tells of its next life.
+/// The same server ends three times, and each time accepts connections again before its row shows the new start time.
 #[tokio::test(flavor = "multi_thread")]
 async fn server_ends_that_the_server_list_does_not_show_are_combined_in_the_store() {
     let server = start_server("i-1", Action::Crash { after_head: false }).await;
@@ -198,12 +209,12 @@
     }
 
     for site in &sites {
-        wait_until("it knows", || is_quarantined(site)).await;
+        wait_until("the entry knows of the quarantine", || is_quarantined(site)).await;
     }
 }
 
-/// Servers that hide their ends behind something that takes connections, so that the list alone tells of
-/// them, of all in one moment.
+/// The servers still accept connections after their ends, as behind a proxy, so that only new start times in their rows
+/// show the ends, all at the same moment.
 #[tokio::test(flavor = "multi_thread")]
 async fn ends_of_servers_shown_at_once_by_the_server_list_count_separately() {
     let servers = [
@@ -228,7 +239,7 @@
         let _ = post(&site, "/once/a", CRASHING_BODY).await;
         sleep(Duration::from_millis(300)).await;
     }
-    // The fourth ends under another request.
+    // The fourth server ends under another request.
     for _ in 0..200 {
         if is_all_met() {
             break;
@@ -241,10 +252,10 @@
         list_server_with_start_time(&site.store, server, "app", 2_000);
     }
 
-    wait_until("it is refused", || is_quarantined(&site)).await;
+    wait_until("the request is refused", || is_quarantined(&site)).await;
 }
 
-/// The store is away while servers end: entries tell each other, and the store hears of it later.
+/// The store is unreachable while servers end: entries inform each other and write the quarantine later.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_quarantine_is_written_once_the_store_is_back() {
     let pool = Pool::start("llm", 6, true).await;
@@ -253,15 +264,18 @@
 
     until_refused(&sites[2], "/chat/a").await;
     for site in &sites {
-        wait_until("it knows", || is_quarantined(site)).await;
+        wait_until("the entry knows of the quarantine", || is_quarantined(site)).await;
     }
     assert!(pool.store.read("mintmoor", "quarantine").is_none());
     pool.store.set_fault(Fault::None);
 
-    wait_until("the store keeps it", || pool.store.read("mintmoor", "quarantine").is_some()).await;
+    wait_until("the quarantine is in the store", || {
+        pool.store.read("mintmoor", "quarantine").is_some()
+    })
+    .await;
 }
 
-/// The store comes back from a copy that lacks it: who knows it writes it again.
+/// The store is restored from a backup without the quarantine: the entries that know it write it again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_store_restored_without_a_quarantine_gets_it_again() {
     let pool = Pool::start("llm", 6, true).await;
@@ -269,28 +283,31 @@
     let snapshot = pool.store.snapshot();
     until_refused(&sites[0], "/chat/a").await;
     let in_store = || pool.store.read("mintmoor", "quarantine").is_some();
-    wait_until("the store keeps it", in_store).await;
+    wait_until("the quarantine is in the store", in_store).await;
 
     pool.store.restore(&snapshot);
 
-    wait_until("the store keeps it again", in_store).await;
+    wait_until("the quarantine is in the store again", in_store).await;
 }
 
-/// A seed hears of the ends and is killed; others have heard of them as well.
+/// A seed and the entry that saw the ends stop; the other entries know of the ends as well.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_seed_that_is_killed_loses_no_server_end() {
     let pool = Pool::start("llm", 6, true).await;
     let mut sites = pool.start_entries(4).await;
     let last = sites.pop().unwrap();
     until_refused(&last, "/chat/a").await;
-    // Whoever saw the ends lives until a seed has heard of them, and not until that has told others.
-    wait_until("a seed knows", || is_quarantined(&sites[0]) || is_quarantined(&sites[1])).await;
+    // The entry that saw the ends runs until a seed knows of them, but not until that seed has passed them on.
+    wait_until("a seed knows of the quarantine", || {
+        is_quarantined(&sites[0]) || is_quarantined(&sites[1])
+    })
+    .await;
     let first = sites.remove(usize::from(!is_quarantined(&sites[0])));
     drop(first);
     drop(last);
 
     for site in &sites {
-        wait_until("it knows", || is_quarantined(site)).await;
+        wait_until("the entry knows of the quarantine", || is_quarantined(site)).await;
     }
     assert_eq!(pool.crash_record.crash_count(), 3);
 }
@@ -300,8 +317,11 @@
     let pool = Pool::start("llm", 6, true).await;
     let sites = pool.start_entries(2).await;
     until_refused(&sites[0], "/chat/a").await;
-    wait_until("the other one knows", || is_quarantined(&sites[1])).await;
-    wait_until("the store keeps it", || pool.store.read("mintmoor", "quarantine").is_some()).await;
+    wait_until("the other entry knows of the quarantine", || is_quarantined(&sites[1])).await;
+    wait_until("the quarantine is in the store", || {
+        pool.store.read("mintmoor", "quarantine").is_some()
+    })
+    .await;
     let case = sites[0].entry.router.dump()["quarantine"][0].clone();
     let fingerprint = case["fingerprint"].as_str().unwrap().to_owned();
 
@@ -309,12 +329,14 @@
 
     assert_eq!(released, Released::Done);
     assert_eq!(sites[1].entry.router.release(&fingerprint), Released::Unknown);
-    wait_until("the other one lets it go", || !is_quarantined(&sites[0])).await;
+    wait_until("the other entry has released the request", || !is_quarantined(&sites[0])).await;
     let kept = || pool.store.read("mintmoor", "quarantine").unwrap()["cases"].clone();
-    wait_until("so does the store", || kept().as_array().unwrap().is_empty()).await;
+    wait_until("the quarantine is gone from the store", || kept().as_array().unwrap().is_empty())
+        .await;
 }
 
-/// Many callers send it, so it is wherever the guilty one is. A trial tells them apart a second later.
+/// Many callers send the popular request, so it runs on every server that the crashing one ends. A trial tells
+/// the two apart about a second later.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_popular_request_that_ran_beside_the_crashing_one_is_served_again_soon() {
     let pool = Pool::start("llm", 3, true).await;
@@ -345,11 +367,14 @@
             break;
         }
     }
-    assert_eq!(served, 20, "within ten seconds");
-    assert!(sites.iter().any(|site| is_quarantined(site)), "the guilty one is refused");
+    assert_eq!(served, 20, "too few answers within ten seconds");
+    assert!(
+        sites.iter().any(|site| is_quarantined(site)),
+        "the crashing request is not quarantined"
+    );
 }
 
-/// A server that breaks connections and lives on proves nothing.
+/// A server that breaks off answers but keeps running is no evidence against a request.
 #[tokio::test(flavor = "multi_thread")]
 async fn broken_answers_of_running_servers_quarantine_nothing() {
     let servers = [
@@ -366,7 +391,7 @@
     assert_eq!(site.entry.router.dump()["quarantine"], serde_json::json!([]));
 }
 
-/// A request that ran beside the guilty one is cleared by its first whole answer.
+/// A request that was running on a server when it crashed is suspected until its first complete answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_suspected_request_is_cleared_by_a_complete_answer() {
     let slow =
@@ -375,19 +400,19 @@
     let site = Arc::new(Site::start(&[(&dies, "llm", "v1")]).await);
     let asking = site.clone();
     let asked = tokio::spawn(async move { post(&asking, "/chat/a", "innocent").await });
-    wait_until("it is there", || dies.requests().len() == 1).await;
+    wait_until("the request has reached the server", || dies.requests().len() == 1).await;
     list_server(&site.store, &serves, "llm", "v1", "ready");
-    wait_until("both are in view", || site.entry.router.fleet.load().len() == 2).await;
+    wait_until("both servers are known", || site.entry.router.fleet.load().len() == 2).await;
 
     dies.crash();
     let suspects = || site.entry.router.dump()["quarantine"].as_array().unwrap().len();
-    wait_until("it is suspected", || suspects() == 1).await;
+    wait_until("the request is suspected", || suspects() == 1).await;
     asked.await.unwrap();
 
-    wait_until("it is cleared", || suspects() == 0).await;
+    wait_until("the request is cleared", || suspects() == 0).await;
 }
 
-/// It comes back before its row tells of its next life, and meets the request again.
+/// The server accepts connections again before its row shows the new start, and gets the request again.
 #[tokio::test(flavor = "multi_thread")]
 async fn each_end_of_a_server_counts_while_its_row_is_out_of_date() {
     let server = start_server("i-1", Action::Crash { after_head: false }).await;
@@ -411,8 +436,8 @@
     assert_eq!(server.requests().len(), 3);
 }
 
-/// Two entries lose their connections to one end of a server at different times, and the list tells each of it later:
-/// it is one end, though the second entry's own date for it is more than half a second later.
+/// Two entries lose their connections to the same server 700 ms apart, and the server list shows the end to each of
+/// them later. It must count as one end although the times that the entries recorded differ by more than half a second.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_end_of_a_server_seen_by_two_entries_at_different_times_counts_once() {
     let server = start_server("i-1", Action::CloseConnection).await;
@@ -429,7 +454,10 @@
         sites.push(site);
     }
     for site in &sites {
-        wait_until("all report", || site.entry.router.dump()["entries"] == 2).await;
+        wait_until("both entries report to each other", || {
+            site.entry.router.dump()["entries"] == 2
+        })
+        .await;
     }
     let ends = |site: &Site| site.entry.router.dump()["quarantine"][0]["ends"].clone();
     post(&sites[0], "/once/a", CRASHING_BODY).await;
@@ -437,13 +465,13 @@
     post(&sites[1], "/once/a", CRASHING_BODY).await;
 
     list_server_with_start_time(&sites[0].store, &server, "app", 2_000);
-    wait_until("the second one is told", || ends(&sites[1]) == 1).await;
+    wait_until("the second entry knows of the end", || ends(&sites[1]) == 1).await;
     list_server_with_start_time(&sites[1].store, &server, "app", 2_000);
     let is_reborn = || {
         let fleet = sites[1].entry.router.fleet.load();
         fleet.of_service("app").iter().any(|member| member.server.started_at == Some(2_000))
     };
-    wait_until("the list tells it, too", is_reborn).await;
+    wait_until("the server list shows the new start to the second entry", is_reborn).await;
 
     assert_eq!(ends(&sites[1]), 1);
 }
--- a/tests/platform/evacuations.rs
+++ b/tests/platform/evacuations.rs
@@ -1,4 +1,4 @@
-//! AvailabilityZones that the operator has evacuated: nothing is sent there, whatever it is for.
+//! AvailabilityZones that the operator has evacuated: no first send, retry, resumed stream or larger model goes there.
 
 use serde_json::{Value, json};
 
@@ -11,7 +11,7 @@
 const GOOD: Action = Action::Respond { status: 200, body: "good" };
 const CHAT: &str = "X-Model: small\r\n";
 
-/// The row of a server in another zone than the entry's.
+/// The row of a server in this zone.
 fn server_row_in_zone(zone: &str, server: &Server, service: &str) -> Value {
     let mut row = server_row(server.address, service, "v1", "ready");
     row["zone"] = json!(zone);
@@ -26,7 +26,7 @@
     site.entry.router.dump()["evacuated"].as_array().unwrap().len()
 }
 
-/// A site with a server in the entry's zone and one in another.
+/// Starts an entry with one server in its own zone, `zone-a`, and one in `zone-b`.
 async fn site_in_two_zones(service: &str, here: Action, there: Action) -> (Site, Server, Server) {
     let (here, there) = (start_server("i-here", here).await, start_server("i-there", there).await);
     let store = Store::start().await;
@@ -43,26 +43,26 @@
     let (site, here, there) = site_in_two_zones("app", GOOD, GOOD).await;
 
     evacuate(&site.store, "zone-a");
-    wait_until("it is in force", || evacuated_zones(&site) == 1).await;
+    wait_until("the evacuation is in force", || evacuated_zones(&site) == 1).await;
     for number in 0..20 {
         assert_eq!(site.request("GET", &format!("/safe/{number}"), "").await.status, 200);
     }
     assert_eq!((here.requests().len(), there.requests().len()), (0, 20));
 
     site.store.remove("op", "evacuate/zone-a");
-    wait_until("it is taken back", || evacuated_zones(&site) == 0).await;
+    wait_until("the evacuation has ended", || evacuated_zones(&site) == 0).await;
     for number in 0..20 {
         site.request("GET", &format!("/safe/b{number}"), "").await;
     }
     assert!(!here.requests().is_empty());
 }
 
-/// A retry would go there, as the only other server.
+/// The evacuated server is the only other one, so a retry would go there.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_retry_goes_to_an_evacuated_zone() {
     let (site, here, _there) = site_in_two_zones("app", GOOD, Action::CloseConnection).await;
     evacuate(&site.store, "zone-a");
-    wait_until("it is in force", || evacuated_zones(&site) == 1).await;
+    wait_until("the evacuation is in force", || evacuated_zones(&site) == 1).await;
 
     for number in 0..5 {
         assert_eq!(site.request("GET", &format!("/safe/{number}"), "").await.status, 502);
@@ -71,7 +71,6 @@
     assert!(here.requests().is_empty());
 }
 
-/// Neither does the rest of a stream that broke off, nor the larger model.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_resumed_stream_and_no_larger_model_goes_to_an_evacuated_zone() {
     let broken = Action::Stream { last_event: 2, is_complete: false, confidence: 90 };
@@ -80,7 +79,7 @@
         let good = Action::Stream { last_event: 6, is_complete: true, confidence: 90 };
         let (site, here, there) = site_in_two_zones("llm", good, act).await;
         evacuate(&site.store, "zone-a");
-        wait_until("it is in force", || evacuated_zones(&site) == 1).await;
+        wait_until("the evacuation is in force", || evacuated_zones(&site) == 1).await;
 
         let answer = site.request("POST", "/chat/a", "").await;
 
@@ -94,7 +93,7 @@
     let (site, here, there) = site_in_two_zones("llm", GOOD, GOOD).await;
     evacuate(&site.store, "zone-a");
     evacuate(&site.store, "zone-b");
-    wait_until("both are in force", || evacuated_zones(&site) == 2).await;
+    wait_until("both evacuations are in force", || evacuated_zones(&site) == 2).await;
 
     let answer = site.request("POST", "/chat/a", CHAT).await;
 
@@ -103,7 +102,8 @@
     assert!(here.requests().is_empty() && there.requests().is_empty());
 }
 
-/// The order stands when the process starts, and rows are read in the order of their keys.
+/// The evacuation is in the store when the entry starts; rows are read in the order of their keys, so its row is read
+/// after that of the configuration.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_new_entry_applies_an_evacuation_before_it_takes_requests() {
     for _ in 0..5 {
@@ -123,7 +123,7 @@
     }
 }
 
-/// It hears of the order and of its end from an entry that the store answers.
+/// Another entry, which can reach its store, passes on the evacuation and its end.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_the_store_refuses_learns_of_an_evacuation_from_another() {
     let (first, _here, _there) = site_in_two_zones("app", GOOD, GOOD).await;
@@ -133,22 +133,22 @@
     cut_off.wait_for_servers(2).await;
 
     evacuate(&first.store, "zone-a");
-    wait_until("it knows", || evacuated_zones(&cut_off) == 1).await;
+    wait_until("the entry knows of the evacuation", || evacuated_zones(&cut_off) == 1).await;
     first.store.remove("op", "evacuate/zone-a");
-    wait_until("it knows of the end", || evacuated_zones(&cut_off) == 0).await;
+    wait_until("the entry knows of its end", || evacuated_zones(&cut_off) == 0).await;
 }
 
-/// The history between is gone, so the order's end shows in the whole table alone.
+/// The store has dropped its history, so only a full read of the table shows that the evacuation was removed.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_evacuation_that_ended_in_a_gap_of_the_feed_is_ended() {
     let (site, _here, _there) = site_in_two_zones("app", GOOD, GOOD).await;
     evacuate(&site.store, "zone-b");
-    wait_until("it is in force", || evacuated_zones(&site) == 1).await;
+    wait_until("the evacuation is in force", || evacuated_zones(&site) == 1).await;
 
     site.store.set_fault(Fault::Down);
     site.store.remove("op", "evacuate/zone-b");
     site.store.drop_history();
     site.store.set_fault(Fault::None);
 
-    wait_until("it is taken back", || evacuated_zones(&site) == 0).await;
+    wait_until("the evacuation has ended", || evacuated_zones(&site) == 0).await;
 }
--- a/tests/platform/peers.rs
+++ b/tests/platform/peers.rs
@@ -1,7 +1,7 @@
-//! Links between entries: one that follows another leaves the store alone, and asks it at once when
-//! the other one is gone or cut off.
+//! Links between entries: an entry that follows another makes no calls to the store, and returns to
+//! the store at once when the other entry stops or cannot reach its own.
 //!
-//! Each entry has a store of its own here, so that it shows whose word is followed.
+//! Most entries here have a store of their own, so that tests can see where an entry's state comes from.
 
 use std::net::SocketAddr;
 
@@ -29,7 +29,7 @@
     site.entry.router.dump()["follows_another_entry"] == true
 }
 
-/// A store whose rows are newer than those of one that has seen fewer changes.
+/// A store with this number of changes: the more changes, the newer the versions of its rows.
 async fn store_after_changes(changes: usize) -> Store {
     let store = Store::start().await;
     for _ in 0..changes {
@@ -38,23 +38,23 @@
     store
 }
 
-/// An entry that is followed, and one that follows it; the first one's store is ahead.
+/// Starts a seed and an entry that follows it; the seed's store has the newer versions.
 async fn start_seed_and_follower() -> (Site, Site) {
     let first = Site::start_seed(store_after_changes(20).await, None).await;
-    wait_until("the first is ready", || first.entry.router.is_ready()).await;
+    wait_until("the seed is ready", || first.entry.router.is_ready()).await;
     let second = Site::start_follower(store_after_changes(1).await, &first).await;
-    wait_until("the second follows", || follows(&second)).await;
+    wait_until("the second entry follows the seed", || follows(&second)).await;
     (first, second)
 }
 
-/// Puts a configuration into a store so often that its rows are newer than another's.
+/// Writes a configuration so often that its row is newer than those of the other store.
 fn write_newer_rows(store: &Store, version: u64) {
     for _ in 0..60 {
         store.put("op", "config", &configuration(version));
     }
 }
 
-/// Waits until an entry has ended the calls to its store that were under way.
+/// Waits until the store has had no new call for 3.3 s, so that no long poll is pending; returns its number of calls.
 async fn wait_for_idle_store(store: &Store) -> usize {
     loop {
         let calls = store.calls();
@@ -73,8 +73,8 @@
 
     list_server(&first.store, &server, "app", "v1", "ready");
     first.store.put("op", "config", &configuration(5));
-    wait_until("the change is in force", || version(&second) == 5).await;
-    wait_until("the server is in view", || second.entry.router.fleet.load().len() == 1).await;
+    wait_until("the new configuration is in force", || version(&second) == 5).await;
+    wait_until("the server is known", || second.entry.router.fleet.load().len() == 1).await;
 
     assert_eq!(second.request("GET", "/safe/a", "").await.status, 200);
     first.store.remove("servers", "i-1");
@@ -82,7 +82,7 @@
     assert_eq!(second.store.calls(), calls);
 }
 
-/// A hundred entries that start at once would ask the store for everything a hundred times.
+/// Otherwise a hundred entries that start at once would read all tables of the store a hundred times.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_starts_with_a_running_seed_makes_no_store_calls() {
     let server = start_server("i-1", GOOD).await;
@@ -113,10 +113,10 @@
     let (first, second) = start_seed_and_follower().await;
 
     drop(first.entry);
-    wait_until("the link is gone", || !follows(&second)).await;
+    wait_until("the link has ended", || !follows(&second)).await;
     write_newer_rows(&second.store, 9);
 
-    wait_until("the store is followed", || version(&second) == 9).await;
+    wait_until("the configuration of the own store is in force", || version(&second) == 9).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -124,19 +124,19 @@
     let (first, second) = start_seed_and_follower().await;
 
     first.store.set_fault(Fault::Down);
-    wait_until("the link does not stand in", || !follows(&second)).await;
+    wait_until("the seed is no longer followed", || !follows(&second)).await;
     write_newer_rows(&second.store, 9);
-    wait_until("the store is followed", || version(&second) == 9).await;
+    wait_until("the configuration of the own store is in force", || version(&second) == 9).await;
 
     first.store.set_fault(Fault::None);
-    wait_until("the link stands in again", || follows(&second)).await;
+    wait_until("the seed is followed again", || follows(&second)).await;
 }
 
-/// Both seeds are asked for their zone first; one that is gone must not keep an entry from the other.
+/// An entry first asks all seeds for their zones; a seed that is down must not keep it from following the other.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_follows_a_seed_of_another_zone_when_the_others_are_gone() {
     let far = Site::start_seed(store_after_changes(20).await, None).await;
-    wait_until("it is ready", || far.entry.router.is_ready()).await;
+    wait_until("the seed is ready", || far.entry.router.is_ready()).await;
     let seeds = vec!["127.0.0.1:1".parse().unwrap(), far.entry.addresses.peer.unwrap()];
 
     let entry = Site::start_with_settings(store_after_changes(1).await, |host| {
@@ -145,7 +145,7 @@
     })
     .await;
 
-    wait_until("it follows", || follows(&entry)).await;
+    wait_until("the entry follows a seed", || follows(&entry)).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -158,37 +158,39 @@
         wait_until("both are ready", || seeds.iter().all(|seed| seed.entry.router.is_ready()))
             .await;
         let peers = seeds.iter().map(|seed| seed.entry.addresses.peer.unwrap()).collect();
-        // Its own store is empty: what it knows is told by a seed.
+        // The entry's own store is empty, so all that it knows comes from a seed.
         let entry =
             Site::start_with_settings(Store::start().await, |host| host.seed_peers = peers).await;
-        wait_until("it follows", || follows(&entry)).await;
+        wait_until("the entry follows a seed", || follows(&entry)).await;
 
         seeds[lost].store.set_fault(Fault::Down);
         write_newer_rows(&seeds[1 - lost].store, 5);
 
-        wait_until("the other one's word is taken", || version(&entry) == 5 && follows(&entry))
-            .await;
+        wait_until("the configuration of the other seed is in force", || {
+            version(&entry) == 5 && follows(&entry)
+        })
+        .await;
     }
 }
 
-/// A third of the entries may be refused for seconds; each call is paid for.
+/// The store may refuse a third of the entries for seconds, and every call to it is charged.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_stops_calling_a_failing_store_once_it_follows_a_seed() {
     let first = Site::start_seed(store_after_changes(20).await, None).await;
-    wait_until("the first is ready", || first.entry.router.is_ready()).await;
+    wait_until("the seed is ready", || first.entry.router.is_ready()).await;
     let refusing = store_after_changes(1).await;
     let second = Site::start_follower(refusing, &first).await;
-    wait_until("the second follows", || follows(&second)).await;
+    wait_until("the second entry follows the seed", || follows(&second)).await;
     second.store.set_fault(Fault::Down);
     first.store.set_fault(Fault::Down);
     let asked = || second.entry.router.metrics.render().contains("store_errors");
-    wait_until("the second asked its store", asked).await;
+    wait_until("the second entry has called its store", asked).await;
 
     first.store.set_fault(Fault::None);
-    wait_until("it follows again", || follows(&second)).await;
+    wait_until("the second entry follows the seed again", || follows(&second)).await;
     let calls = wait_for_idle_store(&second.store).await;
     first.store.put("op", "config", &configuration(5));
-    wait_until("the change is in force", || version(&second) == 5).await;
+    wait_until("the new configuration is in force", || version(&second) == 5).await;
 
     assert_eq!(second.store.calls(), calls);
 }
@@ -201,14 +203,14 @@
 
     let order = json!({"service": "app", "to": "v2", "duration-s": 600.0});
     first.store.put("op", "rollout/app", &order);
-    wait_until("its begin is known", || roll_out()["began"] == true).await;
+    wait_until("the start of the roll-out is known", || roll_out()["began"] == true).await;
     first.store.put("status", "rollout/app", &json!({"state": "rolled_back", "to": "v2"}));
-    wait_until("its end is known", || roll_out()["progress"] == "RolledBack").await;
+    wait_until("the end of the roll-out is known", || roll_out()["progress"] == "RolledBack").await;
 
     assert_eq!(second.store.calls(), calls);
 }
 
-/// Load that an entry believes to be at the only server in its view.
+/// An entry's estimate of the load on the only server that it knows.
 fn known_load(site: &Site) -> f64 {
     site.entry.router.dump()["servers"][0]["load"].as_f64().unwrap_or_default()
 }
@@ -218,17 +220,17 @@
     let server = start_server("i-1", Action::EndlessStream).await;
     let (first, second) = start_seed_and_follower().await;
     list_server(&first.store, &server, "llm", "v1", "ready");
-    wait_until("both see the server", || {
+    wait_until("both entries know the server", || {
         [&first, &second].iter().all(|site| site.entry.router.fleet.load().len() == 1)
     })
     .await;
 
     for (asking, other) in [(&first, &second), (&second, &first)] {
-        wait_until("nothing runs", || known_load(other) < 0.1).await;
+        wait_until("the server is idle", || known_load(other) < 0.1).await;
         let mut stream = TcpStream::connect(asking.caller).await.unwrap();
         let asked = request_bytes("POST", "/chat/a", "X-Model: *\r\n", "");
         stream.write_all(asked.as_bytes()).await.unwrap();
-        wait_until("the other one knows", || known_load(other) > 0.6).await;
+        wait_until("the other entry knows the load", || known_load(other) > 0.6).await;
     }
 }
 
@@ -238,11 +240,12 @@
     let third = Site::start_follower(store_after_changes(1).await, &first).await;
 
     for site in [&first, &second, &third] {
-        wait_until("it knows of three", || site.entry.router.dump()["entries"] == 3).await;
+        wait_until("the entry knows of three entries", || site.entry.router.dump()["entries"] == 3)
+            .await;
     }
 }
 
-/// Opens a link to an entry and says one thing on it.
+/// Opens a link to an entry and sends one message on it.
 async fn open_link(peer: SocketAddr, asked: &Value) -> WebSocketStream<TcpStream> {
     let stream = TcpStream::connect(peer).await.unwrap();
     let (mut socket, _) = client_async(format!("ws://{peer}/"), stream).await.unwrap();
@@ -252,12 +255,12 @@
     socket
 }
 
-/// Each of the 360 entries that the system is designed for reports to every seed, and all follow one
-/// of them when the others are away.
+/// The system is designed for 360 entries. Each reports to every seed, and all follow the same seed
+/// when the others are down.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_seed_accepts_the_links_of_all_entries() {
     let seed = Site::start_seed(store_after_changes(20).await, None).await;
-    wait_until("it is ready", || seed.entry.router.is_ready()).await;
+    wait_until("the seed is ready", || seed.entry.router.is_ready()).await;
     let peer = seed.entry.addresses.peer.unwrap();
     let follow = json!({"Follow": {"version": 0}});
     let mut links = Vec::new();
@@ -270,7 +273,7 @@
 
     let last = Site::start_follower(store_after_changes(1).await, &seed).await;
 
-    wait_until("the last one follows", || follows(&last)).await;
+    wait_until("the last entry follows the seed", || follows(&last)).await;
     assert_eq!(links.len(), 2 * 358);
 }
 
@@ -283,20 +286,24 @@
     let order = json!({"service": "app", "to": "v2", "duration-s": 600.0});
     first.store.put("op", "rollout/app", &order);
     let roll_out = |site: &Site| site.entry.router.dump()["roll_outs"][0].clone();
-    wait_until("its begin is known", || roll_out(&second)["began"] == true).await;
+    wait_until("the start of the roll-out is known", || roll_out(&second)["began"] == true).await;
 
-    // The second server may come into view 0.8 s after the first, and waits for half a second then.
+    // The second server may become known 0.8 s after the first and is not used for another half second.
     second.wait_for_servers(2).await;
     let mut asked = 0;
     while roll_out(&second)["answers"] == 0 {
-        assert!(asked < 5_000, "some requests are on the new version");
+        assert!(asked < 5_000, "no request went to the new version");
         second.request("GET", &format!("/safe/{asked}"), "").await;
         asked += 1;
     }
     let seen = roll_out(&second)["answers"].clone();
 
-    wait_until("the seed knows", || roll_out(&first)["answers_of_all"] == seen).await;
-    assert_eq!(roll_out(&first)["answers"], 0, "it has seen none itself");
+    wait_until("the seed counts the answer", || roll_out(&first)["answers_of_all"] == seen).await;
+    assert_eq!(
+        roll_out(&first)["answers"],
+        0,
+        "the seed counts answers that it did not get itself"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -310,17 +317,17 @@
     let order = json!({"service": "app", "to": "v2", "duration-s": 0.5});
     store.put("op", "rollout/app", &order);
     let knows = |site: &Site| site.entry.router.dump()["roll_outs"][0]["began"] == true;
-    wait_until("both know the order", || knows(&first) && knows(&second)).await;
+    wait_until("both entries know the order", || knows(&first) && knows(&second)).await;
     tokio::time::sleep(std::time::Duration::from_millis(500)).await;
 
-    // Fewer than either entry alone would want to have seen, and enough together.
+    // Too few answers for a verdict of one entry alone, and enough for both together.
     for i in 0..14 {
         first.request("GET", "/safe/a", &format!("Session: f-{i}\r\n")).await;
         second.request("GET", "/safe/a", &format!("Session: s-{i}\r\n")).await;
     }
 
     let state = || store.read("status", "rollout/app").map(|s| s["state"].clone());
-    wait_until("it is completed", || state() == Some(json!("completed"))).await;
+    wait_until("the roll-out is completed", || state() == Some(json!("completed"))).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -338,7 +345,8 @@
     second.request("POST", "/chat/a", prompt).await;
 
     let kept = |site: &Site| site.entry.router.dump()["servers"][0]["kept_tokens"] == 1_210;
-    wait_until("the sender and the seed know", || kept(&second) && kept(&first)).await;
+    wait_until("the sender and the seed know the cached tokens", || kept(&second) && kept(&first))
+        .await;
     let third = Site::start_follower(store.clone(), &first).await;
-    wait_until("one that starts is told", || kept(&third)).await;
+    wait_until("a new entry knows the cached tokens", || kept(&third)).await;
 }
--- a/tests/platform/restores.rs
+++ b/tests/platform/restores.rs
@@ -1,5 +1,5 @@
-//! The store comes back from a copy some seconds old: what it had acknowledged since is gone, and its versions are
-//! given out again. What is known to be newer holds until it is written again.
+//! The store is restored from a backup some seconds old: writes that it had acknowledged since are lost, and their
+//! versions are assigned again. Entries keep the newer state that they know until it is written again.
 
 use std::time::Duration;
 
@@ -36,21 +36,22 @@
     site.entry.router.dump()["evacuated"].as_array().unwrap().len()
 }
 
-/// A server's row that it wrote as its `sequence`th.
+/// Writes a server's row with this sequence number, which servers increase with each write.
 fn list_with_sequence(store: &Store, server: &Server, state: &str, sequence: u64) {
     let mut row = server_row(server.address, "app", "v1", state);
     row["sequence"] = json!(sequence);
     store.put("servers", &server.id, &row);
 }
 
-/// A configuration that allows the second key alone.
+/// A configuration in which only the second API key is left.
 fn configuration_without_first_key(version: u64) -> Value {
     let mut changed = configuration(version);
     changed["tenants"] = json!([{"name": "org", "api-keys": ["key-2"]}]);
     changed
 }
 
-/// Others have written past what the entry knows, so no feed of it is refused: the header alone tells.
+/// New writes bring the store's version past the one that the entry knows, so its feed is not refused: only the era in
+/// the header shows the restore.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_table_is_reread_after_a_restore_that_reuses_versions() {
     let (lost, new) = (start_server("i-lost", GOOD).await, start_server("i-new", GOOD).await);
@@ -58,7 +59,7 @@
     let site = Site::start(&[(&stays, "app", "v1")]).await;
     let snapshot = site.store.snapshot();
     list_server(&site.store, &lost, "app", "v1", "ready");
-    wait_until("it is in view", || has_server(&site, "i-lost")).await;
+    wait_until("the server is known", || has_server(&site, "i-lost")).await;
 
     site.store.restore(&snapshot);
     for number in 0..5 {
@@ -66,8 +67,9 @@
     }
     list_server(&site.store, &new, "app", "v1", "ready");
 
-    wait_until("what came since is in view", || has_server(&site, "i-new")).await;
-    wait_until("what was not written again is gone", || !has_server(&site, "i-lost")).await;
+    wait_until("the server listed after the restore is known", || has_server(&site, "i-new")).await;
+    wait_until("the server that was not listed again is gone", || !has_server(&site, "i-lost"))
+        .await;
     assert!(has_server(&site, "i-stays"));
 }
 
@@ -83,8 +85,8 @@
     site.store.put("op", "config", &configuration(5));
     list_server(&site.store, &new, "app", "v1", "ready");
 
-    wait_until("the newest is in force", || version(&site) == 5).await;
-    wait_until("the new one is in view", || has_server(&site, "i-new")).await;
+    wait_until("the newest configuration is in force", || version(&site) == 5).await;
+    wait_until("the new server is known", || has_server(&site, "i-new")).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -96,18 +98,18 @@
     first.wait_for_servers(1).await;
     let snapshot = first.store.snapshot();
     first.store.put("op", "config", &configuration_without_first_key(4));
-    wait_until("the key is gone", || version(&first) == 4).await;
+    wait_until("the key is revoked", || version(&first) == 4).await;
 
     first.store.restore(&snapshot);
     list_server(&first.store, &server, "app", "v1", "ready");
-    wait_until("it noticed", || first.entry.router.dump()["era"] == 1).await;
+    wait_until("the entry noticed the restore", || first.entry.router.dump()["era"] == 1).await;
     let second = Site::start_follower(first.store.clone(), &first).await;
-    wait_until("it heard of the newest", || version(&second) == 4).await;
+    wait_until("the new entry has the newest configuration", || version(&second) == 4).await;
 
     assert_eq!(first.request("GET", "/safe/a", "").await.status, 401);
     assert_eq!(second.request("GET", "/safe/a", "").await.status, 401);
     first.store.put("op", "config", &configuration(6));
-    wait_until("what the operator writes next holds", || version(&second) == 6).await;
+    wait_until("the operator's next configuration is in force", || version(&second) == 6).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -116,35 +118,35 @@
         (start_server("i-stays", GOOD).await, start_server("i-leaves", GOOD).await);
     let site = Site::start(&[(&stays, "app", "v1")]).await;
     list_with_sequence(&site.store, &leaves, "ready", 5);
-    wait_until("it is in view", || has_server(&site, "i-leaves")).await;
+    wait_until("the server is known", || has_server(&site, "i-leaves")).await;
     let snapshot = site.store.snapshot();
     list_with_sequence(&site.store, &leaves, "draining", 6);
-    wait_until("it leaves", || is_draining(&site, "i-leaves")).await;
+    wait_until("the server is draining", || is_draining(&site, "i-leaves")).await;
 
     site.store.restore(&snapshot);
-    wait_until("it noticed", || site.entry.router.dump()["era"] == 1).await;
+    wait_until("the entry noticed the restore", || site.entry.router.dump()["era"] == 1).await;
 
     assert!(is_draining(&site, "i-leaves"));
     list_with_sequence(&site.store, &leaves, "draining", 7);
     site.store.remove("servers", "i-leaves");
-    wait_until("it is gone", || !has_server(&site, "i-leaves")).await;
+    wait_until("the server is gone", || !has_server(&site, "i-leaves")).await;
 }
 
-/// Its row is back for a while, until the store drops it once more.
+/// After the restore, the row of a server that has stopped exists again until the store expires it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_removed_server_is_not_used_while_a_restore_brings_its_row_back() {
     let (stays, gone) = (start_server("i-stays", GOOD).await, start_server("i-gone", GOOD).await);
     let site = Site::start(&[(&stays, "app", "v1"), (&gone, "app", "v1")]).await;
     let snapshot = site.store.snapshot();
     site.store.remove("servers", "i-gone");
-    wait_until("it is gone", || !has_server(&site, "i-gone")).await;
+    wait_until("the server is gone", || !has_server(&site, "i-gone")).await;
 
     site.store.restore(&snapshot);
-    wait_until("it noticed", || site.entry.router.dump()["era"] == 1).await;
+    wait_until("the entry noticed the restore", || site.entry.router.dump()["era"] == 1).await;
     let was_listed = has_server(&site, "i-gone");
     site.store.remove("servers", "i-gone");
     list_server(&site.store, &stays, "app", "v2", "ready");
-    wait_until("the feed went on", || {
+    wait_until("the feed has delivered later rows", || {
         site.entry.router.fleet.load().of_service("app").iter().any(|m| &*m.server.version == "v2")
     })
     .await;
@@ -152,18 +154,18 @@
     assert!(!was_listed && !has_server(&site, "i-gone"));
 }
 
-/// It had only lapsed, and lives: its row stays.
+/// The row had only expired while the server was running, so it stays after the restore.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_removed_server_is_used_again_if_its_restored_row_stays() {
     let server = start_server("i-1", GOOD).await;
     let site = Site::start(&[(&server, "app", "v1")]).await;
     let snapshot = site.store.snapshot();
     site.store.remove("servers", "i-1");
-    wait_until("it is gone", || !has_server(&site, "i-1")).await;
+    wait_until("the server is gone", || !has_server(&site, "i-1")).await;
 
     site.store.restore(&snapshot);
 
-    wait_until("it is back", || has_server(&site, "i-1")).await;
+    wait_until("the server is known again", || has_server(&site, "i-1")).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -172,16 +174,16 @@
     let site = Site::start(&[(&server, "app", "v1")]).await;
     let snapshot = site.store.snapshot();
     site.store.put("op", "evacuate/zone-a", &json!({}));
-    wait_until("it is in force", || evacuated_zones(&site) == 1).await;
+    wait_until("the evacuation is in force", || evacuated_zones(&site) == 1).await;
 
     site.store.restore(&snapshot);
-    wait_until("it noticed", || site.entry.router.dump()["era"] == 1).await;
+    wait_until("the entry noticed the restore", || site.entry.router.dump()["era"] == 1).await;
 
     assert_eq!(evacuated_zones(&site), 1);
     assert_eq!(site.request("GET", "/safe/a", "").await.status, 503);
     site.store.put("op", "evacuate/zone-a", &json!({}));
     site.store.remove("op", "evacuate/zone-a");
-    wait_until("it is taken back", || evacuated_zones(&site) == 0).await;
+    wait_until("the evacuation has ended", || evacuated_zones(&site) == 0).await;
 }
 
 fn state(site: &Site) -> String {
@@ -189,11 +191,11 @@
     status.and_then(|s| Some(s["state"].as_str()?.to_owned())).unwrap_or_default()
 }
 
-/// Orders a version that fails, and asks until it is rolled back; the order.
+/// Orders a roll-out of a version that fails and sends requests until it is rolled back; returns the order.
 async fn roll_back(site: &Site) -> Value {
     let order = json!({"service": "app", "to": "v2", "duration-s": 600.0});
     site.store.put("op", "rollout/app", &order);
-    wait_until("it is under way", || state(site) == "in_progress").await;
+    wait_until("the roll-out is in progress", || state(site) == "in_progress").await;
     for number in 0..4_000 {
         if state(site) == "rolled_back" {
             break;
@@ -204,8 +206,8 @@
     order
 }
 
-/// The verdict is lost, and so are the order and what was written of its begin. The operator writes the order
-/// again under a version that was given out before.
+/// The restore loses the order, its `in_progress` status and the verdict. The operator writes the order again, and it
+/// gets a version that was assigned before.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_version_stays_rolled_back_after_a_restore_and_the_verdict_is_rewritten() {
     let (old, new) = (start_server("i-1", GOOD).await, start_server("i-2", FAILS).await);
@@ -215,7 +217,7 @@
 
     site.store.restore(&snapshot);
     site.store.put("op", "rollout/app", &order);
-    wait_until("the store is told again", || state(&site) == "rolled_back").await;
+    wait_until("the verdict is written again", || state(&site) == "rolled_back").await;
 
     let before = new.requests().len();
     for number in 0..60 {
@@ -224,7 +226,7 @@
     assert_eq!(new.requests().len(), before);
 }
 
-/// What was to be told again meets what somebody else wrote meanwhile.
+/// The first attempt to write the verdict again fails because of another writer.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_verdict_is_rewritten_after_a_restore_despite_a_write_conflict() {
     let (old, new) = (start_server("i-1", GOOD).await, start_server("i-2", FAILS).await);
@@ -236,13 +238,13 @@
     site.store.restore(&snapshot);
     site.store.put("op", "rollout/app", &order);
     let before = site.store.conflicts();
-    wait_until("it tried to tell", || site.store.conflicts() > before).await;
+    wait_until("a write of the verdict has failed", || site.store.conflicts() > before).await;
     site.store.set_fault(Fault::None);
 
-    wait_until("the store is told again", || state(&site) == "rolled_back").await;
+    wait_until("the verdict is written again", || state(&site) == "rolled_back").await;
 }
 
-/// Another order, under a version that is no greater than the one of the lost order.
+/// The version of the new order is not greater than that of the lost order.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_new_order_with_a_reused_version_is_followed_after_a_restore() {
     let old = start_server("i-1", GOOD).await;
@@ -254,12 +256,12 @@
     let order = |to: &str| json!({"service": "app", "to": to, "duration-s": 600.0});
     site.store.put("op", "rollout/app", &order("v2"));
     let to = || site.entry.router.dump()["roll_outs"][0]["to"].clone();
-    wait_until("it is known", || to() == "v2").await;
+    wait_until("the order is known", || to() == "v2").await;
 
     site.store.restore(&snapshot);
     site.store.put("op", "rollout/app", &order("v3"));
 
-    wait_until("the other one is known", || to() == "v3").await;
+    wait_until("the new order is known", || to() == "v3").await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -274,7 +276,7 @@
     };
     let snapshot = store.snapshot();
     let WriteOutcome::Written(read) = client.write(&[put(0, "first")], 0).await.unwrap() else {
-        panic!("nothing was there");
+        panic!("the first write of a row must succeed");
     };
     store.restore(&snapshot);
     store.put("mintmoor", "row", &json!("another's, under the same version"));
@@ -284,7 +286,7 @@
     assert_eq!(outcome, WriteOutcome::EraMismatch);
 }
 
-/// An entry that starts while the store comes back hears the same as the others.
+/// An entry that starts while the store is restored ends with the same configuration and servers as a running one.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_starts_during_a_restore_agrees_with_the_others() {
     let (one, two) = (start_server("i-1", GOOD).await, start_server("i-2", GOOD).await);
@@ -293,7 +295,7 @@
     first.wait_for_servers(1).await;
     let snapshot = first.store.snapshot();
     first.store.put("op", "config", &configuration_without_first_key(7));
-    wait_until("it is in force", || version(&first) == 7).await;
+    wait_until("the new configuration is in force", || version(&first) == 7).await;
 
     let starting = Site::start_follower(first.store.clone(), &first);
     let restoring = async {
@@ -304,7 +306,7 @@
     let (second, ()) = tokio::join!(starting, restoring);
 
     for site in [&first, &second] {
-        wait_until("the new server is in view", || has_server(site, "i-2")).await;
-        wait_until("the newest is in force", || version(site) == 7).await;
+        wait_until("the new server is known", || has_server(site, "i-2")).await;
+        wait_until("the newest configuration is in force", || version(site) == 7).await;
     }
 }
--- a/tests/platform/roll_outs.rs
+++ b/tests/platform/roll_outs.rs
@@ -1,4 +1,5 @@
-//! Roll-outs: a bad version is found and taken back, a good one completed, whoever says so first.
+//! Roll-outs: a bad version is detected and rolled back, a good one is completed, and entries accept a verdict that
+//! another entry wrote first.
 
 use std::time::Duration;
 
@@ -22,13 +23,14 @@
     status.and_then(|s| Some(s["state"].as_str()?.to_owned())).unwrap_or_default()
 }
 
-/// Asks until the store tells this state of the roll-out; requests without a session are on trial
-/// from its begin on, drawn by their ids.
+/// Sends requests without a session until the store has this state of the roll-out; returns their number. Once the
+/// roll-out has started, the id of each such request decides whether it goes to the old or the new version.
 pub async fn send_until_state(site: &Site, wanted: &str) -> usize {
     send_each_until_state(site, wanted, |i| (format!("/safe/{i}"), String::new())).await
 }
 
-/// Asks with the path and headers of each number until the store tells this state of the roll-out.
+/// Sends numbered requests, each with the path and headers that `request` returns for its number, until the store has
+/// this state of the roll-out; returns how many it sent.
 async fn send_each_until_state(
     site: &Site,
     wanted: &str,
@@ -37,7 +39,11 @@
     let mut sent = 0;
     while state(site) != wanted {
         sent += 1;
-        assert!(sent < 20_000, "never {wanted}, but {}", site.entry.router.dump()["roll_outs"]);
+        assert!(
+            sent < 20_000,
+            "state {wanted} not reached: {}",
+            site.entry.router.dump()["roll_outs"]
+        );
         let (path, headers) = request(sent);
         site.request("GET", &path, &headers).await;
     }
@@ -54,7 +60,7 @@
 async fn a_version_that_fails_is_rolled_back_after_few_requests() {
     let (_old, new, site) = start_with_two_versions(FAILS).await;
     site.store.put("op", "rollout/app", &order("v2", 600.0));
-    wait_until("it is under way", || state(&site) == "in_progress").await;
+    wait_until("the roll-out is in progress", || state(&site) == "in_progress").await;
     let before = new.requests().len();
 
     let sent = send_until_state(&site, "rolled_back").await;
@@ -66,14 +72,14 @@
         let answer = site.request("GET", "/safe/a", &format!("Session: t-{i}\r\n")).await;
         assert_eq!(answer.status, 200);
     }
-    assert_eq!(new.requests().len(), after, "a version that was rolled back gets nothing");
+    assert_eq!(new.requests().len(), after, "the version got requests after it was rolled back");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_version_that_fails_is_rolled_back_when_all_requests_have_sessions() {
     let (_old, new, site) = start_with_two_versions(FAILS).await;
     site.store.put("op", "rollout/app", &order("v2", 3.0));
-    wait_until("it is under way", || state(&site) == "in_progress").await;
+    wait_until("the roll-out is in progress", || state(&site) == "in_progress").await;
 
     let of_session = |i| ("/safe/a".into(), format!("Session: s-{i}\r\n"));
     let sent = send_each_until_state(&site, "rolled_back", of_session).await;
@@ -86,7 +92,7 @@
 async fn a_version_whose_answers_break_off_is_rolled_back() {
     let (_old, new, site) = start_with_two_versions(Action::Truncated).await;
     site.store.put("op", "rollout/app", &order("v2", 600.0));
-    wait_until("it is under way", || state(&site) == "in_progress").await;
+    wait_until("the roll-out is in progress", || state(&site) == "in_progress").await;
 
     let sent = send_until_state(&site, "rolled_back").await;
 
@@ -99,7 +105,7 @@
     let slow = Action::RespondAfter { body: "good", delay: Duration::from_millis(150) };
     let (_old, new, site) = start_with_two_versions(slow).await;
     site.store.put("op", "rollout/app", &order("v2", 600.0));
-    wait_until("it is under way", || state(&site) == "in_progress").await;
+    wait_until("the roll-out is in progress", || state(&site) == "in_progress").await;
 
     let sent = send_until_state(&site, "rolled_back").await;
 
@@ -116,12 +122,12 @@
     let order = json!({"service": "llm", "to": "v2", "duration-s": 600.0});
     site.store.put("op", "rollout/llm", &order);
     let state = || site.store.read("status", "rollout/llm").map(|s| s["state"].clone());
-    wait_until("it is under way", || state().is_some()).await;
+    wait_until("the roll-out is in progress", || state().is_some()).await;
 
     let mut sent = 0;
     while state() != Some(json!("rolled_back")) {
         sent += 1;
-        assert!(sent < 1_000, "never, but {}", site.entry.router.dump()["roll_outs"]);
+        assert!(sent < 1_000, "not rolled back: {}", site.entry.router.dump()["roll_outs"]);
         site.request("POST", &format!("/chat/{sent}"), "X-Model: *\r\n").await;
     }
 }
@@ -149,13 +155,13 @@
     }
 
     site.store.put("op", "rollout/app", &order("v2", 600.0));
-    wait_until("it is under way", || state(&site) == "in_progress").await;
+    wait_until("the roll-out is in progress", || state(&site) == "in_progress").await;
     let before = new.requests().len();
     for session in &sessions {
         site.request("GET", "/safe/a", session).await;
     }
 
-    // Before the order any server may serve; after it, running sessions are on the old version.
+    // Before the order any server may serve a session; afterwards existing sessions stay on the old version.
     assert_eq!(new.requests().len(), before);
 }
 
@@ -163,10 +169,10 @@
 async fn an_entry_learns_the_verdict_of_another_entry() {
     let (_old, new, site) = start_with_two_versions(GOOD).await;
     site.store.put("op", "rollout/app", &order("v2", 600.0));
-    wait_until("it is under way", || state(&site) == "in_progress").await;
+    wait_until("the roll-out is in progress", || state(&site) == "in_progress").await;
 
     site.store.put("status", "rollout/app", &json!({"state": "rolled_back", "to": "v2"}));
-    wait_until("it is taken over", || {
+    wait_until("the entry has the verdict", || {
         site.entry.router.dump()["roll_outs"][0]["progress"] == "RolledBack"
     })
     .await;
@@ -182,12 +188,12 @@
 async fn a_restarted_entry_does_not_begin_a_roll_out_again() {
     let (_old, new, site) = start_with_two_versions(FAILS).await;
     site.store.put("op", "rollout/app", &order("v2", 600.0));
-    wait_until("it is under way", || state(&site) == "in_progress").await;
+    wait_until("the roll-out is in progress", || state(&site) == "in_progress").await;
     send_until_state(&site, "rolled_back").await;
 
     let next = Site::start_with_store(site.store.clone()).await;
-    wait_until("it is ready", || next.entry.router.is_ready()).await;
-    wait_until("it knows the verdict", || {
+    wait_until("the new entry is ready", || next.entry.router.is_ready()).await;
+    wait_until("the new entry knows the verdict", || {
         next.entry.router.dump()["roll_outs"][0]["progress"] == "RolledBack"
     })
     .await;
@@ -203,26 +209,28 @@
 async fn an_entry_that_starts_during_a_roll_out_joins_it_at_its_current_share() {
     let (_old, new, site) = start_with_two_versions(GOOD).await;
     site.store.put("op", "rollout/app", &order("v2", 1.0));
-    wait_until("it is under way", || state(&site) == "in_progress").await;
-    // Past its end, and not completed for want of answers.
+    wait_until("the roll-out is in progress", || state(&site) == "in_progress").await;
+    // The roll-out's duration is over, but it is not completed because there were no answers.
     tokio::time::sleep(Duration::from_millis(1_200)).await;
 
     let next = Site::start_with_store(site.store.clone()).await;
-    wait_until("it is ready", || next.entry.router.is_ready()).await;
-    wait_until("it knows the order", || next.entry.router.dump()["roll_outs"][0]["began"] == true)
-        .await;
+    wait_until("the new entry is ready", || next.entry.router.is_ready()).await;
+    wait_until("the new entry knows the order", || {
+        next.entry.router.dump()["roll_outs"][0]["began"] == true
+    })
+    .await;
     for i in 0..10 {
         next.request("GET", "/safe/a", &format!("Session: u-{i}\r\n")).await;
     }
 
-    assert_eq!(new.requests().len(), 10, "all requests are on the new version by now");
+    assert_eq!(new.requests().len(), 10, "some requests did not go to the new version");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_bad_version_gets_few_requests_while_the_store_is_unreachable() {
     let (_old, new, site) = start_with_two_versions(FAILS).await;
     site.store.put("op", "rollout/app", &order("v2", 600.0));
-    wait_until("it is under way", || state(&site) == "in_progress").await;
+    wait_until("the roll-out is in progress", || state(&site) == "in_progress").await;
 
     site.store.set_fault(Fault::Down);
     for i in 0..600 {
@@ -239,13 +247,13 @@
 async fn an_entry_knows_its_verdict_though_the_reply_to_its_write_was_lost() {
     let (_old, _new, site) = start_with_two_versions(FAILS).await;
     site.store.put("op", "rollout/app", &order("v2", 600.0));
-    wait_until("it is under way", || state(&site) == "in_progress").await;
+    wait_until("the roll-out is in progress", || state(&site) == "in_progress").await;
 
     site.store.set_fault(Fault::RepliesLost);
     send_until_state(&site, "rolled_back").await;
     site.store.set_fault(Fault::None);
 
-    wait_until("the entry knows", || {
+    wait_until("the entry knows the verdict", || {
         site.entry.router.dump()["roll_outs"][0]["progress"] == "RolledBack"
     })
     .await;
--- a/tests/platform/rows.rs
+++ b/tests/platform/rows.rs
@@ -1,4 +1,4 @@
-//! Rows in the list of servers that no server wrote: each names no server, and all others hold.
+//! Invalid rows in the table of servers: each counts as no server, and all other rows stay in use.
 
 use mintmoor::platform::{
     documents::parse_server_row,
@@ -17,11 +17,11 @@
 };
 
 const GOOD: Action = Action::Respond { status: 200, body: "good" };
-/// What a server tells of itself, each time it writes.
+/// Required fields of a server's row.
 const FIELDS: [&str; 8] =
     ["service", "address", "zone", "version", "slots", "state", "cold-remaining-ms", "sequence"];
 
-/// A whole row of a server that tells its start and its models.
+/// A row with all required fields, a start time and models.
 fn complete_row() -> Value {
     let mut row = server_row("127.0.0.1:9".parse().unwrap(), "llm", "v1", "ready");
     row["born"] = json!(1_764_720_000_000_u64);
@@ -42,7 +42,7 @@
     })
 }
 
-/// Documents that no server writes, with what is wrong about each.
+/// Invalid rows, each with a description of its fault.
 fn invalid_rows(server: &Server) -> Vec<(&'static str, Value)> {
     let good = server_row(server.address, "app", "v1", "ready");
     let with = |field: &str, value: Value| {
@@ -55,12 +55,12 @@
     vec![
         ("a missing field", without_state),
         ("a field of another type", with("slots", json!("8"))),
-        ("no slots", with("slots", json!(0))),
+        ("zero slots", with("slots", json!(0))),
         ("an unknown state", with("state", json!("resting"))),
-        ("a start that is no number", with("born", json!("today"))),
-        ("a wrong address", with("address", json!("nowhere:x"))),
-        ("an address where nobody listens", with("address", json!("0.0.0.0:0"))),
-        ("no object", json!([1, 2])),
+        ("a start time that is not a number", with("born", json!("today"))),
+        ("a malformed address", with("address", json!("nowhere:x"))),
+        ("an unspecified address with port 0", with("address", json!("0.0.0.0:0"))),
+        ("not an object", json!([1, 2])),
     ]
 }
 
@@ -114,7 +114,7 @@
         assert_eq!(site.request("GET", "/safe/a", "").await.status, 200, "{what}");
 
         list_server(&site.store, &spoiled, "app", "v1", "ready");
-        wait_until("it can be read again", || servers(&site) == 2).await;
+        wait_until("the server is known again", || servers(&site) == 2).await;
     }
 }
 
@@ -131,9 +131,9 @@
 
     site.wait_for_servers(1).await;
     list_server(&site.store, &spoiled, "app", "v1", "ready");
-    wait_until("the feed goes on", || servers(&site) == 2).await;
+    wait_until("the feed delivers the valid row", || servers(&site) == 2).await;
     site.store.put_malformed("servers", "i-2", &json!("%%%"));
-    wait_until("it is taken out again", || servers(&site) == 1).await;
+    wait_until("the server is removed again", || servers(&site) == 1).await;
     assert!(site.entry.router.metrics.render().contains("mintmoor_rows_unreadable 2"));
 }
 
@@ -146,11 +146,11 @@
     let second = Site::start_follower(store.clone(), &first).await;
     list_server(&store, &stays, "app", "v1", "ready");
     list_server(&store, &spoiled, "app", "v1", "ready");
-    wait_until("both are in view", || servers(&second) == 2).await;
+    wait_until("both servers are known", || servers(&second) == 2).await;
 
     store.put_malformed("servers", "i-2", &json!("%%%"));
 
-    wait_until("the readable one is left", || servers(&second) == 1).await;
+    wait_until("only the server with the valid row is left", || servers(&second) == 1).await;
     assert_eq!(second.request("GET", "/safe/a", "").await.status, 200);
 }
 
@@ -166,17 +166,17 @@
     for server in [&stays, &spoiled, &also] {
         list_server_with_start_time(&site.store, server, "app", 1_000);
     }
-    wait_until("all are in view", || servers(&site) == 3).await;
+    wait_until("all servers are known", || servers(&site) == 3).await;
 
     list_server(&site.store, &foreign, "app", "v1", "ready");
     list_server(&site.store, &spoiled, "app", "v1", "ready");
 
-    wait_until("the two that tell their start are left", || servers(&site) == 2).await;
+    wait_until("only the two servers with a start time are left", || servers(&site) == 2).await;
     let fleet = site.entry.router.fleet.load();
     assert!(fleet.of_service("app").iter().all(|member| member.server.started_at == Some(1_000)));
 }
 
-/// Whatever another writer left there as the time for which a server is cold.
+/// Another writer may have left any number as the time for which a server stays cold.
 #[test]
 fn a_cold_time_out_of_range_is_bounded() {
     for ms in [1e300, -1e300, f64::MAX, 0.5] {
--- a/tests/platform/site.rs
+++ b/tests/platform/site.rs
@@ -1,4 +1,4 @@
-//! A small site: the store, servers, one entry, and a caller.
+//! A test deployment of one entry with its store and servers, and a caller's HTTP client.
 
 use std::{
     collections::HashMap,
@@ -24,21 +24,21 @@
     store::Store,
 };
 
-/// Longest that a test waits for anything; it asserts nothing about time.
+/// Longest wait for a condition or an answer. It only stops tests that hang: no test measures time by it.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Any free port on loopback; the entry tells which one it got.
+/// Loopback address with port 0: the entry binds a free port and reports it.
 fn any_free_address() -> SocketAddr {
     "127.0.0.1:0".parse().unwrap()
 }
 
-/// A Host's name that no other entry of the tests has: entries know each other by it.
+/// A Host name that no other entry of the tests has; entries identify each other by it.
 fn unique_host_name() -> Box<str> {
     static STARTED: AtomicUsize = AtomicUsize::new(0);
     format!("edge-{}", STARTED.fetch_add(1, Ordering::Relaxed)).into()
 }
 
-/// Settings of an entry beside this store.
+/// Settings of an entry that uses this store.
 pub fn host_settings(store: &Store) -> HostSettings {
     HostSettings {
         host: unique_host_name(),
@@ -52,15 +52,16 @@
         shutdown_grace: Duration::from_secs(4),
         drain_time: Duration::from_secs(2),
         catch_up_time: Duration::from_secs(3),
-        // More than deployments allow: an entry that has just started has no part of the extra yet,
-        // and the budget has tests of its own.
+        // More retries than deployments allow: an entry that has just started has no share of
+        // `retry_extra` yet, and the retry budget has tests of its own.
         retry_ratio: 4.0,
         retry_extra: 52.0,
         retry_window: Duration::from_secs(10),
     }
 }
 
-/// A configuration with an idempotent, a once-only and a stream route, each with its service.
+/// A configuration with an idempotent route and a once-only route to service `app`, and two stream
+/// routes to service `llm`, of which only `chat` is resumable.
 pub fn configuration(version: u64) -> Value {
     json!({
         "version": version,
@@ -87,23 +88,26 @@
     })
 }
 
-/// A site under test.
+/// One running entry and its store.
 pub struct Site {
     pub store: Store,
     pub entry: RunningRouter,
+    /// Where the entry takes callers' requests.
     pub caller: SocketAddr,
+    /// Where the entry answers readiness checks.
     pub readiness: SocketAddr,
 }
 
 impl Site {
-    /// A site whose servers are listed; it is ready when this returns.
+    /// Starts an entry and a store that lists these servers, each with its service and version;
+    /// returns when the entry is ready.
     pub async fn start(servers: &[(&Server, &str, &str)]) -> Self {
         let site = Self::start_with_store(store_with_servers(servers).await).await;
         site.wait_for_servers(servers.len()).await;
         site
     }
 
-    /// A site whose servers are listed and whose entry may repeat no sends.
+    /// Like [`Site::start`], with a retry budget of zero.
     pub async fn start_without_retries(servers: &[(&Server, &str, &str)]) -> Self {
         let site = Self::start_with_settings(store_with_servers(servers).await, |host| {
             (host.retry_ratio, host.retry_extra) = (0.0, 0.0);
@@ -113,13 +117,12 @@
         site
     }
 
-    /// An entry beside a store as it is; it may not be ready.
+    /// Starts an entry on an existing store; it may not be ready yet.
     pub async fn start_with_store(store: Store) -> Self {
         Self::start_seed(store, None).await
     }
 
-    /// An entry that its settings name as one for others to follow, beside a store; it knows
-    /// another one as well.
+    /// Starts an entry whose settings name itself as a seed, and another peer if given.
     pub async fn start_seed(store: Store, other: Option<SocketAddr>) -> Self {
         Self::start_with_settings(store, |host| {
             host.seed_peers = host.peer_address.into_iter().chain(other).collect()
@@ -127,13 +130,13 @@
         .await
     }
 
-    /// An entry beside a store that follows another entry.
+    /// Starts an entry on a store, with another entry as its only seed.
     pub async fn start_follower(store: Store, other: &Site) -> Self {
         let seed = other.entry.addresses.peer;
         Self::start_with_settings(store, |host| host.seed_peers = seed.into_iter().collect()).await
     }
 
-    /// An entry beside a store whose settings are changed first.
+    /// Starts an entry on a store with changed settings.
     pub async fn start_with_settings(store: Store, change: impl FnOnce(&mut HostSettings)) -> Self {
         let mut host = host_settings(&store);
         change(&mut host);
@@ -143,32 +146,35 @@
         Self { store, entry, caller, readiness }
     }
 
-    /// Waits until the entry is ready and has so many servers in view.
+    /// Waits until the entry is ready and knows this number of servers.
     pub async fn wait_for_servers(&self, servers: usize) {
         let router = &self.entry.router;
-        wait_until("the entry has its view", || {
+        wait_until("the entry is ready and knows all servers", || {
             router.is_ready() && router.fleet.load().len() == servers
         })
         .await;
     }
 
-    /// Sends a request on a connection of its own and reads the answer to its end.
+    /// Sends a request without a body on a new connection and reads the whole answer.
     pub async fn request(&self, method: &str, path: &str, headers: &str) -> Answer {
         self.send(&request_bytes(method, path, headers, "")).await
     }
 
-    /// Sends raw bytes and reads what comes until the connection ends.
+    /// Sends raw bytes on a new connection and reads the answer until the connection ends.
     pub async fn send(&self, bytes: &str) -> Answer {
         let mut stream = TcpStream::connect(self.caller).await.unwrap();
         stream.write_all(bytes.as_bytes()).await.unwrap();
         let mut raw = Vec::new();
-        // A reset shows as an answer that is not whole.
-        let _ = timeout(WAIT_TIMEOUT, stream.read_to_end(&mut raw)).await.expect("no answer");
+        // After a connection reset, `is_whole` is false.
+        let _ = timeout(WAIT_TIMEOUT, stream.read_to_end(&mut raw))
+            .await
+            .expect("the connection did not end in time");
         Answer::parse(&raw)
     }
 }
 
-/// A store with a configuration, where servers are listed.
+/// A store with [`configuration`] 1 that lists these servers as ready, each with its service and
+/// version.
 pub async fn store_with_servers(servers: &[(&Server, &str, &str)]) -> Store {
     let store = Store::start().await;
     store.put("op", "config", &configuration(1));
@@ -178,12 +184,12 @@
     store
 }
 
-/// A request's bytes; the connection ends after it.
+/// The bytes of an HTTP/1.1 request with `Connection: close`.
 pub fn request_bytes(method: &str, path: &str, headers: &str, body: &str) -> String {
     request_bytes_with_id(&format!("r-{path}"), method, path, headers, body)
 }
 
-/// The same under an id of its own.
+/// Like [`request_bytes`], with this request id.
 pub fn request_bytes_with_id(
     id: &str,
     method: &str,
@@ -197,7 +203,7 @@
     )
 }
 
-/// The row of a server, with all that servers tell of themselves.
+/// The row of a server with every required field.
 pub fn server_row(address: SocketAddr, service: &str, version: &str, state: &str) -> Value {
     json!({
         "service": service, "address": address.to_string(), "zone": "zone-a", "version": version,
@@ -205,25 +211,26 @@
     })
 }
 
-/// Lists a server in the store.
+/// Writes a server's row to the store.
 pub fn list_server(store: &Store, server: &Server, service: &str, version: &str, state: &str) {
     store.put("servers", &server.id, &server_row(server.address, service, version, state));
 }
 
-/// Lists a server that tells its start.
+/// Writes the row of a ready server with its start time in ms.
 pub fn list_server_with_start_time(store: &Store, server: &Server, service: &str, born: u64) {
     let mut row = server_row(server.address, service, "v1", "ready");
     row["born"] = json!(born);
     store.put("servers", &server.id, &row);
 }
 
-/// An answer as the caller got it.
+/// An HTTP response as the caller received it.
 #[derive(Debug, Default)]
 pub struct Answer {
     pub status: u16,
+    /// Status line and headers in lower case.
     pub head: String,
     pub body: String,
-    /// Whether it ended as its framing says.
+    /// Whether the body is complete by its chunked encoding or content length.
     pub is_whole: bool,
 }
 
@@ -246,6 +253,7 @@
     }
 }
 
+/// Decodes a chunked body; also returns whether it has its last chunk.
 fn decode_chunked(mut rest: &str) -> (String, bool) {
     let mut body = String::new();
     while let Some((size, tail)) = rest.split_once("\r\n") {
@@ -264,27 +272,27 @@
     (body, false)
 }
 
-/// Events of a stream from 1 to `to`.
+/// Server-sent events 1 to `to`, as the test servers write them.
 pub fn events(to: u64) -> String {
     (1..=to).map(|event| format!("id: {event}\ndata: e{event}\n\n")).collect()
 }
 
-/// Waits until something holds.
+/// Polls until `holds` returns true; panics with `what` after [`WAIT_TIMEOUT`].
 pub async fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let work = async {
         while !holds() {
             sleep(Duration::from_millis(10)).await;
         }
     };
-    assert!(timeout(WAIT_TIMEOUT, work).await.is_ok(), "never: {what}");
+    assert!(timeout(WAIT_TIMEOUT, work).await.is_ok(), "timed out waiting until {what}");
 }
 
-/// A server that does the same with every request.
+/// Starts a server that handles every request in the same way.
 pub async fn start_server(id: &str, act: Action) -> Server {
     Server::start(id, move |_: &ReceivedRequest| act.clone()).await
 }
 
-/// A server that does one thing with its first request and another with the rest.
+/// Starts a server that handles its first request in one way and all others in another.
 pub async fn start_server_with_first_act(id: &str, first: Action, then: Action) -> Server {
     let asked = std::sync::atomic::AtomicBool::new(false);
     Server::start(id, move |_: &ReceivedRequest| {
--- a/tests/platform/store.rs
+++ b/tests/platform/store.rs
@@ -1,4 +1,5 @@
-//! A stand-in of the platform's store: rows, a feed of changes, transactions, and faults.
+//! An in-memory fake of the platform's store: it serves rows, a long-polled feed of changes and
+//! transactions over HTTP, and injects faults.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -19,33 +20,33 @@
 use serde_json::{Value, json};
 use tokio::{net::TcpListener, sync::Notify};
 
-/// What goes wrong with the store's calls.
+/// Fault that the store injects into its calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
     #[default]
     None,
-    /// Calls are refused.
+    /// All calls are answered with 503.
     Down,
-    /// Calls beyond the rate.
+    /// All calls are answered with 429.
     RateLimited,
-    /// The connection ends without an answer; writes take effect.
+    /// Writes take effect and are then answered with 500; reads work.
     RepliesLost,
-    /// Somebody else always writes first.
+    /// Every transaction fails as if another writer had changed its rows first.
     Contended,
 }
 
-/// What the store held at a moment.
+/// Contents of the store at one moment, for [`Store::restore`].
 pub struct Snapshot {
     rows: BTreeMap<(String, String), (RowValue, u64)>,
     changes: Vec<(u64, String, String, bool)>,
     version: u64,
 }
 
-/// What a row holds.
+/// Value of a row.
 #[derive(Clone)]
 enum RowValue {
     Bytes(Vec<u8>),
-    /// Something that is no encoded text, as the answer shows it.
+    /// Returned as this JSON instead of as base64 text, so that clients cannot decode it.
     Malformed(Value),
 }
 
@@ -60,18 +61,21 @@
 
 #[derive(Default)]
 struct StoreState {
+    /// Values and versions of rows, by table and key.
     rows: BTreeMap<(String, String), (RowValue, u64)>,
-    /// Every change, oldest first: version, table, key, and whether it removed the row.
+    /// Every change, oldest first: version, table, key, and whether the row was removed.
     changes: Vec<(u64, String, String, bool)>,
     version: u64,
-    /// Changes up to this version are forgotten.
+    /// Changes up to this version have been dropped from the history.
     dropped_up_to: u64,
     fault: Fault,
+    /// Most rows in one response to a read.
     page_size: usize,
+    /// Calls so far, including those that failed.
     calls: usize,
-    /// Transactions that met newer rows.
+    /// Transactions that failed because a row had another version than expected.
     conflicts: usize,
-    /// Times it came back from a copy; told in all answers.
+    /// Number of restores so far; sent in a header of all responses.
     era: u64,
 }
 
@@ -83,13 +87,13 @@
         self.changes.push((version, table.into(), key.into(), false));
     }
 
-    /// An answer of the era that its body is of.
+    /// A response with this body and the current era.
     fn answer(&self, body: Value) -> Response {
         ([(ERA, self.era.to_string())], Json(body)).into_response()
     }
 }
 
-/// The stand-in; clones share it.
+/// A running store; clones share its contents.
 #[derive(Clone)]
 pub struct Store {
     rows: Arc<Mutex<StoreState>>,
@@ -98,7 +102,7 @@
     pub address: SocketAddr,
 }
 
-/// Header that tells how often it came back from a copy.
+/// Header with the store's era, the number of its restores.
 const ERA: &str = "store-era";
 
 type Params = Query<HashMap<String, String>>;
@@ -126,7 +130,7 @@
         self.put_value(table, key, RowValue::Bytes(serde_json::to_vec(value).unwrap()));
     }
 
-    /// Puts a row whose document is shown as it is given, instead of as encoded text.
+    /// Puts a row whose value is returned as this JSON instead of as base64 text.
     pub fn put_malformed(&self, table: &str, key: &str, shown: &Value) {
         self.put_value(table, key, RowValue::Malformed(shown.clone()));
     }
@@ -158,20 +162,21 @@
         self.changed.notify_waiters();
     }
 
-    /// Drops the history; feeds from before it get 410.
+    /// Drops the history of changes; feeds from an earlier version get 410.
     pub fn drop_history(&self) {
         let mut rows = self.rows.lock().unwrap();
         rows.dropped_up_to = rows.version;
     }
 
-    /// What it holds now, to come back to.
+    /// Copies the current contents.
     pub fn snapshot(&self) -> Snapshot {
         let rows = self.rows.lock().unwrap();
         let (version, changes) = (rows.version, rows.changes.clone());
         Snapshot { rows: rows.rows.clone(), changes, version }
     }
 
-    /// Comes back from a copy: what was written since is lost, and its versions are given out again.
+    /// Restores a snapshot: later writes are lost, their versions are assigned again, and the era
+    /// is increased.
     pub fn restore(&self, snapshot: &Snapshot) {
         let mut rows = self.rows.lock().unwrap();
         rows.rows.clone_from(&snapshot.rows);
@@ -186,16 +191,17 @@
         self.rows.lock().unwrap().page_size = page_size;
     }
 
-    /// Transactions so far that met newer rows.
+    /// Transactions so far that failed because a row had another version than expected.
     pub fn conflicts(&self) -> usize {
         self.rows.lock().unwrap().conflicts
     }
 
-    /// Calls so far.
+    /// Calls so far, including those that failed.
     pub fn calls(&self) -> usize {
         self.rows.lock().unwrap().calls
     }
 
+    /// Counts a call and returns its error response if the injected fault makes all calls fail.
     fn faulty_response(&self) -> Option<Response> {
         let mut rows = self.rows.lock().unwrap();
         rows.calls += 1;
@@ -211,7 +217,7 @@
     }
 }
 
-/// Adds the era to answers that say nothing of rows.
+/// Adds the era header to responses that lack it: those without rows.
 async fn add_era_header(State(store): State<Store>, mut res: Response) -> Response {
     if !res.headers().contains_key(ERA) {
         let era = store.rows.lock().unwrap().era;
@@ -224,6 +230,7 @@
     json!({"table": table, "part": "", "key": key, "value": document.to_json(), "ver": version})
 }
 
+/// Serves one page of a table's rows.
 async fn read(State(store): State<Store>, Query(params): Params) -> Response {
     if let Some(fault) = store.faulty_response() {
         return fault;
@@ -241,6 +248,7 @@
     rows.answer(body)
 }
 
+/// Serves a table's changes after a version; waits for the first one, at most as long as asked.
 async fn feed(State(store): State<Store>, Query(params): Params) -> Response {
     let after: u64 = params["after-rev"].parse().unwrap();
     let wait = Duration::from_millis(params["wait-ms"].parse().unwrap());
@@ -259,6 +267,7 @@
 }
 
 impl Store {
+    /// The response to a feed request, or `None` if it has to wait for changes.
     fn changes(&self, table: &str, after: u64, has_waited: bool) -> Option<Response> {
         let rows = self.rows.lock().unwrap();
         if after < rows.dropped_up_to || after > rows.version {
@@ -283,6 +292,7 @@
     }
 }
 
+/// Serves a transaction.
 async fn write(State(store): State<Store>, Json(body): Json<Value>) -> Response {
     if let Some(fault) = store.faulty_response() {
         return fault;
--- a/tests/platform/streams.rs
+++ b/tests/platform/streams.rs
@@ -1,4 +1,5 @@
-//! Streams: whole events only, resumed where that is allowed, and cascades.
+//! Streams: only complete events are passed on, broken streams are resumed where the route allows it, and answers of
+//! low confidence are repeated with a larger model.
 
 use std::time::Duration;
 
@@ -57,7 +58,11 @@
     let answer = site.request("POST", "/plain/a", "X-Model: small\r\n").await;
 
     assert_eq!((answer.status, answer.is_whole), (200, false));
-    assert_eq!(answer.body, events(3), "whole events only");
+    assert_eq!(
+        answer.body,
+        events(3),
+        "an incomplete event was passed on, or a complete one was not"
+    );
     assert_eq!(server.requests().len(), 1);
 }
 
@@ -87,14 +92,13 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_resumed_at_the_wrong_event_is_broken_off() {
-    // The second server goes on at event 5 though event 3 is due.
     let breaks = Action::Stream { last_event: 2, is_complete: false, confidence: 90 };
     let server = start_server_with_first_act("i-1", breaks, Action::EndlessStream).await;
     let site = start_with_servers(&[&server]).await;
 
     let answer = site.request("POST", "/chat/a", prompt_headers()).await;
 
-    // `Endless` begins at 1 again: nothing of it may be passed on.
+    // Event 3 is due, but `Endless` starts again at event 1: none of its events may be passed on.
     assert!(!answer.is_whole);
     assert_eq!(answer.body, events(2));
 }
@@ -117,7 +121,7 @@
     assert_eq!(models, ["small", "large"]);
 }
 
-/// A server whose small model is unsure; the large one does this.
+/// Starts a server whose small model answers with low confidence and whose large model acts as given.
 async fn start_server_with_large_model_act(large: Action) -> Server {
     Server::start("i-1", move |request: &ReceivedRequest| match request.header("x-model") {
         "small" => Action::Stream { last_event: 4, is_complete: true, confidence: 10 },
@@ -158,8 +162,8 @@
     let site = start_with_servers(&[&server]).await;
 
     let (answer, ()) = tokio::join!(site.request("POST", "/chat/a", prompt_headers()), async {
-        wait_until("both run", || server.active_requests() == 2).await;
-        wait_until("the larger one alone", || server.active_requests() == 1).await;
+        wait_until("both models run", || server.active_requests() == 2).await;
+        wait_until("only the larger model runs", || server.active_requests() == 1).await;
     });
 
     assert_eq!((answer.is_whole, answer.body), (true, events(8)));
--- a/tests/platform/urgent_updates.rs
+++ b/tests/platform/urgent_updates.rs
@@ -1,5 +1,5 @@
-//! Urgent news reaches an entry also where the seed that it follows does not pass it on: each entry reports to every
-//! seed, and any of them may be the one that is still well.
+//! Urgent updates (rate limits and server ends) reach an entry also when the seed that it follows does not pass them
+//! on: each entry is linked to every seed, and any other seed may still work.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,7 +16,7 @@
 
 type Socket = WebSocketStream<TcpStream>;
 
-/// What a seed that is not well leaves out of what it tells.
+/// Fields that the faulty seed leaves out of its updates.
 const OMITTED_FIELDS: [&str; 2] = ["ends", "limits"];
 
 fn decode(message: &Message) -> Option<Value> {
@@ -32,7 +32,7 @@
     Message::binary(bytes)
 }
 
-/// Takes these fields out of a message, however deep they stand.
+/// Removes [`OMITTED_FIELDS`] from a message at every depth.
 fn remove_omitted_fields(value: &mut Value) {
     match value {
         Value::Map(fields) => {
@@ -46,8 +46,7 @@
     }
 }
 
-/// Serves one link: what a follower receives comes from the healthy seed, without urgent news; reports are taken and
-/// lost.
+/// Serves one link: relays the healthy seed's updates to a follower without the urgent fields, and discards reports.
 async fn serve_filtered_link(mut socket: Socket, healthy: SocketAddr) -> Option<()> {
     let asked = loop {
         let message = socket.next().await?.ok()?;
@@ -70,7 +69,7 @@
     }
 }
 
-/// A seed that passes on everything but urgent news; its address.
+/// Starts a faulty seed that passes on everything except urgent updates; returns its address.
 async fn start_filtering_seed(healthy: SocketAddr) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -86,7 +85,7 @@
     address
 }
 
-/// A healthy seed, and an entry that follows a muted one and reports to both.
+/// Starts a healthy seed, and an entry that follows a faulty seed and reports to both.
 async fn start_with_filtering_seed(pool: &Pool) -> [Arc<Site>; 2] {
     let healthy = Site::start_seed(pool.store.clone(), None).await;
     healthy.wait_for_servers(pool.servers.len()).await;
@@ -95,8 +94,11 @@
     let entry = pool.start_entry(&[filtering_peer, healthy_peer], None).await;
     entry.wait_for_servers(pool.servers.len()).await;
     let follows = || entry.entry.router.dump()["follows_another_entry"] == true;
-    wait_until("it follows", follows).await;
-    wait_until("it reports", || healthy.entry.router.dump()["entries"] == 2).await;
+    wait_until("the entry follows a seed", follows).await;
+    wait_until("the entry reports to the healthy seed", || {
+        healthy.entry.router.dump()["entries"] == 2
+    })
+    .await;
     [Arc::new(healthy), Arc::new(entry)]
 }
 
@@ -110,7 +112,7 @@
     run_load(std::slice::from_ref(&seed), Duration::from_millis(100)).await;
 
     let limits = || entry.entry.router.dump()["limits"].clone();
-    wait_until("it knows the limit", || limits()[0]["rate"] == 1.9).await;
+    wait_until("the entry knows the rate limit", || limits()[0]["rate"] == 1.9).await;
     assert_eq!(limits()[0]["received_here"], false);
 }
 
@@ -120,11 +122,11 @@
     let [seed, entry] = start_with_filtering_seed(&pool).await;
 
     for _ in 0..3 {
-        // One send a try.
+        // The route allows one attempt for each request.
         post(&seed, "/once/a", CRASHING_BODY).await;
     }
 
     assert_eq!(pool.crash_record.crash_count(), 3);
     let refused = || entry.entry.router.dump()["quarantine"][0]["refused"] == true;
-    wait_until("it refuses the request", refused).await;
+    wait_until("the entry refuses the request", refused).await;
 }
