--- a/src/policy/roll_out.rs
+++ b/src/policy/roll_out.rs
@@ -93,9 +93,9 @@
 /// Cumulative-sum (CUSUM) test of a new version against the old one.
 ///
 /// The log-likelihood ratio of "worse" against "the same" is summed over failures and over ratings, for each
-/// of the [`RISE_FACTORS`]. Sums never fall below zero, so that good answers before a version turns bad do not
+/// of the `RISE_FACTORS`. Sums never fall below zero, so that good answers before a version turns bad do not
 /// hide it. The version is found worse when a sum reaches the bound given by the false-hold rate. For the old
-/// version an upper estimate of the rate is used, see [`OLD_RATE_MARGIN`].
+/// version an upper estimate of the rate is used, see `OLD_RATE_MARGIN`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct VersionTest {
     seen: Evidence,
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -1,9 +1,9 @@
 //! Request path of an entry that runs on the users' platform.
 //!
-//! A request is admitted ([`serve`]) and sent to BackendServers until one responds ([`selection`], [`dispatch`],
-//! [`attempt`]). In a cascade, larger models are tried in turn ([`stages`]). The response is forwarded to the caller
-//! ([`relay`]). The control thread follows the platform's store ([`feed`], [`roll_out_driver`]) or another entry
-//! ([`peer_follower`], [`peers`]). The design is in docs/decisions/0008.
+//! A request is admitted (`serve`) and sent to BackendServers until one responds (`selection`, `dispatch`,
+//! `attempt`). In a cascade, larger models are tried in turn (`stages`). The response is forwarded to the caller
+//! (`relay`). The control thread follows the platform's store (`feed`, `roll_out_driver`) or another entry
+//! (`peer_follower`, `peers`). The design is in docs/decisions/0008.
 
 mod advertised_limits;
 mod announcements;
