--- a/tests/platform/cold.rs
+++ b/tests/platform/cold.rs
@@ -64,7 +64,11 @@
     let statuses = send_20_requests(&site, "/safe/").await;
 
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
-    assert!(cold.requests().len() <= 1, "{} requests reached the cold server", cold.requests().len());
+    assert!(
+        cold.requests().len() <= 1,
+        "{} requests reached the cold server",
+        cold.requests().len()
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -136,7 +140,11 @@
         site.request("GET", &format!("/safe/c{number}"), "").await;
     }
 
-    assert!(server.requests().len() <= 3, "{} requests reached the server", server.requests().len());
+    assert!(
+        server.requests().len() <= 3,
+        "{} requests reached the server",
+        server.requests().len()
+    );
 }
 
 /// Each entry computes its share from its place among all entries, which it knows some seconds after it hears of them.
